--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -18,8 +18,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.replication import waits
+from apricotlandingd.gateway.replication import records, waits
 
 __all__ = ['Freshness', 'Readers']
 
@@ -66,7 +65,7 @@
     """The newest answer to each topic: this host's and its peers'."""
 
     def __init__(
-        self, board: records.Board, bounds: dict[dialect.Topic, float]
+        self, board: records.Replica, bounds: dict[dialect.Topic, float]
     ) -> None:
         """Start without any answer.
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -16,12 +16,7 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import clocks
-from apricotlanding import codec
-from apricotlanding import errors
-from apricotlanding import frames
-from apricotlanding import sockets
+from apricotlanding import addresses, clocks, codec, errors, frames, sockets
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.replication import records
@@ -39,7 +34,7 @@
 class RecordExchange:
     """Hands records on to peers and takes them from peers."""
 
-    def __init__(self, board: records.Board) -> None:
+    def __init__(self, board: records.Replica) -> None:
         """Serve and fill this board."""
         self._board = board
         # Called with the peer's address and the reason for each question or
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
@@ -1,6 +1,6 @@
 """The records that all hosts go by: configuration and runners.
 
-Each host keeps the newest record of each key of two topics (``Board``). They
+Each host keeps the newest record of each key of two topics (``Replica``). They
 come from the platform's store by a long poll, or from a peer that is ahead.
 A store that turns this host away, or is out, is thereby made up for by any
 peer that still reads it; and in a large system only some hosts read the
@@ -20,7 +20,7 @@
 
 __all__ = [
     'TOPICS',
-    'Board',
+    'Replica',
     'Positions',
     'has_all',
     'is_ahead',
@@ -41,7 +41,7 @@
 
 
 @ty.final
-class Board:
+class Replica:
     """The newest record of each key."""
 
     def __init__(self) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -17,9 +17,7 @@
 
 from apricotlanding import clocks
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import freshness
-from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.replication import waits
+from apricotlandingd.gateway.replication import freshness, records, waits
 
 __all__ = ['StoreReader']
 
@@ -45,7 +43,7 @@
         self,
         topic: dialect.Topic,
         store: dialect.Store,
-        board: records.Board,
+        board: records.Replica,
         fresh: freshness.Freshness,
         find_readers: collections.abc.Callable[[], freshness.Readers],
         on_outage: collections.abc.Callable[[float], None],
--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -10,18 +10,13 @@
 import msgpack
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import addresses, errors, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.replication import recordexchange
-from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.hosts import mesh, messages
+from apricotlandingd.gateway.replication import recordexchange, records
 from apricotstandins import processes
 
-
 # Seconds that any of this may take; generous, for machines that are busy.
 PATIENCE = 10.0
 # Seconds that a peer has to hand records on.
@@ -253,7 +248,7 @@
     """Records between hosts."""
 
     def make_exchange(self) -> recordexchange.RecordExchange:
-        board = records.Board()
+        board = records.Replica()
         record = dialect.Record('i-1', 0, b'{}')
         batch = dialect.Batch((record,), 1)
         board.apply(dialect.RUNNERS, batch, is_whole=False)
@@ -272,7 +267,7 @@
                 group.start_soon(listener.serve, found.serve)
                 for data in BAD_QUERIES:
                     await self.ask(place, data)
-                board = records.Board()
+                board = records.Replica()
                 with anyio.fail_after(PATIENCE):
                     asker = recordexchange.RecordExchange(board)
                     self.assertTrue(await asker.fetch(place, FETCH_S))
@@ -297,7 +292,7 @@
         # asked replied with a message of another kind, and the task that
         # asks was down for up to five seconds.
         for data in BAD_PAGES:
-            board = records.Board()
+            board = records.Replica()
             asker = recordexchange.RecordExchange(board)
             self.assertFalse(anyio.run(self.fetch, asker, data), repr(data))
             positions = records.list_positions(board.positions)
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -12,34 +12,32 @@
 import anyio.abc
 import h11
 import hypothesis
-from hypothesis import strategies
 import msgpack
 import testtools
+from hypothesis import strategies
 
-from apricotlanding import addresses
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import webclient
-from apricotlandingd.gateway.decisions import groupuses
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.replication import recordexchange
-from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.requests import runnerclient
-from apricotlandingd.gateway.requests import streams
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import fuzzing
 import gatewayparts
 import placesplay
 import test_foreign_messages
 import test_gateway_shared_allowances
+from apricotlanding import addresses, errors, ids, webclient
+from apricotlandingd.gateway.decisions import groupuses, quotas
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    coordinator,
+    mesh,
+    messages,
+    placemessages,
+)
+from apricotlandingd.gateway.replication import recordexchange, records
+from apricotlandingd.gateway.requests import runnerclient, streams
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    observations,
+    pace,
+)
 
 LONGEST_ERROR = 1000
 FESTIN = gatewayparts.make_organisation(100.0)
@@ -137,7 +135,7 @@
             buckets.hear(state.incarnation, state.usage, now)
             is_settled = state.hosts > 0
             uses.hear(1, state.group_asked, state.group_used, is_settled, now)
-            records.is_ahead(state.positions, records.Board().positions)
+            records.is_ahead(state.positions, records.Replica().positions)
 
         host.on_state = take
         now = 1.0
@@ -373,14 +371,14 @@
         )
     )
     def test_questions(self, data: bytes) -> None:
-        exchange = recordexchange.RecordExchange(records.Board())
+        exchange = recordexchange.RecordExchange(records.Replica())
         stream = ScriptedStream(data)
         anyio.run(exchange.serve, ty.cast(anyio.abc.SocketStream, stream))
 
     @fuzzing.give_examples()
     @hypothesis.given(write_spoiled(GOOD_PAGE))
     def test_replies(self, data: bytes) -> None:
-        board = records.Board()
+        board = records.Replica()
         exchange = recordexchange.RecordExchange(board)
         found = self.decode(data)
         try:
--- a/tests/test_gateway_catchup.py
+++ b/tests/test_gateway_catchup.py
@@ -9,10 +9,12 @@
 
 from apricotlanding import addresses
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import catchup
-from apricotlandingd.gateway.replication import recordexchange
-from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.replication import waits
+from apricotlandingd.gateway.replication import (
+    catchup,
+    recordexchange,
+    records,
+    waits,
+)
 
 # Seconds in which a configuration must be in force, and what may pass until
 # the records are here: the peer's message came before, and time is left for
@@ -50,10 +52,10 @@
         anyio.run(self.play)
 
     async def play(self) -> None:
-        known = records.Board()
+        known = records.Replica()
         record = dialect.Record('config', 0, b'value')
         known.apply(dialect.CONFIG, dialect.Batch((record,), 1), True)
-        lacking = records.Board()
+        lacking = records.Replica()
         frozen, frozen_at = await listen()
         sound, sound_at = await listen()
         # Puts the frozen one where the first choice falls.
@@ -89,7 +91,7 @@
 
     def make_catch_up(
         self,
-        board: records.Board,
+        board: records.Replica,
         list_ahead: collections.abc.Callable[[], list[addresses.Address]],
     ) -> catchup.CatchUp:
         return catchup.CatchUp(
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -6,13 +6,9 @@
 import anyio.lowlevel
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import freshness
-from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.replication import storereader
-
+from apricotlandingd.gateway.replication import freshness, records, storereader
 
 # Seconds after the last record in which it has surely been read.
 SETTLE_S = 0.5
@@ -76,7 +72,7 @@
 
 
 def make_reader(
-    store: QuietStore, board: records.Board
+    store: QuietStore, board: records.Replica
 ) -> storereader.StoreReader:
     """Return the only reader of a store."""
     return storereader.StoreReader(
@@ -102,7 +98,7 @@
         An empty key stands for a record that cannot be read.
         """
         store = QuietStore()
-        board = records.Board()
+        board = records.Replica()
         reader = make_reader(store, board)
 
         async def write() -> None:
@@ -172,7 +168,7 @@
 
     def count_calls(self, is_gone: bool) -> int:
         store = LeapingStore(is_gone)
-        board = records.Board()
+        board = records.Replica()
         reader = make_reader(store, board)
 
         async def read() -> None:
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -7,9 +7,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import freshness
-from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.replication import waits
+from apricotlandingd.gateway.replication import freshness, records, waits
 
 # The bounds on changes that the settings may name, in seconds.
 BOUND_S = 2.0
@@ -31,7 +29,7 @@
     group: int
     is_reading: bool
     fresh: freshness.Freshness
-    board: records.Board
+    board: records.Replica
     # When its read ends, and whether it will be answered.
     read_ends: float = 0.0
     is_read_sound: bool = True
@@ -73,7 +71,7 @@
     def make_host(
         self, group: int, is_reading: bool, bound_s: float
     ) -> SimulatedHost:
-        board = records.Board()
+        board = records.Replica()
         fresh = freshness.Freshness(
             board, dict.fromkeys(records.TOPICS, bound_s)
         )
@@ -231,8 +229,8 @@
 class TestAges(testtools.TestCase):
     """Which answers of others count here."""
 
-    def make_fresh(self) -> tuple[records.Board, freshness.Freshness]:
-        board = records.Board()
+    def make_fresh(self) -> tuple[records.Replica, freshness.Freshness]:
+        board = records.Replica()
         fresh = freshness.Freshness(
             board, dict.fromkeys(records.TOPICS, BOUND_S)
         )
