--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -23,7 +23,7 @@
         self,
         config: settings.GatewaySettings,
         incarnation: ids.Incarnation,
-        board: records.Replica,
+        replica: records.Replica,
         ages: freshness.Freshness,
         shared: allowances.Allowances,
         schedule: scheduler.Scheduler,
@@ -35,7 +35,7 @@
         self._config = config
         self._incarnation = incarnation
         self._process = messages.digest_process(incarnation)
-        self._board = board
+        self._board = replica
         self._ages = ages
         self._shared = shared
         self._schedule = schedule
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -65,13 +65,13 @@
     """The newest answer to each topic: this host's and its peers'."""
 
     def __init__(
-        self, board: records.Replica, bounds: dict[dialect.Topic, float]
+        self, replica: records.Replica, bounds: dict[dialect.Topic, float]
     ) -> None:
         """Start without any answer.
 
         ``bounds`` are the seconds after which a change must be known.
         """
-        self._board = board
+        self._board = replica
         self.waits: dict[dialect.Topic, waits.Waits] = {}
         self.set_bounds(bounds)
         self._own: dict[dialect.Topic, float] = {}
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -34,9 +34,9 @@
 class RecordExchange:
     """Hands records on to peers and takes them from peers."""
 
-    def __init__(self, board: records.Replica) -> None:
+    def __init__(self, replica: records.Replica) -> None:
         """Serve and fill this board."""
-        self._board = board
+        self._board = replica
         # Called with the peer's address and the reason for each question or
         # reply that cannot be used. Filled in by the daemon.
         self.on_unreadable: collections.abc.Callable[
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -43,7 +43,7 @@
         self,
         topic: dialect.Topic,
         store: dialect.Store,
-        board: records.Replica,
+        replica: records.Replica,
         fresh: freshness.Freshness,
         find_readers: collections.abc.Callable[[], freshness.Readers],
         on_outage: collections.abc.Callable[[float], None],
@@ -61,7 +61,7 @@
         """
         self._topic = topic
         self._store = store
-        self._board = board
+        self._board = replica
         self._fresh = fresh
         self._find_readers = find_readers
         self._on_outage = on_outage
--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -248,11 +248,11 @@
     """Records between hosts."""
 
     def make_exchange(self) -> recordexchange.RecordExchange:
-        board = records.Replica()
+        replica = records.Replica()
         record = dialect.Record('i-1', 0, b'{}')
         batch = dialect.Batch((record,), 1)
-        board.apply(dialect.RUNNERS, batch, is_whole=False)
-        return recordexchange.RecordExchange(board)
+        replica.apply(dialect.RUNNERS, batch, is_whole=False)
+        return recordexchange.RecordExchange(replica)
 
     def test_a_bad_question_does_not_end_the_listener(self) -> None:
         # A host that the store turns away stays behind the others: the peer
@@ -267,11 +267,11 @@
                 group.start_soon(listener.serve, found.serve)
                 for data in BAD_QUERIES:
                     await self.ask(place, data)
-                board = records.Replica()
+                replica = records.Replica()
                 with anyio.fail_after(PATIENCE):
-                    asker = recordexchange.RecordExchange(board)
+                    asker = recordexchange.RecordExchange(replica)
                     self.assertTrue(await asker.fetch(place, FETCH_S))
-                self.assertEqual(1, board.positions[dialect.RUNNERS])
+                self.assertEqual(1, replica.positions[dialect.RUNNERS])
                 group.cancel_scope.cancel()
 
         anyio.run(scene)
@@ -292,10 +292,10 @@
         # asked replied with a message of another kind, and the task that
         # asks was down for up to five seconds.
         for data in BAD_PAGES:
-            board = records.Replica()
-            asker = recordexchange.RecordExchange(board)
+            replica = records.Replica()
+            asker = recordexchange.RecordExchange(replica)
             self.assertFalse(anyio.run(self.fetch, asker, data), repr(data))
-            positions = records.list_positions(board.positions)
+            positions = records.list_positions(replica.positions)
             self.assertEqual([0, 0], positions, repr(data))
 
     async def fetch(
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -378,8 +378,8 @@
     @fuzzing.give_examples()
     @hypothesis.given(write_spoiled(GOOD_PAGE))
     def test_replies(self, data: bytes) -> None:
-        board = records.Replica()
-        exchange = recordexchange.RecordExchange(board)
+        replica = records.Replica()
+        exchange = recordexchange.RecordExchange(replica)
         found = self.decode(data)
         try:
             page = recordexchange._check_page(found)
@@ -388,8 +388,8 @@
             return
         exchange._apply(page)
         for topic in records.TOPICS:
-            self.assertTrue(0 <= board.positions[topic] < 2**63)
-            for record in board.list_since(topic, 0).records:
+            self.assertTrue(0 <= replica.positions[topic] < 2**63)
+            for record in replica.list_since(topic, 0).records:
                 self.assertTrue(0 <= record.offset < 2**63)
         # It can be told on.
         passed = exchange._make_page(GOOD_QUERY)
--- a/tests/test_gateway_catchup.py
+++ b/tests/test_gateway_catchup.py
@@ -91,11 +91,11 @@
 
     def make_catch_up(
         self,
-        board: records.Replica,
+        replica: records.Replica,
         list_ahead: collections.abc.Callable[[], list[addresses.Address]],
     ) -> catchup.CatchUp:
         return catchup.CatchUp(
-            recordexchange.RecordExchange(board),
+            recordexchange.RecordExchange(replica),
             list_ahead,
             lambda: waits.derive_waits(BOUND_S).fetch_s,
             random.Random(SEED),
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -503,9 +503,9 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.board = records.Replica()
+        self.replica = records.Replica()
         self.seen: list[tuple[str, bytes | None]] = []
-        self.board.add_observer(
+        self.replica.add_observer(
             lambda topic, record: self.seen.append((record.key, record.value))
         )
 
@@ -518,7 +518,7 @@
             else (dialect.Record('k', offset, value),)
         )
         batch = dialect.Batch(rows, offset + 1)
-        self.board.apply(dialect.RUNNERS, batch, is_whole)
+        self.replica.apply(dialect.RUNNERS, batch, is_whole)
 
     def test_older_record_is_not_applied(self) -> None:
         self.apply(5, b'new')
@@ -544,7 +544,7 @@
     def test_positions_never_fall(self) -> None:
         self.apply(5, b'x')
         self.apply(2, b'y')
-        self.assertEqual(6, self.board.positions[dialect.RUNNERS])
+        self.assertEqual(6, self.replica.positions[dialect.RUNNERS])
 
 
 def make_change(
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -215,7 +215,7 @@
         organisation = PRESSING.organisation
         terms = shared.find_terms(organisation, now)
         self.assertIsNone(shared.take(organisation, COST, terms, now))
-        board = records.Replica()
+        replica = records.Replica()
         bounds = dict.fromkeys(records.TOPICS, 1.0)
         schedule = scheduler.Scheduler(
             directory.Directory(2.0),
@@ -230,8 +230,8 @@
                 types.SimpleNamespace(host='host-0', state=OWN, peers=OWN),
             ),
             ids.Incarnation('host-0/1'),
-            board,
-            freshness.Freshness(board, bounds),
+            replica,
+            freshness.Freshness(replica, bounds),
             shared,
             schedule,
             others,
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -72,14 +72,14 @@
 
 
 def make_reader(
-    store: QuietStore, board: records.Replica
+    store: QuietStore, replica: records.Replica
 ) -> storereader.StoreReader:
     """Return the only reader of a store."""
     return storereader.StoreReader(
         dialect.CONFIG,
         store,
-        board,
-        freshness.Freshness(board, {dialect.CONFIG: BOUND_S}),
+        replica,
+        freshness.Freshness(replica, {dialect.CONFIG: BOUND_S}),
         lambda: freshness.Readers((), ids.Host('host-a'), True),
         lambda now: None,
         lambda now: None,
@@ -98,8 +98,8 @@
         An empty key stands for a record that cannot be read.
         """
         store = QuietStore()
-        board = records.Replica()
-        reader = make_reader(store, board)
+        replica = records.Replica()
+        reader = make_reader(store, replica)
 
         async def write() -> None:
             async with anyio.create_task_group() as group:
@@ -115,7 +115,7 @@
                 group.cancel_scope.cancel()
 
         anyio.run(write)
-        return store.calls, board.positions[dialect.CONFIG]
+        return store.calls, replica.positions[dialect.CONFIG]
 
     def test_store_without_records_is_asked_once(self) -> None:
         # Sixty hosts started before the first configuration was written, and
@@ -168,8 +168,8 @@
 
     def count_calls(self, is_gone: bool) -> int:
         store = LeapingStore(is_gone)
-        board = records.Replica()
-        reader = make_reader(store, board)
+        replica = records.Replica()
+        reader = make_reader(store, replica)
 
         async def read() -> None:
             with anyio.move_on_after(1.0):
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -29,7 +29,7 @@
     group: int
     is_reading: bool
     fresh: freshness.Freshness
-    board: records.Replica
+    replica: records.Replica
     # When its read ends, and whether it will be answered.
     read_ends: float = 0.0
     is_read_sound: bool = True
@@ -71,13 +71,13 @@
     def make_host(
         self, group: int, is_reading: bool, bound_s: float
     ) -> SimulatedHost:
-        board = records.Replica()
+        replica = records.Replica()
         fresh = freshness.Freshness(
-            board, dict.fromkeys(records.TOPICS, bound_s)
+            replica, dict.fromkeys(records.TOPICS, bound_s)
         )
         # Names say nothing of the group, as a hash of them does not.
         name = ids.Host(f'host-{self.spread.random()}')
-        return SimulatedHost(name, group, is_reading, fresh, board)
+        return SimulatedHost(name, group, is_reading, fresh, replica)
 
     def begin_read(self, host: SimulatedHost, wait: float) -> None:
         self.calls += 1
@@ -147,7 +147,7 @@
         ages = host.fresh.list_near_ages(
             self.now, host.is_reading, is_whole=True
         )
-        positions = records.list_positions(host.board.positions)
+        positions = records.list_positions(host.replica.positions)
         for other in self.hosts:
             if other is host or other.group != host.group:
                 continue
@@ -162,7 +162,7 @@
             if not far:
                 continue
             ages = host.fresh.list_group_ages(self.now)
-            positions = records.list_positions(host.board.positions)
+            positions = records.list_positions(host.replica.positions)
             other = self.spread.choice(far)
             other.fresh.hear_far(host.name, ages, positions, self.now)
 
@@ -230,12 +230,12 @@
     """Which answers of others count here."""
 
     def make_fresh(self) -> tuple[records.Replica, freshness.Freshness]:
-        board = records.Replica()
+        replica = records.Replica()
         fresh = freshness.Freshness(
-            board, dict.fromkeys(records.TOPICS, BOUND_S)
+            replica, dict.fromkeys(records.TOPICS, BOUND_S)
         )
         fresh.note_answer(TOPIC, 0.0)
-        return board, fresh
+        return replica, fresh
 
     def find_due(self, fresh: freshness.Freshness, now: float) -> float:
         readers = freshness.Readers((), ids.Host('host-a'), True)
@@ -249,11 +249,11 @@
     def test_answer_of_a_peer_that_is_ahead_does_not_count(self) -> None:
         # The peer's answer held a record that this host does not have. If it
         # counted and the peer died, nobody would ask for the record.
-        board, fresh = self.make_fresh()
+        replica, fresh = self.make_fresh()
         fresh.hear(ids.Host('host-b'), [100, 100], [1, 1], True, 5.0)
         self.assertEqual(BOUND_S / 2, self.find_due(fresh, 5.0))
         record = dialect.Record('config', 0, b'value')
-        board.apply(TOPIC, dialect.Batch((record,), 1), is_whole=False)
+        replica.apply(TOPIC, dialect.Batch((record,), 1), is_whole=False)
         self.assertEqual(4.9 + BOUND_S / 2, self.find_due(fresh, 5.0))
 
     def test_answer_of_another_group_counts_and_is_not_handed_on(self) -> None:
