--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -137,18 +137,18 @@
     def _build_sharing(self) -> None:
         config = self._settings
         self._directory = directory.Directory(config.bounds.drain_s)
-        self._board = records.Replica()
-        self._board.add_observer(self._take_record)
-        self._board.on_damage = self._note_damage
+        self._replica = records.Replica()
+        self._replica.add_observer(self._take_record)
+        self._replica.on_damage = self._note_damage
         self._freshness = freshness.Freshness(
-            self._board, _find_bounds(config.bounds)
+            self._replica, _find_bounds(config.bounds)
         )
         probing = anyio.Lock()
         self._readers = [
             storereader.StoreReader(
                 topic,
                 self._store,
-                self._board,
+                self._replica,
                 self._freshness,
                 self._find_readers,
                 self._directory.note_outage,
@@ -159,7 +159,7 @@
             )
             for topic in records.TOPICS
         ]
-        self._exchange = recordexchange.RecordExchange(self._board)
+        self._exchange = recordexchange.RecordExchange(self._replica)
         self._catch_up = catchup.CatchUp(
             self._exchange,
             self._list_ahead,
@@ -218,7 +218,7 @@
                 self._health,
                 self._spread,
                 lambda: self._is_stopping,
-                lambda: records.has_all(self._board.positions),
+                lambda: records.has_all(self._replica.positions),
                 self._scheduler.find_hold,
             ),
             self._directory,
@@ -248,7 +248,7 @@
         states = hoststates.HostStates(
             config,
             self.incarnation,
-            self._board,
+            self._replica,
             self._freshness,
             self._allowances,
             self._scheduler,
@@ -332,7 +332,7 @@
         if not self.knows_hosts():
             # It hands out nothing of any allowance yet.
             return False
-        return records.has_all(self._board.positions)
+        return records.has_all(self._replica.positions)
 
     def knows_hosts(self) -> bool:
         """Tell whether this host knows how many others there are."""
@@ -497,7 +497,7 @@
         return [
             messages.read_address(peer.state.peers_address)
             for peer in self._mesh.list_heard()
-            if records.is_ahead(peer.state.positions, self._board.positions)
+            if records.is_ahead(peer.state.positions, self._replica.positions)
         ]
 
     def _find_fetch_time(self) -> float:
@@ -556,7 +556,7 @@
             self._freshness.hear_far(
                 state.host, state.answer_ages, state.positions, now
             )
-        if records.is_ahead(state.positions, self._board.positions):
+        if records.is_ahead(state.positions, self._replica.positions):
             self._catch_up.note_ahead()
         if now - self._pumped_at >= PEER_PUMP_INTERVAL:
             self._pump(now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -35,7 +35,7 @@
         self._config = config
         self._incarnation = incarnation
         self._process = messages.digest_process(incarnation)
-        self._board = replica
+        self._replica = replica
         self._ages = ages
         self._shared = shared
         self._schedule = schedule
@@ -77,7 +77,7 @@
             number=number,
             is_stopping=self._is_stopping(),
             reads_store=self._reads_store(now),
-            positions=records.list_positions(self._board.positions),
+            positions=records.list_positions(self._replica.positions),
             running=running,
             usage=usage,
             ranks=ranks,
@@ -100,7 +100,7 @@
             number=number,
             is_stopping=self._is_stopping(),
             reads_store=self._reads_store(now),
-            positions=records.list_positions(self._board.positions),
+            positions=records.list_positions(self._replica.positions),
             running=running,
             usage={
                 name: units
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -71,7 +71,7 @@
 
         ``bounds`` are the seconds after which a change must be known.
         """
-        self._board = replica
+        self._replica = replica
         self.waits: dict[dialect.Topic, waits.Waits] = {}
         self.set_bounds(bounds)
         self._own: dict[dialect.Topic, float] = {}
@@ -120,7 +120,7 @@
         self.forget(host)
         answers = _make_answers(ages_ms, positions, False, now)
         for topic, answer in answers.items():
-            if answer.position > self._board.positions[topic]:
+            if answer.position > self._replica.positions[topic]:
                 continue
             newest = self._find_newest(topic)
             if newest is not None and answer.at <= newest:
@@ -190,7 +190,7 @@
         return far.at if own is None else max(own, far.at)
 
     def _find_newest(self, topic: dialect.Topic) -> float | None:
-        known = self._board.positions[topic]
+        known = self._replica.positions[topic]
         found = [
             answers[topic].at
             for answers in self._near.values()
@@ -203,7 +203,7 @@
         return max(found, default=None)
 
     def _find_group(self, topic: dialect.Topic) -> float | None:
-        known = self._board.positions[topic]
+        known = self._replica.positions[topic]
         newest = self._own.get(topic)
         for answers in self._near.values():
             answer = answers.get(topic)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -36,7 +36,7 @@
 
     def __init__(self, replica: records.Replica) -> None:
         """Serve and fill this board."""
-        self._board = replica
+        self._replica = replica
         # Called with the peer's address and the reason for each question or
         # reply that cannot be used. Filled in by the daemon.
         self.on_unreadable: collections.abc.Callable[
@@ -89,14 +89,14 @@
             link = frames.FrameStream(stream)
             link.limit = FRAME_LIMIT
             query = messages.RecordQuery(
-                records.list_positions(self._board.positions)
+                records.list_positions(self._replica.positions)
             )
             await link.send(messages.registry.pack(query))
             return _check_page(messages.registry.unpack(await link.receive()))
 
     def _make_page(self, query: messages.RecordQuery) -> messages.RecordPage:
         batches = [
-            self._board.list_since(topic, offset)
+            self._replica.list_since(topic, offset)
             for topic, offset in zip(
                 records.TOPICS, query.positions, strict=True
             )
@@ -120,7 +120,7 @@
                 dialect.Record(row.key, row.offset, row.value) for row in rows
             )
             batch = dialect.Batch(found, offset)
-            self._board.apply(topic, batch, is_whole=False)
+            self._replica.apply(topic, batch, is_whole=False)
 
 
 def _check_query(message: object) -> messages.RecordQuery:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -61,7 +61,7 @@
         """
         self._topic = topic
         self._store = store
-        self._board = replica
+        self._replica = replica
         self._fresh = fresh
         self._find_readers = find_readers
         self._on_outage = on_outage
@@ -101,7 +101,7 @@
 
     async def _read_on(self, wait_s: float) -> None:
         began_at = clocks.read_monotonic()
-        position = self._board.positions[self._topic]
+        position = self._replica.positions[self._topic]
         try:
             await self._read(wait_s)
         except dialect.StoreUnavailable as error:
@@ -113,7 +113,7 @@
         if self._had_records:
             await anyio.sleep(BATCH_PAUSE)
             return
-        if self._board.positions[self._topic] != position:
+        if self._replica.positions[self._topic] != position:
             return
         # A read that brings nothing has waited at the store. If it has not,
         # the offsets there make no sense to us (the end lies before what was
@@ -179,7 +179,7 @@
     # One read.
 
     async def _read(self, wait_s: float) -> None:
-        position = self._board.positions[self._topic]
+        position = self._replica.positions[self._topic]
         if position == 0 and not self._is_empty:
             await self._read_whole()
             return
@@ -193,7 +193,7 @@
             await self._read_whole()
             return
         self._had_records = bool(batch.records or batch.damages)
-        self._board.apply(self._topic, batch, is_whole=False)
+        self._replica.apply(self._topic, batch, is_whole=False)
         answered_at = clocks.read_monotonic()
         if not self._had_records:
             # The answer may have been under way for a while.
@@ -204,7 +204,7 @@
         begun_at = clocks.read_monotonic()
         batch = await self._store.read_newest(self._topic)
         self._had_records = bool(batch.records or batch.damages)
-        self._board.apply(self._topic, batch, is_whole=True)
+        self._replica.apply(self._topic, batch, is_whole=True)
         # A topic without any record is waited on from its start. Hosts that
         # asked for all of it ten times a second made nearly a third of a
         # quiet day's calls.
