--- a/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
@@ -10,14 +10,13 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import catalogue
 
 __all__ = [
     'AnswerHead',
     'Batch',
-    'Damage',
+    'CorruptRecord',
     'Dialect',
     'HeaderList',
     'HistoryGone',
@@ -114,7 +113,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Damage:
+class CorruptRecord:
     """A record of which not even the key can be read."""
 
     # None if the record does not tell its offset either.
@@ -131,7 +130,7 @@
     next_offset: int
     # What was left out of ``records``. The offset to go on at lies behind it:
     # a reader that stopped before a bad record would never read another one.
-    damages: tuple[Damage, ...] = ()
+    damages: tuple[CorruptRecord, ...] = ()
 
 
 class Unreadable(ValueError):
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -382,7 +382,7 @@
             self._mesh.tell()
 
     def _note_damage(
-        self, topic: dialect.Topic, damage: dialect.Damage
+        self, topic: dialect.Topic, damage: dialect.CorruptRecord
     ) -> None:
         place = '' if damage.offset is None else f' (offset {damage.offset})'
         self._foreign.report(
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
@@ -36,7 +36,7 @@
 
 Observer = collections.abc.Callable[[dialect.Topic, dialect.Record], None]
 DamageObserver = collections.abc.Callable[
-    [dialect.Topic, dialect.Damage], None
+    [dialect.Topic, dialect.CorruptRecord], None
 ]
 
 
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -39,7 +39,7 @@
 
     def make_batch(self, offset: int) -> dialect.Batch:
         damages = tuple(
-            dialect.Damage(place, 'the key is no text')
+            dialect.CorruptRecord(place, 'the key is no text')
             for place in self.damaged
             if place >= offset
         )
