--- a/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
@@ -130,7 +130,7 @@
     next_offset: int
     # What was left out of ``records``. The offset to go on at lies behind it:
     # a reader that stopped before a bad record would never read another one.
-    damages: tuple[CorruptRecord, ...] = ()
+    corrupt_records: tuple[CorruptRecord, ...] = ()
 
 
 class Unreadable(ValueError):
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
@@ -71,7 +71,7 @@
         """
         for record in batch.records:
             self._apply_record(topic, record)
-        for damage in batch.damages:
+        for damage in batch.corrupt_records:
             self.on_damage(topic, damage)
         if is_whole:
             self._remove_missing(topic, batch)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -192,7 +192,7 @@
             )
             await self._read_whole()
             return
-        self._had_records = bool(batch.records or batch.damages)
+        self._had_records = bool(batch.records or batch.corrupt_records)
         self._replica.apply(self._topic, batch, is_whole=False)
         answered_at = clocks.read_monotonic()
         if not self._had_records:
@@ -203,7 +203,7 @@
     async def _read_whole(self) -> None:
         begun_at = clocks.read_monotonic()
         batch = await self._store.read_newest(self._topic)
-        self._had_records = bool(batch.records or batch.damages)
+        self._had_records = bool(batch.records or batch.corrupt_records)
         self._replica.apply(self._topic, batch, is_whole=True)
         # A topic without any record is waited on from its start. Hosts that
         # asked for all of it ten times a second made nearly a third of a
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -38,7 +38,7 @@
         self.write('')
 
     def make_batch(self, offset: int) -> dialect.Batch:
-        damages = tuple(
+        corrupt_records = tuple(
             dialect.CorruptRecord(place, 'the key is no text')
             for place in self.damaged
             if place >= offset
@@ -48,7 +48,7 @@
             for record in self.records[offset:]
             if record.offset not in self.damaged
         )
-        return dialect.Batch(found, len(self.records), damages)
+        return dialect.Batch(found, len(self.records), corrupt_records)
 
     async def read_newest(self, topic: dialect.Topic) -> dialect.Batch:
         self.calls += 1
