--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -139,7 +139,7 @@
         self._directory = directory.Directory(config.bounds.drain_s)
         self._replica = records.Replica()
         self._replica.add_observer(self._take_record)
-        self._replica.on_damage = self._note_damage
+        self._replica.on_corrupt_record = self._note_damage
         self._freshness = freshness.Freshness(
             self._replica, _find_bounds(config.bounds)
         )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
@@ -54,7 +54,7 @@
         self._observers: list[Observer] = []
         # Called with each record that came without a key that can be read.
         # Filled in by the daemon.
-        self.on_damage: DamageObserver = lambda topic, damage: None
+        self.on_corrupt_record: DamageObserver = lambda topic, damage: None
         self.changed = anyio.Event()
 
     def add_observer(self, observer: Observer) -> None:
@@ -72,7 +72,7 @@
         for record in batch.records:
             self._apply_record(topic, record)
         for damage in batch.corrupt_records:
-            self.on_damage(topic, damage)
+            self.on_corrupt_record(topic, damage)
         if is_whole:
             self._remove_missing(topic, batch)
         if batch.next_offset > self.positions[topic]:
