--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
@@ -35,7 +35,7 @@
 REMOVED_KEYS = 2000
 
 Observer = collections.abc.Callable[[dialect.Topic, dialect.Record], None]
-DamageObserver = collections.abc.Callable[
+CorruptRecordObserver = collections.abc.Callable[
     [dialect.Topic, dialect.CorruptRecord], None
 ]
 
@@ -54,7 +54,9 @@
         self._observers: list[Observer] = []
         # Called with each record that came without a key that can be read.
         # Filled in by the daemon.
-        self.on_corrupt_record: DamageObserver = lambda topic, damage: None
+        self.on_corrupt_record: CorruptRecordObserver = lambda topic, damage: (
+            None
+        )
         self.changed = anyio.Event()
 
     def add_observer(self, observer: Observer) -> None:
