--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -382,13 +382,17 @@
             self._mesh.tell()
 
     def _note_damage(
-        self, topic: dialect.Topic, damage: dialect.CorruptRecord
+        self, topic: dialect.Topic, corrupt_record: dialect.CorruptRecord
     ) -> None:
-        place = '' if damage.offset is None else f' (offset {damage.offset})'
+        place = (
+            ''
+            if corrupt_record.offset is None
+            else f' (offset {corrupt_record.offset})'
+        )
         self._foreign.report(
             foreigninput.Source.RECORD,
             topic,
-            f'{damage.detail}{place}',
+            f'{corrupt_record.detail}{place}',
             clocks.read_monotonic(),
         )
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
@@ -54,8 +54,8 @@
         self._observers: list[Observer] = []
         # Called with each record that came without a key that can be read.
         # Filled in by the daemon.
-        self.on_corrupt_record: CorruptRecordObserver = lambda topic, damage: (
-            None
+        self.on_corrupt_record: CorruptRecordObserver = (
+            lambda topic, corrupt_record: None
         )
         self.changed = anyio.Event()
 
@@ -73,8 +73,8 @@
         """
         for record in batch.records:
             self._apply_record(topic, record)
-        for damage in batch.corrupt_records:
-            self.on_corrupt_record(topic, damage)
+        for corrupt_record in batch.corrupt_records:
+            self.on_corrupt_record(topic, corrupt_record)
         if is_whole:
             self._remove_missing(topic, batch)
         if batch.next_offset > self.positions[topic]:
