--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -139,7 +139,7 @@
         self._directory = directory.Directory(config.bounds.drain_s)
         self._replica = records.Replica()
         self._replica.add_observer(self._take_record)
-        self._replica.on_corrupt_record = self._note_damage
+        self._replica.on_corrupt_record = self._report_corrupt_record
         self._freshness = freshness.Freshness(
             self._replica, _find_bounds(config.bounds)
         )
@@ -381,7 +381,7 @@
             # Few hosts follow the store; the others hear from each other.
             self._mesh.tell()
 
-    def _note_damage(
+    def _report_corrupt_record(
         self, topic: dialect.Topic, corrupt_record: dialect.CorruptRecord
     ) -> None:
         place = (
