--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -32,7 +32,7 @@
         self.changed.set()
         self.changed = anyio.Event()
 
-    def write_damage(self) -> None:
+    def write_corrupt_record(self) -> None:
         """Write a record that cannot be read."""
         self.damaged.append(len(self.records))
         self.write('')
@@ -109,7 +109,7 @@
                     if key:
                         store.write(key)
                     else:
-                        store.write_damage()
+                        store.write_corrupt_record()
                     await anyio.sleep(pause_s)
                 await anyio.sleep(SETTLE_S)
                 group.cancel_scope.cancel()
