--- a/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
@@ -187,7 +187,7 @@
 class Store(ty.Protocol):
     """The platform's records."""
 
-    async def read_newest(self, topic: Topic) -> Batch:
+    async def read_snapshot(self, topic: Topic) -> Batch:
         """Return the newest record of each key.
 
         Raises StoreUnavailable.
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -202,7 +202,7 @@
 
     async def _read_whole(self) -> None:
         begun_at = clocks.read_monotonic()
-        batch = await self._store.read_newest(self._topic)
+        batch = await self._store.read_snapshot(self._topic)
         self._had_records = bool(batch.records or batch.corrupt_records)
         self._replica.apply(self._topic, batch, is_whole=True)
         # A topic without any record is waited on from its start. Hosts that
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -50,7 +50,7 @@
         )
         return dialect.Batch(found, len(self.records), corrupt_records)
 
-    async def read_newest(self, topic: dialect.Topic) -> dialect.Batch:
+    async def read_snapshot(self, topic: dialect.Topic) -> dialect.Batch:
         self.calls += 1
         return self.make_batch(0)
 
@@ -148,7 +148,7 @@
         super().__init__()
         self.is_gone = is_gone
 
-    async def read_newest(self, topic: dialect.Topic) -> dialect.Batch:
+    async def read_snapshot(self, topic: dialect.Topic) -> dialect.Batch:
         self.calls += 1
         await anyio.lowlevel.checkpoint()
         return dialect.Batch((), 5)
