--- a/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
@@ -55,7 +55,7 @@
     # often far off. None if it does not say.
     expected_tokens: int | None
     # The tokens were stated by the caller.
-    has_tokens: bool
+    has_token_counts: bool
     # Parts of the prompt in order: digest and tokens.
     prefix: tuple[tuple[str, int], ...]
     # Position after which a broken stream goes on; '' for a whole one.
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -8,12 +8,8 @@
 
 import eliot
 
-from apricotlanding import asgi
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway import dialect
+from apricotlanding import asgi, clocks, errors, ids
+from apricotlandingd.gateway import catalogue, dialect
 from apricotlandingd.gateway.hosts import sharedallowances
 from apricotlandingd.gateway.requests import parts
 
@@ -116,7 +112,7 @@
         if holder is None:
             return None
         tokens = None
-        if self.head.has_tokens:
+        if self.head.has_token_counts:
             tokens = self.head.prompt_tokens + self.head.output_tokens
         allowances = self._parts.allowances
         if holder.units_per_s > 0 and not allowances.knows_hosts(now):
