--- a/packages/apricotlandingd/src/apricotlandingd/gateway/catalogue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/catalogue.py
@@ -119,7 +119,7 @@
 class CallerLimits:
     """Bounds on what callers send."""
 
-    body_bytes: int = 4 * 1024 * 1024
+    max_body_bytes: int = 4 * 1024 * 1024
     # Seconds that an unused connection stays open.
     idle_s: float = 15.0
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -91,10 +91,12 @@
             return errors.make_problem(errors.Kind.UNKNOWN_KEY)
         self.organisation = holder
         try:
-            self.body = await asgi.read_body(receive, config.limits.body_bytes)
+            self.body = await asgi.read_body(
+                receive, config.limits.max_body_bytes
+            )
         except asgi.BodyTooLarge:
             return errors.make_problem(
-                errors.Kind.BODY_TOO_LARGE, limit=config.limits.body_bytes
+                errors.Kind.BODY_TOO_LARGE, limit=config.limits.max_body_bytes
             )
         self._note_arrival(clocks.read_monotonic())
         return await self._take_units(clocks.read_monotonic())
