--- a/packages/apricotlandingd/src/apricotlandingd/gateway/catalogue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/catalogue.py
@@ -135,7 +135,7 @@
     services: dict[ids.Pool, Service]
     organisations: dict[ids.Organisation, Organisation]
     # Organisations by key.
-    holders: dict[str, Organisation]
+    organisations_by_key: dict[str, Organisation]
     limits: CallerLimits
 
     def find_route(self, hostname: str, path: str) -> Route | None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -86,7 +86,7 @@
         service = config.services.get(self.service)
         if service is not None:
             self.event_tokens = service.event_tokens
-        holder = config.holders.get(head.key or '')
+        holder = config.organisations_by_key.get(head.key or '')
         if holder is None and not route.is_public:
             return errors.make_problem(errors.Kind.UNKNOWN_KEY)
         self.organisation = holder
