--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -64,7 +64,7 @@
     recordexchange,
     records,
     storereader,
-    waits,
+    timing,
 )
 from apricotlandingd.gateway.requests import (
     habits,
@@ -493,7 +493,7 @@
     def _reads_store(self, now: float) -> bool:
         return all(
             reader.heard_at is not None
-            and now - reader.heard_at < waits.STORE_REACHED
+            and now - reader.heard_at < timing.STORE_REACHED
             for reader in self._readers
         )
 
@@ -505,7 +505,7 @@
         ]
 
     def _find_fetch_time(self) -> float:
-        return min(item.fetch_s for item in self._freshness.waits.values())
+        return min(item.fetch_s for item in self._freshness.timing.values())
 
     async def _join(self) -> None:
         config = self._settings
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/__init__.py
@@ -1,7 +1,7 @@
 """Records of the configuration and of runners, copied to every host.
 
 ``records`` merges what comes by offset. ``storereader`` follows the platform's
-store, for as long as ``waits`` says, and ``freshness`` knows when its answers
+store, for as long as ``timing`` says, and ``freshness`` knows when its answers
 are too old. ``recordexchange`` hands records on from host to host, and
 ``catchup`` asks for them.
 """
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -18,7 +18,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import records, waits
+from apricotlandingd.gateway.replication import records, timing
 
 __all__ = ['Freshness', 'Readers']
 
@@ -72,7 +72,7 @@
         ``bounds`` are the seconds after which a change must be known.
         """
         self._replica = replica
-        self.waits: dict[dialect.Topic, waits.Waits] = {}
+        self.timing: dict[dialect.Topic, timing.Waits] = {}
         self.set_bounds(bounds)
         self._own: dict[dialect.Topic, float] = {}
         # Near peers were told of the newest answers.
@@ -83,8 +83,9 @@
 
     def set_bounds(self, bounds: dict[dialect.Topic, float]) -> None:
         """Take the operators' bounds."""
-        self.waits = {
-            topic: waits.derive_waits(bound) for topic, bound in bounds.items()
+        self.timing = {
+            topic: timing.derive_waits(bound)
+            for topic, bound in bounds.items()
         }
 
     def note_answer(self, topic: dialect.Topic, at: float) -> None:
@@ -126,7 +127,7 @@
             if newest is not None and answer.at <= newest:
                 continue
             self._far[topic] = answer
-            limits = self.waits[topic]
+            limits = self.timing[topic]
             if newest is None or answer.at - newest > limits.hand_on_s:
                 self._is_told = False
 
@@ -174,7 +175,7 @@
         newest = self._find_newest(topic)
         if newest is None:
             return now
-        limits = self.waits[topic]
+        limits = self.timing[topic]
         due = newest + limits.answer_age_s
         if now < due:
             return due
@@ -222,7 +223,7 @@
                 host < readers.own for host in self._near
             )
         own = self._own.get(topic, 0.0)
-        turn = self.waits[topic].turn_s
+        turn = self.timing[topic].turn_s
         count = 0
         for host in readers.others:
             answer = self._near.get(host, {}).get(topic)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -1,7 +1,7 @@
 """Following one topic at the platform's store.
 
 Reads wait at the store until a record comes (a long poll). What shows that
-such a read is lost, and what is done then, is told in ``waits``: when no host
+such a read is lost, and what is done then, is told in ``timing``: when no host
 of the group was answered for too long, this host in its turn gives up its
 read and asks without a wait (a probe), again and again, until the store
 answers it or a peer. Probes overlap: one that was swallowed does not keep the
@@ -17,7 +17,7 @@
 
 from apricotlanding import clocks
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import freshness, records, waits
+from apricotlandingd.gateway.replication import freshness, records, timing
 
 __all__ = ['StoreReader']
 
@@ -123,10 +123,10 @@
         await anyio.sleep(max(0.0, BATCH_PAUSE - passed))
 
     def _find_wait(self, readers: freshness.Readers) -> float:
-        limits = self._fresh.waits[self._topic]
+        limits = self._fresh.timing[self._topic]
         if self._had_records:
-            return waits.find_first_wait(limits, readers.place, readers.count)
-        return waits.find_read_wait(limits, readers.count)
+            return timing.find_first_wait(limits, readers.place, readers.count)
+        return timing.find_read_wait(limits, readers.count)
 
     async def _watch_due(self, scope: anyio.CancelScope) -> None:
         while True:
@@ -162,8 +162,8 @@
             self._on_return(clocks.read_monotonic())
 
     def _find_gap(self) -> float:
-        limits = self._fresh.waits[self._topic]
-        gap = waits.find_probe_gap(limits, self._fresh.count_near())
+        limits = self._fresh.timing[self._topic]
+        gap = timing.find_probe_gap(limits, self._fresh.count_near())
         return gap * self._spread.uniform(0.8, 1.2)
 
     async def _ask(self, scope: anyio.CancelScope) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/waits.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -92,17 +92,17 @@
     )
 
 
-def find_read_wait(waits: Waits, readers: int) -> float:
+def find_read_wait(timing: Waits, readers: int) -> float:
     """Return how long a read waits for records, in seconds.
 
     With few readers it is so short that their answers, evenly spread, still
     come in time.
     """
-    spacing = waits.answer_age_s * SPACING_PART
+    spacing = timing.answer_age_s * SPACING_PART
     return min(LONGEST_READ_WAIT, spacing * readers)
 
 
-def find_first_wait(waits: Waits, place: int, readers: int) -> float:
+def find_first_wait(timing: Waits, place: int, readers: int) -> float:
     """Return how long the first read after new records waits.
 
     A record ends the reads of all hosts at the same moment. If the next ones
@@ -110,15 +110,15 @@
     So each host starts with another part of the whole wait, by its place
     among the readers, and their reads end one after the other from then on.
     """
-    return find_read_wait(waits, readers) * (place + 1) / readers
+    return find_read_wait(timing, readers) * (place + 1) / readers
 
 
-def find_probe_gap(waits: Waits, hosts: int) -> float:
+def find_probe_gap(timing: Waits, hosts: int) -> float:
     """Return the time between two probes of one host of a group, in seconds.
 
     In an outage every host of the group asks: those that were read from by
     the others are no better off. More hosts ask more rarely, so that a store
     that comes back meets as many calls of few hosts as of many.
     """
-    gap = waits.turn_s * hosts
-    return max(waits.least_gap_s, min(waits.most_gap_s, gap))
+    gap = timing.turn_s * hosts
+    return max(timing.least_gap_s, min(timing.most_gap_s, gap))
--- a/tests/test_gateway_catchup.py
+++ b/tests/test_gateway_catchup.py
@@ -13,7 +13,7 @@
     catchup,
     recordexchange,
     records,
-    waits,
+    timing,
 )
 
 # Seconds in which a configuration must be in force, and what may pass until
@@ -97,6 +97,6 @@
         return catchup.CatchUp(
             recordexchange.RecordExchange(replica),
             list_ahead,
-            lambda: waits.derive_waits(BOUND_S).fetch_s,
+            lambda: timing.derive_waits(BOUND_S).fetch_s,
             random.Random(SEED),
         )
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -7,7 +7,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import freshness, records, waits
+from apricotlandingd.gateway.replication import freshness, records, timing
 
 # The bounds on changes that the settings may name, in seconds.
 BOUND_S = 2.0
@@ -60,9 +60,9 @@
         self.exchange_states()
         # A record has just ended all reads.
         for host in self.list_readers():
-            limits = host.fresh.waits[TOPIC]
+            limits = host.fresh.timing[TOPIC]
             found = self.find_readers(host)
-            wait = waits.find_first_wait(limits, found.place, found.count)
+            wait = timing.find_first_wait(limits, found.place, found.count)
             self.begin_read(host, wait)
 
     def list_readers(self) -> list[SimulatedHost]:
@@ -101,11 +101,11 @@
                 self.move(host)
 
     def move(self, host: SimulatedHost) -> None:
-        limits = host.fresh.waits[TOPIC]
+        limits = host.fresh.timing[TOPIC]
         readers = self.find_readers(host)
-        wait = waits.find_read_wait(limits, readers.count)
+        wait = timing.find_read_wait(limits, readers.count)
         if host.fresh.find_due(TOPIC, self.now, readers) <= self.now:
-            gap = waits.find_probe_gap(limits, host.fresh.count_near())
+            gap = timing.find_probe_gap(limits, host.fresh.count_near())
             if self.now < host.probed_at + gap:
                 return
             host.probed_at = self.now
