--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -72,7 +72,7 @@
         ``bounds`` are the seconds after which a change must be known.
         """
         self._replica = replica
-        self.timing: dict[dialect.Topic, timing.Waits] = {}
+        self.timing: dict[dialect.Topic, timing.Timing] = {}
         self.set_bounds(bounds)
         self._own: dict[dialect.Topic, float] = {}
         # Near peers were told of the newest answers.
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -10,7 +10,7 @@
 answered it, so a group knows how old its newest answer is. Reads of a group
 are spread so that one of them ends every moment (``find_first_wait``), and an
 answer that is missed shows soon on every host. When the newest answer is
-older than ``Waits.answer_age_s``, one host after the other asks the store
+older than ``Timing.answer_age_s``, one host after the other asks the store
 anew (``freshness``), and the others hear what is new from the host that got
 an answer.
 """
@@ -21,7 +21,7 @@
 __all__ = [
     'LONGEST_READ_WAIT',
     'STORE_REACHED',
-    'Waits',
+    'Timing',
     'derive_waits',
     'find_first_wait',
     'find_probe_gap',
@@ -63,7 +63,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waits:
+class Timing:
     """What follows from one bound; all in seconds."""
 
     # Age of the group's newest answer from which on it asks anew.
@@ -79,10 +79,10 @@
     most_gap_s: float
 
 
-def derive_waits(bound_s: float) -> Waits:
+def derive_waits(bound_s: float) -> Timing:
     """Return what keeps a bound on the time until a change is known."""
     bound_s = max(LEAST_BOUND, bound_s)
-    return Waits(
+    return Timing(
         answer_age_s=bound_s * ANSWER_AGE_PART,
         turn_s=bound_s * TURN_PART,
         hand_on_s=bound_s * HAND_ON_PART,
@@ -92,7 +92,7 @@
     )
 
 
-def find_read_wait(timing: Waits, readers: int) -> float:
+def find_read_wait(timing: Timing, readers: int) -> float:
     """Return how long a read waits for records, in seconds.
 
     With few readers it is so short that their answers, evenly spread, still
@@ -102,7 +102,7 @@
     return min(LONGEST_READ_WAIT, spacing * readers)
 
 
-def find_first_wait(timing: Waits, place: int, readers: int) -> float:
+def find_first_wait(timing: Timing, place: int, readers: int) -> float:
     """Return how long the first read after new records waits.
 
     A record ends the reads of all hosts at the same moment. If the next ones
@@ -113,7 +113,7 @@
     return find_read_wait(timing, readers) * (place + 1) / readers
 
 
-def find_probe_gap(timing: Waits, hosts: int) -> float:
+def find_probe_gap(timing: Timing, hosts: int) -> float:
     """Return the time between two probes of one host of a group, in seconds.
 
     In an outage every host of the group asks: those that were read from by
