--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -84,7 +84,7 @@
     def set_bounds(self, bounds: dict[dialect.Topic, float]) -> None:
         """Take the operators' bounds."""
         self.timing = {
-            topic: timing.derive_waits(bound)
+            topic: timing.derive_timing(bound)
             for topic, bound in bounds.items()
         }
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -22,7 +22,7 @@
     'LONGEST_READ_WAIT',
     'STORE_REACHED',
     'Timing',
-    'derive_waits',
+    'derive_timing',
     'find_first_wait',
     'find_probe_gap',
     'find_read_wait',
@@ -79,7 +79,7 @@
     most_gap_s: float
 
 
-def derive_waits(bound_s: float) -> Timing:
+def derive_timing(bound_s: float) -> Timing:
     """Return what keeps a bound on the time until a change is known."""
     bound_s = max(LEAST_BOUND, bound_s)
     return Timing(
