--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -125,7 +125,9 @@
     def _find_wait(self, readers: freshness.Readers) -> float:
         limits = self._fresh.timing[self._topic]
         if self._had_records:
-            return timing.find_first_wait(limits, readers.place, readers.count)
+            return timing.find_staggered_wait(
+                limits, readers.place, readers.count
+            )
         return timing.find_read_wait(limits, readers.count)
 
     async def _watch_due(self, scope: anyio.CancelScope) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -8,7 +8,7 @@
 
 Hosts share the work instead. Each tells its peers how long ago the store last
 answered it, so a group knows how old its newest answer is. Reads of a group
-are spread so that one of them ends every moment (``find_first_wait``), and an
+are spread so that one of them ends every moment (``find_staggered_wait``), and an
 answer that is missed shows soon on every host. When the newest answer is
 older than ``Timing.answer_age_s``, one host after the other asks the store
 anew (``freshness``), and the others hear what is new from the host that got
@@ -23,7 +23,7 @@
     'STORE_REACHED',
     'Timing',
     'derive_timing',
-    'find_first_wait',
+    'find_staggered_wait',
     'find_probe_gap',
     'find_read_wait',
 ]
@@ -102,7 +102,7 @@
     return min(LONGEST_READ_WAIT, spacing * readers)
 
 
-def find_first_wait(timing: Timing, place: int, readers: int) -> float:
+def find_staggered_wait(timing: Timing, place: int, readers: int) -> float:
     """Return how long the first read after new records waits.
 
     A record ends the reads of all hosts at the same moment. If the next ones
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -62,7 +62,7 @@
         for host in self.list_readers():
             limits = host.fresh.timing[TOPIC]
             found = self.find_readers(host)
-            wait = timing.find_first_wait(limits, found.place, found.count)
+            wait = timing.find_staggered_wait(limits, found.place, found.count)
             self.begin_read(host, wait)
 
     def list_readers(self) -> list[SimulatedHost]:
