--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -165,7 +165,7 @@
 
     def _find_gap(self) -> float:
         limits = self._fresh.timing[self._topic]
-        gap = timing.find_probe_gap(limits, self._fresh.count_near())
+        gap = timing.find_probe_interval(limits, self._fresh.count_near())
         return gap * self._spread.uniform(0.8, 1.2)
 
     async def _ask(self, scope: anyio.CancelScope) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -24,7 +24,7 @@
     'Timing',
     'derive_timing',
     'find_staggered_wait',
-    'find_probe_gap',
+    'find_probe_interval',
     'find_read_wait',
 ]
 
@@ -113,7 +113,7 @@
     return find_read_wait(timing, readers) * (place + 1) / readers
 
 
-def find_probe_gap(timing: Timing, hosts: int) -> float:
+def find_probe_interval(timing: Timing, hosts: int) -> float:
     """Return the time between two probes of one host of a group, in seconds.
 
     In an outage every host of the group asks: those that were read from by
