--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -19,7 +19,7 @@
 import typing as ty
 
 __all__ = [
-    'LONGEST_READ_WAIT',
+    'MAX_READ_WAIT_S',
     'STORE_REACHED',
     'Timing',
     'derive_timing',
@@ -30,11 +30,11 @@
 
 # Seconds that a read waits at the store at most. Answers of seven hosts are
 # then 0.7 s apart, and each host makes 0.4 calls a second for two topics.
-LONGEST_READ_WAIT = 5.0
+MAX_READ_WAIT_S = 5.0
 # Seconds after its last answer for which the store counts as reached by a
 # host: the longest wait, and a second each for the answer and for a host
 # that is slow.
-STORE_REACHED = LONGEST_READ_WAIT + 2.0
+STORE_REACHED = MAX_READ_WAIT_S + 2.0
 # Shortest bound, in seconds, that is taken as it is. Below it messages between
 # hosts are too slow to keep it, and hosts would ask the store without end.
 LEAST_BOUND = 0.4
@@ -99,7 +99,7 @@
     come in time.
     """
     spacing = timing.answer_age_s * SPACING_PART
-    return min(LONGEST_READ_WAIT, spacing * readers)
+    return min(MAX_READ_WAIT_S, spacing * readers)
 
 
 def find_staggered_wait(timing: Timing, place: int, readers: int) -> float:
