--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -20,7 +20,7 @@
 
 __all__ = [
     'MAX_READ_WAIT_S',
-    'STORE_REACHED',
+    'MAX_STORE_ANSWER_AGE_S',
     'Timing',
     'derive_timing',
     'find_staggered_wait',
@@ -34,7 +34,7 @@
 # Seconds after its last answer for which the store counts as reached by a
 # host: the longest wait, and a second each for the answer and for a host
 # that is slow.
-STORE_REACHED = MAX_READ_WAIT_S + 2.0
+MAX_STORE_ANSWER_AGE_S = MAX_READ_WAIT_S + 2.0
 # Shortest bound, in seconds, that is taken as it is. Below it messages between
 # hosts are too slow to keep it, and hosts would ask the store without end.
 LEAST_BOUND = 0.4
