--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -37,7 +37,7 @@
 MAX_STORE_ANSWER_AGE_S = MAX_READ_WAIT_S + 2.0
 # Shortest bound, in seconds, that is taken as it is. Below it messages between
 # hosts are too slow to keep it, and hosts would ask the store without end.
-LEAST_BOUND = 0.4
+MIN_BOUND_S = 0.4
 # Parts of a bound. Half of it may pass until the group knows that reads are
 # lost. Of the rest, a turn or two go to hosts that do not ask because they
 # have just died, one fetch to a peer that has, and a quarter is left for
@@ -81,7 +81,7 @@
 
 def derive_timing(bound_s: float) -> Timing:
     """Return what keeps a bound on the time until a change is known."""
-    bound_s = max(LEAST_BOUND, bound_s)
+    bound_s = max(MIN_BOUND_S, bound_s)
     return Timing(
         answer_age_s=bound_s * ANSWER_AGE_PART,
         turn_s=bound_s * TURN_PART,
