--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -176,7 +176,7 @@
         if newest is None:
             return now
         limits = self.timing[topic]
-        due = newest + limits.answer_age_s
+        due = newest + limits.max_answer_age_s
         if now < due:
             return due
         return due + self._count_before(topic, readers) * limits.turn_s
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -10,7 +10,7 @@
 answered it, so a group knows how old its newest answer is. Reads of a group
 are spread so that one of them ends every moment (``find_staggered_wait``), and an
 answer that is missed shows soon on every host. When the newest answer is
-older than ``Timing.answer_age_s``, one host after the other asks the store
+older than ``Timing.max_answer_age_s``, one host after the other asks the store
 anew (``freshness``), and the others hear what is new from the host that got
 an answer.
 """
@@ -56,7 +56,7 @@
 # two bounds hold for very few and very many hosts.
 LEAST_GAP_PART = 0.25
 MOST_GAP_PART = 0.5
-# Part of ``answer_age_s`` in which an answer is due while all is well, so
+# Part of ``max_answer_age_s`` in which an answer is due while all is well, so
 # that nobody asks for lack of one.
 SPACING_PART = 0.75
 
@@ -67,7 +67,7 @@
     """What follows from one bound; all in seconds."""
 
     # Age of the group's newest answer from which on it asks anew.
-    answer_age_s: float
+    max_answer_age_s: float
     # How much later each next host asks.
     turn_s: float
     # By how much an answer of another group must be newer to be urgent.
@@ -83,7 +83,7 @@
     """Return what keeps a bound on the time until a change is known."""
     bound_s = max(MIN_BOUND_S, bound_s)
     return Timing(
-        answer_age_s=bound_s * ANSWER_AGE_PART,
+        max_answer_age_s=bound_s * ANSWER_AGE_PART,
         turn_s=bound_s * TURN_PART,
         hand_on_s=bound_s * HAND_ON_PART,
         fetch_s=bound_s * FETCH_PART,
@@ -98,7 +98,7 @@
     With few readers it is so short that their answers, evenly spread, still
     come in time.
     """
-    spacing = timing.answer_age_s * SPACING_PART
+    spacing = timing.max_answer_age_s * SPACING_PART
     return min(MAX_READ_WAIT_S, spacing * readers)
 
 
