--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -179,7 +179,9 @@
         due = newest + limits.max_answer_age_s
         if now < due:
             return due
-        return due + self._count_before(topic, readers) * limits.turn_s
+        return (
+            due + self._count_before(topic, readers) * limits.probe_stagger_s
+        )
 
     def _find_told(
         self, topic: dialect.Topic, is_reader: bool
@@ -223,7 +225,7 @@
                 host < readers.own for host in self._near
             )
         own = self._own.get(topic, 0.0)
-        turn = self.timing[topic].turn_s
+        turn = self.timing[topic].probe_stagger_s
         count = 0
         for host in readers.others:
             answer = self._near.get(host, {}).get(topic)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -69,7 +69,7 @@
     # Age of the group's newest answer from which on it asks anew.
     max_answer_age_s: float
     # How much later each next host asks.
-    turn_s: float
+    probe_stagger_s: float
     # By how much an answer of another group must be newer to be urgent.
     hand_on_s: float
     # How long a peer may take to hand on what it knows.
@@ -84,7 +84,7 @@
     bound_s = max(MIN_BOUND_S, bound_s)
     return Timing(
         max_answer_age_s=bound_s * ANSWER_AGE_PART,
-        turn_s=bound_s * TURN_PART,
+        probe_stagger_s=bound_s * TURN_PART,
         hand_on_s=bound_s * HAND_ON_PART,
         fetch_s=bound_s * FETCH_PART,
         least_gap_s=bound_s * LEAST_GAP_PART,
@@ -120,5 +120,5 @@
     the others are no better off. More hosts ask more rarely, so that a store
     that comes back meets as many calls of few hosts as of many.
     """
-    gap = timing.turn_s * hosts
+    gap = timing.probe_stagger_s * hosts
     return max(timing.least_gap_s, min(timing.most_gap_s, gap))
