--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -128,7 +128,10 @@
                 continue
             self._far[topic] = answer
             limits = self.timing[topic]
-            if newest is None or answer.at - newest > limits.hand_on_s:
+            if (
+                newest is None
+                or answer.at - newest > limits.forward_threshold_s
+            ):
                 self._is_told = False
 
     def forget(self, host: ids.Host) -> None:
