--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -505,7 +505,9 @@
         ]
 
     def _find_fetch_time(self) -> float:
-        return min(item.fetch_s for item in self._freshness.timing.values())
+        return min(
+            item.fetch_timeout_s for item in self._freshness.timing.values()
+        )
 
     async def _join(self) -> None:
         config = self._settings
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -73,7 +73,7 @@
     # By how much an answer of another group must be newer to be urgent.
     forward_threshold_s: float
     # How long a peer may take to hand on what it knows.
-    fetch_s: float
+    fetch_timeout_s: float
     # Least and most time between two probes of one host.
     least_gap_s: float
     most_gap_s: float
@@ -86,7 +86,7 @@
         max_answer_age_s=bound_s * ANSWER_AGE_PART,
         probe_stagger_s=bound_s * TURN_PART,
         forward_threshold_s=bound_s * HAND_ON_PART,
-        fetch_s=bound_s * FETCH_PART,
+        fetch_timeout_s=bound_s * FETCH_PART,
         least_gap_s=bound_s * LEAST_GAP_PART,
         most_gap_s=bound_s * MOST_GAP_PART,
     )
--- a/tests/test_gateway_catchup.py
+++ b/tests/test_gateway_catchup.py
@@ -97,6 +97,6 @@
         return catchup.CatchUp(
             recordexchange.RecordExchange(replica),
             list_ahead,
-            lambda: timing.derive_timing(BOUND_S).fetch_s,
+            lambda: timing.derive_timing(BOUND_S).fetch_timeout_s,
             random.Random(SEED),
         )
