--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -76,7 +76,7 @@
     fetch_timeout_s: float
     # Least and most time between two probes of one host.
     min_probe_interval_s: float
-    most_gap_s: float
+    max_probe_interval_s: float
 
 
 def derive_timing(bound_s: float) -> Timing:
@@ -88,7 +88,7 @@
         forward_threshold_s=bound_s * HAND_ON_PART,
         fetch_timeout_s=bound_s * FETCH_PART,
         min_probe_interval_s=bound_s * LEAST_GAP_PART,
-        most_gap_s=bound_s * MOST_GAP_PART,
+        max_probe_interval_s=bound_s * MOST_GAP_PART,
     )
 
 
@@ -121,4 +121,6 @@
     that comes back meets as many calls of few hosts as of many.
     """
     gap = timing.probe_stagger_s * hosts
-    return max(timing.min_probe_interval_s, min(timing.most_gap_s, gap))
+    return max(
+        timing.min_probe_interval_s, min(timing.max_probe_interval_s, gap)
+    )
