--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -42,7 +42,7 @@
 # lost. Of the rest, a turn or two go to hosts that do not ask because they
 # have just died, one fetch to a peer that has, and a quarter is left for
 # hosts that are slow.
-ANSWER_AGE_PART = 0.5
+MAX_ANSWER_AGE_SHARE = 0.5
 # Time that a host leaves to the one whose turn to ask is before its own: an
 # answer takes milliseconds, and peers hear of it within 20 ms.
 TURN_PART = 0.05
@@ -83,7 +83,7 @@
     """Return what keeps a bound on the time until a change is known."""
     bound_s = max(MIN_BOUND_S, bound_s)
     return Timing(
-        max_answer_age_s=bound_s * ANSWER_AGE_PART,
+        max_answer_age_s=bound_s * MAX_ANSWER_AGE_SHARE,
         probe_stagger_s=bound_s * TURN_PART,
         forward_threshold_s=bound_s * HAND_ON_PART,
         fetch_timeout_s=bound_s * FETCH_PART,
