--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -45,7 +45,7 @@
 MAX_ANSWER_AGE_SHARE = 0.5
 # Time that a host leaves to the one whose turn to ask is before its own: an
 # answer takes milliseconds, and peers hear of it within 20 ms.
-TURN_PART = 0.05
+PROBE_STAGGER_SHARE = 0.05
 # An answer of another group is handed on at once if it is newer by this time
 # than all that is known here.
 HAND_ON_PART = 0.1
@@ -84,7 +84,7 @@
     bound_s = max(MIN_BOUND_S, bound_s)
     return Timing(
         max_answer_age_s=bound_s * MAX_ANSWER_AGE_SHARE,
-        probe_stagger_s=bound_s * TURN_PART,
+        probe_stagger_s=bound_s * PROBE_STAGGER_SHARE,
         forward_threshold_s=bound_s * HAND_ON_PART,
         fetch_timeout_s=bound_s * FETCH_PART,
         min_probe_interval_s=bound_s * LEAST_GAP_PART,
