--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -48,7 +48,7 @@
 PROBE_STAGGER_SHARE = 0.05
 # An answer of another group is handed on at once if it is newer by this time
 # than all that is known here.
-HAND_ON_PART = 0.1
+FORWARD_THRESHOLD_SHARE = 0.1
 # A peer that is ahead and does not answer is given up after this time, for
 # another one: it died or froze just after it spoke.
 FETCH_PART = 0.2
@@ -85,7 +85,7 @@
     return Timing(
         max_answer_age_s=bound_s * MAX_ANSWER_AGE_SHARE,
         probe_stagger_s=bound_s * PROBE_STAGGER_SHARE,
-        forward_threshold_s=bound_s * HAND_ON_PART,
+        forward_threshold_s=bound_s * FORWARD_THRESHOLD_SHARE,
         fetch_timeout_s=bound_s * FETCH_PART,
         min_probe_interval_s=bound_s * LEAST_GAP_PART,
         max_probe_interval_s=bound_s * MOST_GAP_PART,
