--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -51,7 +51,7 @@
 FORWARD_THRESHOLD_SHARE = 0.1
 # A peer that is ahead and does not answer is given up after this time, for
 # another one: it died or froze just after it spoke.
-FETCH_PART = 0.2
+FETCH_TIMEOUT_SHARE = 0.2
 # Time between two probes of one host: each host of a group adds a turn, and
 # two bounds hold for very few and very many hosts.
 LEAST_GAP_PART = 0.25
@@ -86,7 +86,7 @@
         max_answer_age_s=bound_s * MAX_ANSWER_AGE_SHARE,
         probe_stagger_s=bound_s * PROBE_STAGGER_SHARE,
         forward_threshold_s=bound_s * FORWARD_THRESHOLD_SHARE,
-        fetch_timeout_s=bound_s * FETCH_PART,
+        fetch_timeout_s=bound_s * FETCH_TIMEOUT_SHARE,
         min_probe_interval_s=bound_s * LEAST_GAP_PART,
         max_probe_interval_s=bound_s * MOST_GAP_PART,
     )
