--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -54,7 +54,7 @@
 FETCH_TIMEOUT_SHARE = 0.2
 # Time between two probes of one host: each host of a group adds a turn, and
 # two bounds hold for very few and very many hosts.
-LEAST_GAP_PART = 0.25
+MIN_PROBE_INTERVAL_SHARE = 0.25
 MOST_GAP_PART = 0.5
 # Part of ``max_answer_age_s`` in which an answer is due while all is well, so
 # that nobody asks for lack of one.
@@ -87,7 +87,7 @@
         probe_stagger_s=bound_s * PROBE_STAGGER_SHARE,
         forward_threshold_s=bound_s * FORWARD_THRESHOLD_SHARE,
         fetch_timeout_s=bound_s * FETCH_TIMEOUT_SHARE,
-        min_probe_interval_s=bound_s * LEAST_GAP_PART,
+        min_probe_interval_s=bound_s * MIN_PROBE_INTERVAL_SHARE,
         max_probe_interval_s=bound_s * MOST_GAP_PART,
     )
 
