--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -55,7 +55,7 @@
 # Time between two probes of one host: each host of a group adds a turn, and
 # two bounds hold for very few and very many hosts.
 MIN_PROBE_INTERVAL_SHARE = 0.25
-MOST_GAP_PART = 0.5
+MAX_PROBE_INTERVAL_SHARE = 0.5
 # Part of ``max_answer_age_s`` in which an answer is due while all is well, so
 # that nobody asks for lack of one.
 SPACING_PART = 0.75
@@ -88,7 +88,7 @@
         forward_threshold_s=bound_s * FORWARD_THRESHOLD_SHARE,
         fetch_timeout_s=bound_s * FETCH_TIMEOUT_SHARE,
         min_probe_interval_s=bound_s * MIN_PROBE_INTERVAL_SHARE,
-        max_probe_interval_s=bound_s * MOST_GAP_PART,
+        max_probe_interval_s=bound_s * MAX_PROBE_INTERVAL_SHARE,
     )
 
 
