--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -58,7 +58,7 @@
 MAX_PROBE_INTERVAL_SHARE = 0.5
 # Part of ``max_answer_age_s`` in which an answer is due while all is well, so
 # that nobody asks for lack of one.
-SPACING_PART = 0.75
+ANSWER_SPACING_SHARE = 0.75
 
 
 @ty.final
@@ -98,7 +98,7 @@
     With few readers it is so short that their answers, evenly spread, still
     come in time.
     """
-    spacing = timing.max_answer_age_s * SPACING_PART
+    spacing = timing.max_answer_age_s * ANSWER_SPACING_SHARE
     return min(MAX_READ_WAIT_S, spacing * readers)
 
 
