--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -559,7 +559,7 @@
                 now,
             )
         else:
-            self._freshness.hear_far(
+            self._freshness.update_far(
                 state.host, state.answer_ages, state.positions, now
             )
         if records.is_ahead(state.positions, self._replica.positions):
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -109,7 +109,7 @@
             return
         self._near[host] = _make_answers(ages_ms, positions, is_own, now)
 
-    def hear_far(
+    def update_far(
         self,
         host: ids.Host,
         ages_ms: list[int],
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -164,7 +164,7 @@
             ages = host.fresh.list_group_ages(self.now)
             positions = records.list_positions(host.replica.positions)
             other = self.spread.choice(far)
-            other.fresh.hear_far(host.name, ages, positions, self.now)
+            other.fresh.update_far(host.name, ages, positions, self.now)
 
 
 class TestGroup(testtools.TestCase):
@@ -260,13 +260,13 @@
         # Handed on in circles, an answer would stay young for ever, and lost
         # reads would never be noticed.
         _, fresh = self.make_fresh()
-        fresh.hear_far(ids.Host('host-b'), [100, 100], [0, 0], 5.0)
+        fresh.update_far(ids.Host('host-b'), [100, 100], [0, 0], 5.0)
         self.assertEqual(4.9 + BOUND_S / 2, self.find_due(fresh, 5.0))
         self.assertEqual(5000, fresh.list_group_ages(5.0)[0])
 
     def test_host_that_does_not_read_hands_on_to_its_group_only(self) -> None:
         _, fresh = self.make_fresh()
-        fresh.hear_far(ids.Host('host-b'), [100, 100], [0, 0], 5.0)
+        fresh.update_far(ids.Host('host-b'), [100, 100], [0, 0], 5.0)
         ages = fresh.list_near_ages(5.0, False, True)
         self.assertEqual(100, ages[0])
         _, near = self.make_fresh()
