--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -88,7 +88,7 @@
             for topic, bound in bounds.items()
         }
 
-    def note_answer(self, topic: dialect.Topic, at: float) -> None:
+    def record_answer(self, topic: dialect.Topic, at: float) -> None:
         """Take an answer of the store to this host."""
         self._own[topic] = max(at, self._own.get(topic, at))
         self._is_told = False
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -200,7 +200,7 @@
         if not self._had_records:
             # The answer may have been under way for a while.
             answered_at = min(answered_at, begun_at + wait_s)
-        self._fresh.note_answer(self._topic, answered_at)
+        self._fresh.record_answer(self._topic, answered_at)
 
     async def _read_whole(self) -> None:
         begun_at = clocks.read_monotonic()
@@ -211,7 +211,7 @@
         # asked for all of it ten times a second made nearly a third of a
         # quiet day's calls.
         self._is_empty = batch.next_offset == 0
-        self._fresh.note_answer(self._topic, begun_at)
+        self._fresh.record_answer(self._topic, begun_at)
 
     # Outages.
 
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -56,7 +56,7 @@
             for place in range(count)
         ]
         for host in self.list_readers():
-            host.fresh.note_answer(TOPIC, 0.0)
+            host.fresh.record_answer(TOPIC, 0.0)
         self.exchange_states()
         # A record has just ended all reads.
         for host in self.list_readers():
@@ -124,7 +124,7 @@
         self.begin_read(host, wait)
 
     def take_answer(self, host: SimulatedHost) -> None:
-        host.fresh.note_answer(TOPIC, self.now)
+        host.fresh.record_answer(TOPIC, self.now)
         self.answers.append(self.now)
         # An answer is told at once.
         self.tell_near(host)
@@ -234,7 +234,7 @@
         fresh = freshness.Freshness(
             replica, dict.fromkeys(records.TOPICS, BOUND_S)
         )
-        fresh.note_answer(TOPIC, 0.0)
+        fresh.record_answer(TOPIC, 0.0)
         return replica, fresh
 
     def find_due(self, fresh: freshness.Freshness, now: float) -> float:
