--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -563,7 +563,7 @@
                 state.host, state.answer_ages, state.positions, now
             )
         if records.is_ahead(state.positions, self._replica.positions):
-            self._catch_up.note_ahead()
+            self._catch_up.notify_ahead()
         if now - self._pumped_at >= PEER_PUMP_INTERVAL:
             self._pump(now)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
@@ -45,7 +45,7 @@
         # Peers that did not answer since one did.
         self._failed: set[addresses.Address] = set()
 
-    def note_ahead(self) -> None:
+    def notify_ahead(self) -> None:
         """Say that a peer is ahead."""
         self._is_ahead.set()
 
--- a/tests/test_gateway_catchup.py
+++ b/tests/test_gateway_catchup.py
@@ -76,7 +76,7 @@
                 group.start_soon(found.run)
                 started_at = anyio.current_time()
                 arrived = lacking.changed
-                found.note_ahead()
+                found.notify_ahead()
                 # Peers tell their positions four times a second.
                 group.start_soon(self.tell_again, found)
                 await arrived.wait()
@@ -87,7 +87,7 @@
     async def tell_again(self, found: catchup.CatchUp) -> None:
         while True:
             await anyio.sleep(0.25)
-            found.note_ahead()
+            found.notify_ahead()
 
     def make_catch_up(
         self,
