--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -138,7 +138,7 @@
         """Drop what a peer told."""
         self._near.pop(host, None)
 
-    def count_near(self) -> int:
+    def count_group_hosts(self) -> int:
         """Return how many hosts are in the group, this one included."""
         return 1 + len(self._near)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -165,7 +165,9 @@
 
     def _find_gap(self) -> float:
         limits = self._fresh.timing[self._topic]
-        gap = timing.find_probe_interval(limits, self._fresh.count_near())
+        gap = timing.find_probe_interval(
+            limits, self._fresh.count_group_hosts()
+        )
         return gap * self._spread.uniform(0.8, 1.2)
 
     async def _ask(self, scope: anyio.CancelScope) -> None:
