--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -23,7 +23,7 @@
 __all__ = ['Freshness', 'Readers']
 
 # Largest age in a message, in seconds. Older answers say nothing.
-LONGEST_AGE = 60.0
+MAX_REPORTED_AGE_S = 60.0
 MS = 1000
 
 
@@ -261,5 +261,7 @@
 
 def _round_age(at: float | None, now: float) -> int:
     # Whole milliseconds take three bytes in a message, seconds nine.
-    age = LONGEST_AGE if at is None else min(LONGEST_AGE, now - at)
+    age = (
+        MAX_REPORTED_AGE_S if at is None else min(MAX_REPORTED_AGE_S, now - at)
+    )
     return max(0, round(age * MS))
