--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -24,7 +24,7 @@
 
 # Largest age in a message, in seconds. Older answers say nothing.
 MAX_REPORTED_AGE_S = 60.0
-MS = 1000
+MS_PER_S = 1000
 
 
 @ty.final
@@ -252,7 +252,7 @@
     # An answer from the future would count for as long as it lies ahead, and
     # lost reads would not be noticed until then.
     return {
-        topic: _Answer(now - max(0, age_ms) / MS, position, is_of_group)
+        topic: _Answer(now - max(0, age_ms) / MS_PER_S, position, is_of_group)
         for topic, age_ms, position in zip(
             records.TOPICS, ages_ms, positions, strict=False
         )
@@ -264,4 +264,4 @@
     age = (
         MAX_REPORTED_AGE_S if at is None else min(MAX_REPORTED_AGE_S, now - at)
     )
-    return max(0, round(age * MS))
+    return max(0, round(age * MS_PER_S))
