--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -492,8 +492,8 @@
 
     def _reads_store(self, now: float) -> bool:
         return all(
-            reader.heard_at is not None
-            and now - reader.heard_at < timing.MAX_STORE_ANSWER_AGE_S
+            reader.last_answer_at is not None
+            and now - reader.last_answer_at < timing.MAX_STORE_ANSWER_AGE_S
             for reader in self._readers
         )
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -70,7 +70,7 @@
         self._probing = probing
         self._spread = spread
         # When the store answered last; None before the first answer.
-        self.heard_at: float | None = None
+        self.last_answer_at: float | None = None
         self._is_lost = False
         # A probe failed: the store serves no host of the group.
         self._is_out = False
@@ -227,7 +227,7 @@
         )
 
     def _note_heard(self, now: float) -> None:
-        self.heard_at = now
+        self.last_answer_at = now
         self._on_answer()
         self._retry_s = FIRST_RETRY
         if not self._is_lost:
