--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -218,7 +218,7 @@
                 self._health,
                 self._spread,
                 lambda: self._is_stopping,
-                lambda: records.has_all(self._replica.positions),
+                lambda: records.has_all_topics(self._replica.positions),
                 self._scheduler.find_hold,
             ),
             self._directory,
@@ -332,7 +332,7 @@
         if not self.knows_hosts():
             # It hands out nothing of any allowance yet.
             return False
-        return records.has_all(self._replica.positions)
+        return records.has_all_topics(self._replica.positions)
 
     def knows_hosts(self) -> bool:
         """Tell whether this host knows how many others there are."""
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
@@ -22,7 +22,7 @@
     'TOPICS',
     'Replica',
     'Positions',
-    'has_all',
+    'has_all_topics',
     'is_ahead',
     'list_positions',
 ]
@@ -142,6 +142,6 @@
     )
 
 
-def has_all(own: Positions) -> bool:
+def has_all_topics(own: Positions) -> bool:
     """Tell whether every topic is known."""
     return all(own[topic] > 0 for topic in TOPICS)
