--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
@@ -69,7 +69,7 @@
         # Failures in a row make the time longer: a page of records may be
         # large, and the links slow.
         timeout = self._find_timeout() * 2 ** min(len(self._failed), 4)
-        timeout = min(recordexchange.TIMEOUT, timeout)
+        timeout = min(recordexchange.EXCHANGE_TIMEOUT_S, timeout)
         if await self._exchange.fetch(peer, timeout):
             self._failed.clear()
             return
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -21,11 +21,11 @@
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.replication import records
 
-__all__ = ['TIMEOUT', 'RecordExchange']
+__all__ = ['EXCHANGE_TIMEOUT_S', 'RecordExchange']
 
 # Longest time for a question and its reply, in seconds; a configuration of
 # several hundred routes is some 100 KB.
-TIMEOUT = 1.5
+EXCHANGE_TIMEOUT_S = 1.5
 # Largest frame between hosts of one system, in bytes.
 FRAME_LIMIT = 4 * 1024 * 1024
 
@@ -47,7 +47,7 @@
         """Answer one peer's question."""
         link = frames.FrameStream(stream)
         try:
-            with anyio.fail_after(TIMEOUT):
+            with anyio.fail_after(EXCHANGE_TIMEOUT_S):
                 query = _check_query(
                     messages.registry.unpack(await link.receive())
                 )
