--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -27,7 +27,7 @@
 # several hundred routes is some 100 KB.
 EXCHANGE_TIMEOUT_S = 1.5
 # Largest frame between hosts of one system, in bytes.
-FRAME_LIMIT = 4 * 1024 * 1024
+FRAME_LIMIT_BYTES = 4 * 1024 * 1024
 
 
 @ty.final
@@ -87,7 +87,7 @@
                 stream.extra(anyio.abc.SocketAttribute.raw_socket)
             )
             link = frames.FrameStream(stream)
-            link.limit = FRAME_LIMIT
+            link.limit = FRAME_LIMIT_BYTES
             query = messages.RecordQuery(
                 records.list_positions(self._replica.positions)
             )
