--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
@@ -18,7 +18,7 @@
 __all__ = ['CatchUp']
 
 # Seconds that a peer's news may take by the store itself before it is asked.
-PATIENCE = 0.05
+PEER_FETCH_DELAY_S = 0.05
 
 
 @ty.final
@@ -53,7 +53,7 @@
         """Catch up for as long as the daemon runs."""
         while True:
             await self._is_ahead.wait()
-            await anyio.sleep(PATIENCE)
+            await anyio.sleep(PEER_FETCH_DELAY_S)
             self._is_ahead = anyio.Event()
             ahead = self._list_ahead()
             if not ahead:
