--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
@@ -32,7 +32,7 @@
 TOPICS: ty.Final = (dialect.CONFIG, dialect.RUNNERS)
 # Removed keys whose offsets are remembered, so that a peer that is behind
 # cannot bring them back.
-REMOVED_KEYS = 2000
+MAX_REMOVED_KEYS = 2000
 
 Observer = collections.abc.Callable[[dialect.Topic, dialect.Record], None]
 CorruptRecordObserver = collections.abc.Callable[
@@ -122,10 +122,10 @@
             for record in self._records[topic].values()
             if record.value is None
         ]
-        if len(removed) <= REMOVED_KEYS:
+        if len(removed) <= MAX_REMOVED_KEYS:
             return
         removed.sort(key=lambda record: record.offset)
-        for record in removed[: REMOVED_KEYS // 2]:
+        for record in removed[: MAX_REMOVED_KEYS // 2]:
             del self._records[topic][record.key]
 
 
