--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/foreigninput.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/foreigninput.py
@@ -10,7 +10,7 @@
 import eliot
 
 from apricotlandingd.gateway.decisions import noticelimit
-from apricotlandingd.gateway.process import measures
+from apricotlandingd.gateway.process import telemetry
 
 __all__ = ['ForeignInput', 'Source']
 
@@ -43,7 +43,7 @@
 class ForeignInput:
     """What one process could not use since its start."""
 
-    def __init__(self, found: measures.Measures) -> None:
+    def __init__(self, found: telemetry.Measures) -> None:
         """Count into these measures."""
         self._measures = found
         self._limit = noticelimit.NoticeLimit()
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -54,9 +54,9 @@
 from apricotlandingd.gateway.process import (
     foreigninput,
     hoststates,
-    measures,
     settings,
     stalls,
+    telemetry,
 )
 from apricotlandingd.gateway.replication import (
     catchup,
@@ -129,7 +129,7 @@
         self.incarnation = ids.make_incarnation(
             config.host, str(config.peers), clocks.read_monotonic()
         )
-        self._measures = measures.Measures()
+        self._measures = telemetry.Measures()
         self._foreign = foreigninput.ForeignInput(self._measures)
         self._build_sharing()
         self._build_requests()
@@ -266,7 +266,7 @@
             dispatcher=self._dispatcher,
             directory=self._directory,
             paces=self._paces,
-            measures=self._measures,
+            telemetry=self._measures,
             find_catalogue=lambda: self._catalogue,
             find_client=self._clients.find,
             count_hosts=self._mesh.count_hosts,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -23,21 +23,18 @@
 import anyio
 import eliot
 
-from apricotlanding import asgi
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import taskgroups
-from apricotlanding import webclient
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import asgi, clocks, errors, ids, taskgroups, webclient
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.requests import admission
-from apricotlandingd.gateway.requests import parts
-from apricotlandingd.gateway.requests import replies
-from apricotlandingd.gateway.requests import runnerclient
-from apricotlandingd.gateway.requests import silence
-from apricotlandingd.gateway.requests import streams
-from apricotlandingd.gateway.requests import tickets
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.requests import (
+    admission,
+    parts,
+    replies,
+    runnerclient,
+    silence,
+    streams,
+    tickets,
+)
 from apricotlandingd.gateway.runners import observations
 
 __all__ = ['Exchange']
@@ -334,7 +331,7 @@
             self._note(entry, observations.Kind.FAILURE)
         else:
             self._note(entry, observations.Kind.UNREACHABLE)
-        self._parts.measures.count('runner_failures_total')
+        self._parts.telemetry.count('runner_failures_total')
         eliot.log_message(
             'gateway:runner_failed',
             attempt=self._asked.head.attempt,
@@ -578,10 +575,10 @@
         if self._runner is not None:
             runner = ids.find_runner(self._runner)
         kind = self._reply.outcome.partition(' ')[0]
-        self._parts.measures.count('requests_total', outcome=kind)
-        self._parts.measures.time('request_seconds', took, outcome=kind)
+        self._parts.telemetry.count('requests_total', outcome=kind)
+        self._parts.telemetry.time('request_seconds', took, outcome=kind)
         if first is not None:
-            self._parts.measures.time('first_event_seconds', first)
+            self._parts.telemetry.time('first_event_seconds', first)
         eliot.log_message(
             'gateway:request',
             attempt=head.attempt,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
@@ -10,11 +10,9 @@
 
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import asgi
-from apricotlandingd.gateway.process import measures
-from apricotlandingd.gateway.requests import exchange
-from apricotlandingd.gateway.requests import parts
+from apricotlanding import addresses, asgi
+from apricotlandingd.gateway.process import telemetry
+from apricotlandingd.gateway.requests import exchange, parts
 
 __all__ = ['Listener']
 
@@ -29,7 +27,7 @@
         readiness: addresses.Address,
         metrics: addresses.Address,
         is_ready: collections.abc.Callable[[], bool],
-        found: measures.Measures,
+        found: telemetry.Measures,
     ) -> None:
         """Serve callers on every address that is not one of these two."""
         self._parts = shared
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -7,13 +7,11 @@
 import eliot
 import testtools
 
+import gatewayparts
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import noticelimit
-from apricotlandingd.gateway.process import foreigninput
-from apricotlandingd.gateway.process import journal
-from apricotlandingd.gateway.process import measures
+from apricotlandingd.gateway.process import foreigninput, journal, telemetry
 from apricotlandingd.gateway.runners import directory
-import gatewayparts
 
 
 class TestDirectory(testtools.TestCase):
@@ -117,7 +115,7 @@
     """Counter and log."""
 
     def test_counted_always_and_logged_once(self) -> None:
-        found = measures.Measures()
+        found = telemetry.Measures()
         foreign = foreigninput.ForeignInput(found)
         messages: list[dict[str, ty.Any]] = []
         eliot.add_destinations(messages.append)
