--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/foreigninput.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/foreigninput.py
@@ -45,14 +45,14 @@
 
     def __init__(self, found: telemetry.Measures) -> None:
         """Count into these measures."""
-        self._measures = found
+        self._telemetry = found
         self._limit = noticelimit.NoticeLimit()
 
     def report(
         self, source: Source, key: str, detail: str, now: float
     ) -> None:
         """Count one input, and log it unless its key was logged lately."""
-        self._measures.count('unreadable_total', source=source.value)
+        self._telemetry.count('unreadable_total', source=source.value)
         held = self._limit.admit(f'{source.value} {key}', now)
         if held is None:
             return
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -129,8 +129,8 @@
         self.incarnation = ids.make_incarnation(
             config.host, str(config.peers), clocks.read_monotonic()
         )
-        self._measures = telemetry.Measures()
-        self._foreign = foreigninput.ForeignInput(self._measures)
+        self._telemetry = telemetry.Measures()
+        self._foreign = foreigninput.ForeignInput(self._telemetry)
         self._build_sharing()
         self._build_requests()
 
@@ -266,7 +266,7 @@
             dispatcher=self._dispatcher,
             directory=self._directory,
             paces=self._paces,
-            telemetry=self._measures,
+            telemetry=self._telemetry,
             find_catalogue=lambda: self._catalogue,
             find_client=self._clients.find,
             count_hosts=self._mesh.count_hosts,
@@ -282,7 +282,7 @@
             config.readiness,
             config.metrics,
             self.is_ready,
-            self._measures,
+            self._telemetry,
         )
         self._server = asgi.Server(
             self._listener,
@@ -290,7 +290,7 @@
             config.readiness,
             config.metrics,
         )
-        self._measures.gauges = {
+        self._telemetry.gauges = {
             'open_requests': lambda: self._listener.open_requests,
             'peers_known': lambda: len(self._mesh.peers),
             'runner_connects_total': self._clients.count_connects,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
@@ -34,7 +34,7 @@
         self._readiness_port = readiness.port
         self._metrics_port = metrics.port
         self._is_ready = is_ready
-        self._measures = found
+        self._telemetry = found
         # The server reports each answer that we cut on purpose as an error.
         logging.getLogger('uvicorn.error').setLevel(logging.CRITICAL)
         # Requests of callers that are not answered yet.
@@ -50,7 +50,7 @@
             await _send_text(send, status, '')
             return
         if port == self._metrics_port:
-            await _send_text(send, 200, self._measures.render())
+            await _send_text(send, 200, self._telemetry.render())
             return
         found = exchange.Exchange(self._parts, scope, receive, send)
         self._open.add(found)
