--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/foreigninput.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/foreigninput.py
@@ -43,7 +43,7 @@
 class ForeignInput:
     """What one process could not use since its start."""
 
-    def __init__(self, found: telemetry.Measures) -> None:
+    def __init__(self, found: telemetry.MetricRegistry) -> None:
         """Count into these measures."""
         self._telemetry = found
         self._limit = noticelimit.NoticeLimit()
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -129,7 +129,7 @@
         self.incarnation = ids.make_incarnation(
             config.host, str(config.peers), clocks.read_monotonic()
         )
-        self._telemetry = telemetry.Measures()
+        self._telemetry = telemetry.MetricRegistry()
         self._foreign = foreigninput.ForeignInput(self._telemetry)
         self._build_sharing()
         self._build_requests()
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/telemetry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/telemetry.py
@@ -8,7 +8,7 @@
 import collections
 import typing as ty
 
-__all__ = ['Measures']
+__all__ = ['MetricRegistry']
 
 # Upper bounds in seconds. They lie close together where the objectives of
 # callers do, between 0.2 and 1 s.
@@ -17,7 +17,7 @@
 
 
 @ty.final
-class Measures:
+class MetricRegistry:
     """What one process has counted since its start."""
 
     def __init__(self) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
@@ -27,7 +27,7 @@
         readiness: addresses.Address,
         metrics: addresses.Address,
         is_ready: collections.abc.Callable[[], bool],
-        found: telemetry.Measures,
+        found: telemetry.MetricRegistry,
     ) -> None:
         """Serve callers on every address that is not one of these two."""
         self._parts = shared
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
@@ -33,7 +33,7 @@
     dispatcher: dispatch.Dispatcher
     directory: directory.Directory
     paces: pace.Paces
-    telemetry: telemetry.Measures
+    telemetry: telemetry.MetricRegistry
     find_catalogue: collections.abc.Callable[[], catalogue.Catalogue | None]
     find_client: collections.abc.Callable[
         [dialect.RunnerEntry], runnerclient.RunnerClient
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -115,7 +115,7 @@
     """Counter and log."""
 
     def test_counted_always_and_logged_once(self) -> None:
-        found = telemetry.Measures()
+        found = telemetry.MetricRegistry()
         foreign = foreigninput.ForeignInput(found)
         messages: list[dict[str, ty.Any]] = []
         eliot.add_destinations(messages.append)
