--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/__init__.py
@@ -1,6 +1,6 @@
 """The life of one process: its settings, its parts, its log and its end.
 
 ``gateway`` builds and ties all parts and runs them under a supervisor;
-``settings``, ``journal`` (log), ``telemetry`` (metrics), ``stalls`` and
+``settings``, ``logwriter`` (log), ``telemetry`` (metrics), ``stalls`` and
 ``foreigninput`` (what could not be read) serve them.
 """
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/journal.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
@@ -108,11 +108,11 @@
 @contextlib.contextmanager
 def open_journal(**fields: str) -> collections.abc.Iterator[None]:
     """Write log lines to standard output while the context lasts."""
-    journal = Journal(sys.stdout, fields)
-    journal.start()
-    eliot.add_destinations(journal)
+    logwriter = Journal(sys.stdout, fields)
+    logwriter.start()
+    eliot.add_destinations(logwriter)
     try:
         yield
     finally:
-        eliot.remove_destination(journal)
-        journal.stop()
+        eliot.remove_destination(logwriter)
+        logwriter.stop()
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -10,7 +10,7 @@
 import gatewayparts
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import noticelimit
-from apricotlandingd.gateway.process import foreigninput, journal, telemetry
+from apricotlandingd.gateway.process import foreigninput, logwriter, telemetry
 from apricotlandingd.gateway.runners import directory
 
 
@@ -51,7 +51,7 @@
         # send ids and paths of 60 KB, each of which stands in a line that
         # waits to be written, two thousand of them at most.
         stream = io.StringIO()
-        lines = journal.Journal(stream, {'host': 'host-1'})
+        lines = logwriter.Journal(stream, {'host': 'host-1'})
         lines.start()
         long = 'x' * 60_000
         for number in range(500):
