--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
@@ -17,7 +17,7 @@
 
 import eliot
 
-__all__ = ['Journal', 'open_journal']
+__all__ = ['LogWriter', 'open_journal']
 
 # Lines that wait to be written.
 QUEUE_LINES = 2000
@@ -34,7 +34,7 @@
 
 
 @ty.final
-class Journal:
+class LogWriter:
     """An eliot destination that does not block."""
 
     def __init__(self, stream: ty.TextIO, fields: dict[str, str]) -> None:
@@ -108,7 +108,7 @@
 @contextlib.contextmanager
 def open_journal(**fields: str) -> collections.abc.Iterator[None]:
     """Write log lines to standard output while the context lasts."""
-    logwriter = Journal(sys.stdout, fields)
+    logwriter = LogWriter(sys.stdout, fields)
     logwriter.start()
     eliot.add_destinations(logwriter)
     try:
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -51,7 +51,7 @@
         # send ids and paths of 60 KB, each of which stands in a line that
         # waits to be written, two thousand of them at most.
         stream = io.StringIO()
-        lines = logwriter.Journal(stream, {'host': 'host-1'})
+        lines = logwriter.LogWriter(stream, {'host': 'host-1'})
         lines.start()
         long = 'x' * 60_000
         for number in range(500):
