--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
@@ -17,7 +17,7 @@
 
 import eliot
 
-__all__ = ['LogWriter', 'open_journal']
+__all__ = ['LogWriter', 'open_log']
 
 # Lines that wait to be written.
 QUEUE_LINES = 2000
@@ -106,7 +106,7 @@
 
 
 @contextlib.contextmanager
-def open_journal(**fields: str) -> collections.abc.Iterator[None]:
+def open_log(**fields: str) -> collections.abc.Iterator[None]:
     """Write log lines to standard output while the context lasts."""
     logwriter = LogWriter(sys.stdout, fields)
     logwriter.start()
