--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/__init__.py
@@ -2,5 +2,5 @@
 
 ``gateway`` builds and ties all parts and runs them under a supervisor;
 ``settings``, ``logwriter`` (log), ``telemetry`` (metrics), ``stalls`` and
-``foreigninput`` (what could not be read) serve them.
+``inputerrors`` (what could not be read) serve them.
 """
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -52,8 +52,8 @@
     sharedallowances,
 )
 from apricotlandingd.gateway.process import (
-    foreigninput,
     hoststates,
+    inputerrors,
     settings,
     stalls,
     telemetry,
@@ -130,7 +130,7 @@
             config.host, str(config.peers), clocks.read_monotonic()
         )
         self._telemetry = telemetry.MetricRegistry()
-        self._foreign = foreigninput.ForeignInput(self._telemetry)
+        self._foreign = inputerrors.ForeignInput(self._telemetry)
         self._build_sharing()
         self._build_requests()
 
@@ -167,7 +167,7 @@
             self._spread,
         )
         self._exchange.on_unreadable = functools.partial(
-            self._foreign.report, foreigninput.Source.PEER
+            self._foreign.report, inputerrors.Source.PEER
         )
         state_port = config.state.port
         self._mesh = mesh.Mesh(
@@ -182,7 +182,7 @@
         self._mesh.on_state = self._take_state
         self._mesh.on_dropped = self._forget_peer
         self._mesh.on_unreadable = functools.partial(
-            self._foreign.report, foreigninput.Source.DATAGRAM
+            self._foreign.report, inputerrors.Source.DATAGRAM
         )
 
     def _build_requests(self) -> None:
@@ -273,7 +273,7 @@
             is_stopping=lambda: self._is_stopping,
             on_change=self._tell_change,
             on_garbled=functools.partial(
-                self._foreign.report, foreigninput.Source.ANSWER
+                self._foreign.report, inputerrors.Source.ANSWER
             ),
             habits=habits.Habits(),
         )
@@ -390,7 +390,7 @@
             else f' (offset {corrupt_record.offset})'
         )
         self._foreign.report(
-            foreigninput.Source.RECORD,
+            inputerrors.Source.RECORD,
             topic,
             f'{corrupt_record.detail}{place}',
             clocks.read_monotonic(),
@@ -405,7 +405,7 @@
             # The version before stays in force: callers lose less by it than
             # by none at all.
             self._foreign.report(
-                foreigninput.Source.CONFIGURATION, record.key, str(error), now
+                inputerrors.Source.CONFIGURATION, record.key, str(error), now
             )
             return
         known = self._catalogue
@@ -445,7 +445,7 @@
         # use. Going on with the one before would send callers to a process
         # that has been replaced, or has taken its word back.
         self._foreign.report(
-            foreigninput.Source.REGISTRATION, runner, detail, now
+            inputerrors.Source.REGISTRATION, runner, detail, now
         )
         if self._directory.retract(runner, now):
             self._log_runner(runner, 'unreadable')
@@ -528,7 +528,7 @@
         for host, address in hosts.items():
             if isinstance(address, dialect.Unreadable):
                 self._foreign.report(
-                    foreigninput.Source.HOST_RECORD,
+                    inputerrors.Source.HOST_RECORD,
                     host,
                     str(address),
                     clocks.read_monotonic(),
@@ -639,7 +639,7 @@
             # Half a file, or one that is not for us: the settings in force
             # stay.
             self._foreign.report(
-                foreigninput.Source.SETTINGS,
+                inputerrors.Source.SETTINGS,
                 'reload',
                 str(error),
                 clocks.read_monotonic(),
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -10,7 +10,7 @@
 import gatewayparts
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import noticelimit
-from apricotlandingd.gateway.process import foreigninput, logwriter, telemetry
+from apricotlandingd.gateway.process import inputerrors, logwriter, telemetry
 from apricotlandingd.gateway.runners import directory
 
 
@@ -116,13 +116,13 @@
 
     def test_counted_always_and_logged_once(self) -> None:
         found = telemetry.MetricRegistry()
-        foreign = foreigninput.ForeignInput(found)
+        foreign = inputerrors.ForeignInput(found)
         messages: list[dict[str, ty.Any]] = []
         eliot.add_destinations(messages.append)
         self.addCleanup(eliot.remove_destination, messages.append)
         for second in range(30):
             foreign.report(
-                foreigninput.Source.REGISTRATION,
+                inputerrors.Source.REGISTRATION,
                 'i-once',
                 'x' * 10_000,
                 float(second),
@@ -131,7 +131,7 @@
         written = [item for item in messages if item.get('key') == 'i-once']
         self.assertEqual(1, len(written))
         self.assertEqual('gateway:unreadable', written[0]['message_type'])
-        length = foreigninput.LOGGED_LENGTH
+        length = inputerrors.LOGGED_LENGTH
         self.assertEqual(length, len(written[0]['detail']))
         self.assertIn(
             'apricotlanding_unreadable_total{source="registration"} 30',
