--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -130,7 +130,7 @@
             config.host, str(config.peers), clocks.read_monotonic()
         )
         self._telemetry = telemetry.MetricRegistry()
-        self._foreign = inputerrors.ForeignInput(self._telemetry)
+        self._foreign = inputerrors.InputErrors(self._telemetry)
         self._build_sharing()
         self._build_requests()
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/inputerrors.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/inputerrors.py
@@ -12,7 +12,7 @@
 from apricotlandingd.gateway.decisions import noticelimit
 from apricotlandingd.gateway.process import telemetry
 
-__all__ = ['ForeignInput', 'Source']
+__all__ = ['InputErrors', 'Source']
 
 # Characters of a key and of a reason that are written.
 LOGGED_LENGTH: ty.Final = 200
@@ -40,7 +40,7 @@
 
 
 @ty.final
-class ForeignInput:
+class InputErrors:
     """What one process could not use since its start."""
 
     def __init__(self, found: telemetry.MetricRegistry) -> None:
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -116,7 +116,7 @@
 
     def test_counted_always_and_logged_once(self) -> None:
         found = telemetry.MetricRegistry()
-        foreign = inputerrors.ForeignInput(found)
+        foreign = inputerrors.InputErrors(found)
         messages: list[dict[str, ty.Any]] = []
         eliot.add_destinations(messages.append)
         self.addCleanup(eliot.remove_destination, messages.append)
