--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -130,7 +130,7 @@
             config.host, str(config.peers), clocks.read_monotonic()
         )
         self._telemetry = telemetry.MetricRegistry()
-        self._foreign = inputerrors.InputErrors(self._telemetry)
+        self._input_errors = inputerrors.InputErrors(self._telemetry)
         self._build_sharing()
         self._build_requests()
 
@@ -167,7 +167,7 @@
             self._spread,
         )
         self._exchange.on_unreadable = functools.partial(
-            self._foreign.report, inputerrors.Source.PEER
+            self._input_errors.report, inputerrors.Source.PEER
         )
         state_port = config.state.port
         self._mesh = mesh.Mesh(
@@ -182,7 +182,7 @@
         self._mesh.on_state = self._take_state
         self._mesh.on_dropped = self._forget_peer
         self._mesh.on_unreadable = functools.partial(
-            self._foreign.report, inputerrors.Source.DATAGRAM
+            self._input_errors.report, inputerrors.Source.DATAGRAM
         )
 
     def _build_requests(self) -> None:
@@ -273,7 +273,7 @@
             is_stopping=lambda: self._is_stopping,
             on_change=self._tell_change,
             on_garbled=functools.partial(
-                self._foreign.report, inputerrors.Source.ANSWER
+                self._input_errors.report, inputerrors.Source.ANSWER
             ),
             habits=habits.Habits(),
         )
@@ -389,7 +389,7 @@
             if corrupt_record.offset is None
             else f' (offset {corrupt_record.offset})'
         )
-        self._foreign.report(
+        self._input_errors.report(
             inputerrors.Source.RECORD,
             topic,
             f'{corrupt_record.detail}{place}',
@@ -404,7 +404,7 @@
         except dialect.Unreadable as error:
             # The version before stays in force: callers lose less by it than
             # by none at all.
-            self._foreign.report(
+            self._input_errors.report(
                 inputerrors.Source.CONFIGURATION, record.key, str(error), now
             )
             return
@@ -444,7 +444,7 @@
         # The entry in force is the newest one, and it names no runner to
         # use. Going on with the one before would send callers to a process
         # that has been replaced, or has taken its word back.
-        self._foreign.report(
+        self._input_errors.report(
             inputerrors.Source.REGISTRATION, runner, detail, now
         )
         if self._directory.retract(runner, now):
@@ -527,7 +527,7 @@
             await anyio.sleep(JOIN_INTERVAL)
         for host, address in hosts.items():
             if isinstance(address, dialect.Unreadable):
-                self._foreign.report(
+                self._input_errors.report(
                     inputerrors.Source.HOST_RECORD,
                     host,
                     str(address),
@@ -638,7 +638,7 @@
         except Exception as error:
             # Half a file, or one that is not for us: the settings in force
             # stay.
-            self._foreign.report(
+            self._input_errors.report(
                 inputerrors.Source.SETTINGS,
                 'reload',
                 str(error),
