--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/inputerrors.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/inputerrors.py
@@ -15,7 +15,7 @@
 __all__ = ['InputErrors', 'Source']
 
 # Characters of a key and of a reason that are written.
-LOGGED_LENGTH: ty.Final = 200
+MAX_LOGGED_CHARS: ty.Final = 200
 
 
 class Source(enum.Enum):
@@ -59,7 +59,7 @@
         eliot.log_message(
             'gateway:unreadable',
             source=source.value,
-            key=key[:LOGGED_LENGTH],
-            detail=detail[:LOGGED_LENGTH],
+            key=key[:MAX_LOGGED_CHARS],
+            detail=detail[:MAX_LOGGED_CHARS],
             held_back=held,
         )
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -131,7 +131,7 @@
         written = [item for item in messages if item.get('key') == 'i-once']
         self.assertEqual(1, len(written))
         self.assertEqual('gateway:unreadable', written[0]['message_type'])
-        length = inputerrors.LOGGED_LENGTH
+        length = inputerrors.MAX_LOGGED_CHARS
         self.assertEqual(length, len(written[0]['detail']))
         self.assertIn(
             'apricotlanding_unreadable_total{source="registration"} 30',
