--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -189,7 +189,7 @@
         config = self._settings
         bounds = config.bounds
         now = clocks.read_monotonic()
-        self._stalls = stalls.StallWatch()
+        self._stalls = stalls.StallDetector()
         self._paces = pace.Paces()
         self._health = health.Health()
         self._allowances = allowances.Allowances(
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/stalls.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/stalls.py
@@ -7,7 +7,7 @@
 
 import typing as ty
 
-__all__ = ['StallWatch']
+__all__ = ['StallDetector']
 
 # Seconds of lateness that count as a stall. Timers of an idle process come
 # some milliseconds late; callers begin to feel a quarter of their shortest
@@ -19,7 +19,7 @@
 
 
 @ty.final
-class StallWatch:
+class StallDetector:
     """Judges by how much a timer came late."""
 
     def __init__(self) -> None:
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -89,7 +89,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.watch = stalls.StallWatch()
+        self.watch = stalls.StallDetector()
 
     def test_usual_lateness_is_no_stall(self) -> None:
         self.assertFalse(self.watch.note(0.02, now=1.0))
