--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/stalls.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/stalls.py
@@ -12,7 +12,7 @@
 # Seconds of lateness that count as a stall. Timers of an idle process come
 # some milliseconds late; callers begin to feel a quarter of their shortest
 # objective, which is 0.2 s.
-STALL = 0.05
+STALL_THRESHOLD_S = 0.05
 # Least seconds between two reports, so that a host that is always short of
 # processor time does not fill its log.
 REPORT_INTERVAL = 1.0
@@ -31,7 +31,7 @@
 
     def note(self, late_s: float, now: float) -> bool:
         """Take one lateness; True if it is to be reported."""
-        if late_s < STALL:
+        if late_s < STALL_THRESHOLD_S:
             return False
         self.count += 1
         self.seconds += late_s
