--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/stalls.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/stalls.py
@@ -15,7 +15,7 @@
 STALL_THRESHOLD_S = 0.05
 # Least seconds between two reports, so that a host that is always short of
 # processor time does not fill its log.
-REPORT_INTERVAL = 1.0
+REPORT_INTERVAL_S = 1.0
 
 
 @ty.final
@@ -36,7 +36,7 @@
         self.count += 1
         self.seconds += late_s
         reported_at = self._reported_at
-        if reported_at is not None and now - reported_at < REPORT_INTERVAL:
+        if reported_at is not None and now - reported_at < REPORT_INTERVAL_S:
             return False
         self._reported_at = now
         return True
