--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -245,7 +245,7 @@
         self._mesh.on_allowance_reply = self._shared_allowances.take_reply
         self._mesh.on_place_request = self._dispatcher.take
         self._mesh.on_place_reply = self._dispatcher.take_reply
-        states = hoststates.HostStates(
+        states = hoststates.HostStateBuilder(
             config,
             self.incarnation,
             self._replica,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -12,11 +12,11 @@
 from apricotlandingd.gateway.process import settings
 from apricotlandingd.gateway.replication import freshness, records
 
-__all__ = ['HostStates']
+__all__ = ['HostStateBuilder']
 
 
 @ty.final
-class HostStates:
+class HostStateBuilder:
     """Writes this host's messages from what its parts hold."""
 
     def __init__(
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -224,7 +224,7 @@
             others,
             random.Random(1),
         )
-        states = hoststates.HostStates(
+        states = hoststates.HostStateBuilder(
             ty.cast(
                 'ty.Any',
                 types.SimpleNamespace(host='host-0', state=OWN, peers=OWN),
