--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -77,7 +77,7 @@
 __all__ = ['Gateway']
 
 # Seconds between looks at what waits: a refusal is late by at most this.
-PUMP_INTERVAL = 0.02
+PUMP_INTERVAL_S = 0.02
 # Least seconds between decisions on peers' messages: a place that a peer
 # leaves to a request of this host is taken within this time.
 PEER_PUMP_INTERVAL = 0.005
@@ -576,8 +576,8 @@
 
     async def _pump_forever(self) -> None:
         while True:
-            due = clocks.read_monotonic() + PUMP_INTERVAL
-            await anyio.sleep(PUMP_INTERVAL)
+            due = clocks.read_monotonic() + PUMP_INTERVAL_S
+            await anyio.sleep(PUMP_INTERVAL_S)
             now = clocks.read_monotonic()
             if self._stalls.note(now - due, now):
                 eliot.log_message(
