--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -80,7 +80,7 @@
 PUMP_INTERVAL_S = 0.02
 # Least seconds between decisions on peers' messages: a place that a peer
 # leaves to a request of this host is taken within this time.
-PEER_PUMP_INTERVAL = 0.005
+MIN_PEER_PUMP_INTERVAL_S = 0.005
 # Seconds between looks at connections, runners and peers that are gone.
 TIDY_INTERVAL = 0.5
 # Hosts of a group that follow the store themselves; the others hear from
@@ -564,7 +564,7 @@
             )
         if records.is_ahead(state.positions, self._replica.positions):
             self._catch_up.notify_ahead()
-        if now - self._pumped_at >= PEER_PUMP_INTERVAL:
+        if now - self._pumped_at >= MIN_PEER_PUMP_INTERVAL_S:
             self._pump(now)
 
     def _forget_peer(self, state: messages.HostState) -> None:
