--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -82,7 +82,7 @@
 # leaves to a request of this host is taken within this time.
 MIN_PEER_PUMP_INTERVAL_S = 0.005
 # Seconds between looks at connections, runners and peers that are gone.
-TIDY_INTERVAL = 0.5
+CLEANUP_INTERVAL_S = 0.5
 # Hosts of a group that follow the store themselves; the others hear from
 # them. More than enough for a store that turns a third of the hosts away, of
 # one group; of several, records also spread from group to group.
@@ -596,7 +596,7 @@
 
     async def _tidy_forever(self) -> None:
         while True:
-            await anyio.sleep(TIDY_INTERVAL)
+            await anyio.sleep(CLEANUP_INTERVAL_S)
             now = clocks.read_monotonic()
             self._directory.expire(now)
             entries = self._directory.list_all()
