--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -91,7 +91,7 @@
 # Groups in which hosts follow the store; the others hear from these.
 READING_GROUPS = 4
 # Seconds between looks at the settings file.
-SETTINGS_INTERVAL = 1.0
+SETTINGS_INTERVAL_S = 1.0
 # Seconds between tries to state this host and read the others.
 JOIN_INTERVAL = 1.0
 
@@ -625,7 +625,7 @@
         # this, whose signal came before it was taken, would be lost.
         known = None
         while True:
-            await anyio.sleep(SETTINGS_INTERVAL)
+            await anyio.sleep(SETTINGS_INTERVAL_S)
             stamp = self._read_stamp()
             if stamp == known:
                 continue
