--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -93,7 +93,7 @@
 # Seconds between looks at the settings file.
 SETTINGS_INTERVAL_S = 1.0
 # Seconds between tries to state this host and read the others.
-JOIN_INTERVAL = 1.0
+JOIN_RETRY_INTERVAL_S = 1.0
 
 
 @ty.final
@@ -517,14 +517,14 @@
                 break
             except dialect.StoreUnavailable as error:
                 eliot.log_message('gateway:join_failed', detail=str(error))
-            await anyio.sleep(JOIN_INTERVAL)
+            await anyio.sleep(JOIN_RETRY_INTERVAL_S)
         while True:
             try:
                 hosts = await self._store.read_hosts()
                 break
             except dialect.StoreUnavailable as error:
                 eliot.log_message('gateway:join_failed', detail=str(error))
-            await anyio.sleep(JOIN_INTERVAL)
+            await anyio.sleep(JOIN_RETRY_INTERVAL_S)
         for host, address in hosts.items():
             if isinstance(address, dialect.Unreadable):
                 self._input_errors.report(
