--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -86,7 +86,7 @@
 # Hosts of a group that follow the store themselves; the others hear from
 # them. More than enough for a store that turns a third of the hosts away, of
 # one group; of several, records also spread from group to group.
-READERS = 8
+MAX_READERS = 8
 GROUP_READERS = 3
 # Groups in which hosts follow the store; the others hear from these.
 READING_GROUPS = 4
@@ -487,7 +487,7 @@
         # In this host's group.
         partition = self._mesh.partition
         if partition.count == 1:
-            return READERS
+            return MAX_READERS
         return GROUP_READERS if partition.own < READING_GROUPS else 0
 
     def _reads_store(self, now: float) -> bool:
