--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -87,7 +87,7 @@
 # them. More than enough for a store that turns a third of the hosts away, of
 # one group; of several, records also spread from group to group.
 MAX_READERS = 8
-GROUP_READERS = 3
+MAX_READERS_PER_GROUP = 3
 # Groups in which hosts follow the store; the others hear from these.
 READING_GROUPS = 4
 # Seconds between looks at the settings file.
@@ -488,7 +488,7 @@
         partition = self._mesh.partition
         if partition.count == 1:
             return MAX_READERS
-        return GROUP_READERS if partition.own < READING_GROUPS else 0
+        return MAX_READERS_PER_GROUP if partition.own < READING_GROUPS else 0
 
     def _reads_store(self, now: float) -> bool:
         return all(
