--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/telemetry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/telemetry.py
@@ -12,7 +12,22 @@
 
 # Upper bounds in seconds. They lie close together where the objectives of
 # callers do, between 0.2 and 1 s.
-BOUNDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1, 2, 4, 8, 16)
+BUCKET_BOUNDS_S = (
+    0.01,
+    0.025,
+    0.05,
+    0.1,
+    0.2,
+    0.3,
+    0.4,
+    0.6,
+    0.8,
+    1,
+    2,
+    4,
+    8,
+    16,
+)
 PREFIX = 'apricotlanding_'
 
 
@@ -35,8 +50,10 @@
     def time(self, name: str, seconds: float, **labels: str) -> None:
         """Add a duration to a histogram."""
         full = _write_name(name, labels)
-        buckets = self._buckets.setdefault(full, [0] * (len(BOUNDS) + 1))
-        buckets[bisect.bisect_left(BOUNDS, seconds)] += 1
+        buckets = self._buckets.setdefault(
+            full, [0] * (len(BUCKET_BOUNDS_S) + 1)
+        )
+        buckets[bisect.bisect_left(BUCKET_BOUNDS_S, seconds)] += 1
         self._sums[full] += seconds  # type: ignore[assignment]
 
     def render(self) -> str:
@@ -57,7 +74,9 @@
         comma = ',' if inner else ''
         total = 0
         lines: list[str] = []
-        for bound, count in zip((*BOUNDS, '+Inf'), buckets, strict=True):
+        for bound, count in zip(
+            (*BUCKET_BOUNDS_S, '+Inf'), buckets, strict=True
+        ):
             total += count
             lines.append(
                 f'{PREFIX}{base}_bucket{{{inner}{comma}le="{bound}"}} {total}'
