--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
@@ -20,7 +20,7 @@
 __all__ = ['LogWriter', 'open_log']
 
 # Lines that wait to be written.
-QUEUE_LINES = 2000
+MAX_QUEUED_LINES = 2000
 # Lines a second on average, and at once. A host of today takes some twenty
 # requests a second with two or three lines each.
 LINES_PER_S = 300.0
@@ -41,7 +41,7 @@
         """Write to a stream, with these fields in each line."""
         self._stream = stream
         self._fields = fields
-        self._lines: queue.Queue[str | None] = queue.Queue(QUEUE_LINES)
+        self._lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
         self._thread = threading.Thread(target=self._write, daemon=True)
         self._allowed = LINES_AT_ONCE
         self._seen_at = time.monotonic()
