--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
@@ -24,7 +24,7 @@
 # Lines a second on average, and at once. A host of today takes some twenty
 # requests a second with two or three lines each.
 LINES_PER_S = 300.0
-LINES_AT_ONCE = 900.0
+BURST_LINES = 900.0
 # Characters of a text in a line. Callers write ids and paths of up to 64 KB,
 # and QUEUE_LINES of them would be most of a host's memory; a traceback of ours
 # fits.
@@ -43,7 +43,7 @@
         self._fields = fields
         self._lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
         self._thread = threading.Thread(target=self._write, daemon=True)
-        self._allowed = LINES_AT_ONCE
+        self._allowed = BURST_LINES
         self._seen_at = time.monotonic()
         self._dropped = 0
 
@@ -81,7 +81,7 @@
         passed = now - self._seen_at
         self._seen_at = now
         allowed = self._allowed + passed * LINES_PER_S
-        self._allowed = min(LINES_AT_ONCE, allowed)
+        self._allowed = min(BURST_LINES, allowed)
         if self._allowed < 1:
             return False
         self._allowed -= 1
