--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
@@ -28,7 +28,7 @@
 # Characters of a text in a line. Callers write ids and paths of up to 64 KB,
 # and QUEUE_LINES of them would be most of a host's memory; a traceback of ours
 # fits.
-FIELD_LENGTH = 4000
+MAX_FIELD_CHARS = 4000
 # Fields of eliot's that our lines do not need.
 _UNUSED = ('task_uuid', 'task_level')
 
@@ -102,7 +102,7 @@
 
 
 def _shorten(value: object) -> object:
-    return value[:FIELD_LENGTH] if isinstance(value, str) else value
+    return value[:MAX_FIELD_CHARS] if isinstance(value, str) else value
 
 
 @contextlib.contextmanager
