--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
@@ -30,7 +30,7 @@
 # fits.
 MAX_FIELD_CHARS = 4000
 # Fields of eliot's that our lines do not need.
-_UNUSED = ('task_uuid', 'task_level')
+_OMITTED_FIELDS = ('task_uuid', 'task_level')
 
 
 @ty.final
@@ -65,7 +65,7 @@
         line = {
             name: _shorten(value)
             for name, value in message.items()
-            if name not in _UNUSED
+            if name not in _OMITTED_FIELDS
         }
         line.update(self._fields)
         if self._dropped:
