--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -64,7 +64,7 @@
         else:
             running = dict(self._schedule.places.running)
             ranks = self._list_ranks(now)
-            ages = self._list_near_ages(now, is_whole=True)
+            ages = self._list_near_ages(now, is_full_state=True)
         levels = quotas.Usage()
         if scope is mesh.Scope.WHOLE:
             self._told_usage = usage
@@ -108,11 +108,13 @@
                 if units != self._told_usage.get(name)
             },
             ranks=self._list_ranks(now),
-            answer_ages=self._list_near_ages(now, is_whole=False),
+            answer_ages=self._list_near_ages(now, is_full_state=False),
         )
 
-    def _list_near_ages(self, now: float, is_whole: bool) -> list[int]:
-        return self._ages.list_near_ages(now, self._reads_store(now), is_whole)
+    def _list_near_ages(self, now: float, is_full_state: bool) -> list[int]:
+        return self._ages.list_near_ages(
+            now, self._reads_store(now), is_full_state
+        )
 
     def _list_ranks(self, now: float) -> dict[ids.Pool, list[waiting.Rank]]:
         return {
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -143,7 +143,7 @@
         return 1 + len(self._near)
 
     def list_near_ages(
-        self, now: float, is_reader: bool, is_whole: bool
+        self, now: float, is_reader: bool, is_full_state: bool
     ) -> list[int]:
         """Return the ages of answers for near peers.
 
@@ -152,7 +152,7 @@
         get up to fifty messages a second from each host, and few of them
         follow an answer.
         """
-        if self._is_told and not is_whole:
+        if self._is_told and not is_full_state:
             return []
         self._is_told = True
         return [
