--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -255,7 +255,7 @@
         fresh.hear(ids.Host('host-b'), [100, 100], [1, 1], True, 5.0)
         self.assertEqual(BOUND_S / 2, self.find_due(fresh, 5.0))
         record = dialect.Record('config', 0, b'value')
-        replica.apply(TOPIC, dialect.Batch((record,), 1), is_full_state=False)
+        replica.apply(TOPIC, dialect.Batch((record,), 1), is_snapshot=False)
         self.assertEqual(4.9 + BOUND_S / 2, self.find_due(fresh, 5.0))
 
     def test_answer_of_another_group_counts_and_is_not_handed_on(self) -> None:
