--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -120,7 +120,7 @@
                 dialect.Record(row.key, row.offset, row.value) for row in rows
             )
             batch = dialect.Batch(found, offset)
-            self._replica.apply(topic, batch, is_whole=False)
+            self._replica.apply(topic, batch, is_snapshot=False)
 
 
 def _check_query(message: object) -> messages.RecordQuery:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
@@ -64,7 +64,7 @@
         self._observers.append(observer)
 
     def apply(
-        self, topic: dialect.Topic, batch: dialect.Batch, is_whole: bool
+        self, topic: dialect.Topic, batch: dialect.Batch, is_snapshot: bool
     ) -> None:
         """Take records that follow on what is known.
 
@@ -75,7 +75,7 @@
             self._apply_record(topic, record)
         for corrupt_record in batch.corrupt_records:
             self.on_corrupt_record(topic, corrupt_record)
-        if is_whole:
+        if is_snapshot:
             self._remove_missing(topic, batch)
         if batch.next_offset > self.positions[topic]:
             self.positions[topic] = batch.next_offset
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -197,7 +197,7 @@
             await self._read_whole()
             return
         self._had_records = bool(batch.records or batch.corrupt_records)
-        self._replica.apply(self._topic, batch, is_whole=False)
+        self._replica.apply(self._topic, batch, is_snapshot=False)
         answered_at = clocks.read_monotonic()
         if not self._had_records:
             # The answer may have been under way for a while.
@@ -208,7 +208,7 @@
         begun_at = clocks.read_monotonic()
         batch = await self._store.read_snapshot(self._topic)
         self._had_records = bool(batch.records or batch.corrupt_records)
-        self._replica.apply(self._topic, batch, is_whole=True)
+        self._replica.apply(self._topic, batch, is_snapshot=True)
         # A topic without any record is waited on from its start. Hosts that
         # asked for all of it ten times a second made nearly a third of a
         # quiet day's calls.
--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -251,7 +251,7 @@
         replica = records.Replica()
         record = dialect.Record('i-1', 0, b'{}')
         batch = dialect.Batch((record,), 1)
-        replica.apply(dialect.RUNNERS, batch, is_whole=False)
+        replica.apply(dialect.RUNNERS, batch, is_snapshot=False)
         return recordexchange.RecordExchange(replica)
 
     def test_a_bad_question_does_not_end_the_listener(self) -> None:
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -510,15 +510,15 @@
         )
 
     def apply(
-        self, offset: int, value: bytes | None, is_whole: bool = False
+        self, offset: int, value: bytes | None, is_snapshot: bool = False
     ) -> None:
         rows = (
             ()
-            if value is None and is_whole
+            if value is None and is_snapshot
             else (dialect.Record('k', offset, value),)
         )
         batch = dialect.Batch(rows, offset + 1)
-        self.replica.apply(dialect.RUNNERS, batch, is_whole)
+        self.replica.apply(dialect.RUNNERS, batch, is_snapshot)
 
     def test_older_record_is_not_applied(self) -> None:
         self.apply(5, b'new')
@@ -533,12 +533,12 @@
 
     def test_key_that_a_snapshot_lacks_was_removed(self) -> None:
         self.apply(5, b'x')
-        self.apply(9, None, is_whole=True)
+        self.apply(9, None, is_snapshot=True)
         self.assertEqual([('k', b'x'), ('k', None)], self.seen)
 
     def test_stale_snapshot_removes_nothing(self) -> None:
         self.apply(5, b'x')
-        self.apply(2, None, is_whole=True)
+        self.apply(2, None, is_snapshot=True)
         self.assertEqual([('k', b'x')], self.seen)
 
     def test_positions_never_fall(self) -> None:
