--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -185,7 +185,7 @@
     async def _read(self, wait_s: float) -> None:
         position = self._replica.positions[self._topic]
         if position == 0 and not self._is_empty:
-            await self._read_whole()
+            await self._read_snapshot()
             return
         begun_at = clocks.read_monotonic()
         try:
@@ -194,7 +194,7 @@
             eliot.log_message(
                 'gateway:history_gone', topic=self._topic, offset=position
             )
-            await self._read_whole()
+            await self._read_snapshot()
             return
         self._had_records = bool(batch.records or batch.corrupt_records)
         self._replica.apply(self._topic, batch, is_snapshot=False)
@@ -204,7 +204,7 @@
             answered_at = min(answered_at, begun_at + wait_s)
         self._fresh.record_answer(self._topic, answered_at)
 
-    async def _read_whole(self) -> None:
+    async def _read_snapshot(self) -> None:
         begun_at = clocks.read_monotonic()
         batch = await self._store.read_snapshot(self._topic)
         self._had_records = bool(batch.records or batch.corrupt_records)
