--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -143,7 +143,7 @@
         self._freshness = freshness.Freshness(
             self._replica, _find_bounds(config.bounds)
         )
-        probing = anyio.Lock()
+        probe_lock = anyio.Lock()
         self._readers = [
             storereader.StoreReader(
                 topic,
@@ -154,7 +154,7 @@
                 self._directory.note_outage,
                 self._directory.note_return,
                 lambda: self._mesh.tell(),
-                probing,
+                probe_lock,
                 self._spread,
             )
             for topic in records.TOPICS
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -49,7 +49,7 @@
         on_outage: collections.abc.Callable[[float], None],
         on_return: collections.abc.Callable[[float], None],
         on_answer: collections.abc.Callable[[], None],
-        probing: anyio.Lock,
+        probe_lock: anyio.Lock,
         spread: random.Random,
     ) -> None:
         """Prepare.
@@ -57,7 +57,7 @@
         ``on_outage`` is called when the store does not serve this host, and
         when it does again; ``on_return`` when it had served no host;
         ``on_answer`` when it has answered. The topics of one host share
-        ``probing``.
+        ``probe_lock``.
         """
         self._topic = topic
         self._store = store
@@ -67,7 +67,7 @@
         self._on_outage = on_outage
         self._on_return = on_return
         self._on_answer = on_answer
-        self._probing = probing
+        self._probing = probe_lock
         self._spread = spread
         # When the store answered last; None before the first answer.
         self.last_answer_at: float | None = None
