--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -67,7 +67,7 @@
         self._on_outage = on_outage
         self._on_return = on_return
         self._on_answer = on_answer
-        self._probing = probe_lock
+        self._probe_lock = probe_lock
         self._spread = spread
         # When the store answered last; None before the first answer.
         self.last_answer_at: float | None = None
@@ -152,7 +152,7 @@
                 # A store that is out answers on no topic: they take turns,
                 # with half the calls, and the second one follows at once
                 # when the first is answered.
-                async with self._probing:
+                async with self._probe_lock:
                     if not self._is_due(self._find_readers()):
                         break
                     group.start_soon(self._ask, group.cancel_scope)
