--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -44,7 +44,7 @@
         return len(self.others) + 1
 
     @property
-    def place(self) -> int:
+    def index(self) -> int:
         """Return this host's place among them, by name."""
         return sum(host < self.own for host in self.others)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -126,7 +126,7 @@
         limits = self._fresh.timing[self._topic]
         if self._had_records:
             return timing.find_staggered_wait(
-                limits, readers.place, readers.count
+                limits, readers.index, readers.count
             )
         return timing.find_read_wait(limits, readers.count)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -102,7 +102,7 @@
     return min(MAX_READ_WAIT_S, spacing * readers)
 
 
-def find_staggered_wait(timing: Timing, place: int, readers: int) -> float:
+def find_staggered_wait(timing: Timing, index: int, readers: int) -> float:
     """Return how long the first read after new records waits.
 
     A record ends the reads of all hosts at the same moment. If the next ones
@@ -110,7 +110,7 @@
     So each host starts with another part of the whole wait, by its place
     among the readers, and their reads end one after the other from then on.
     """
-    return find_read_wait(timing, readers) * (place + 1) / readers
+    return find_read_wait(timing, readers) * (index + 1) / readers
 
 
 def find_probe_interval(timing: Timing, hosts: int) -> float:
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -51,9 +51,9 @@
         # When the store answered anybody.
         self.answers = [0.0]
         self.hosts = [
-            self.make_host(group, place < (readers or count), bound_s)
+            self.make_host(group, index < (readers or count), bound_s)
             for group in range(groups)
-            for place in range(count)
+            for index in range(count)
         ]
         for host in self.list_readers():
             host.fresh.record_answer(TOPIC, 0.0)
@@ -62,7 +62,7 @@
         for host in self.list_readers():
             limits = host.fresh.timing[TOPIC]
             found = self.find_readers(host)
-            wait = timing.find_staggered_wait(limits, found.place, found.count)
+            wait = timing.find_staggered_wait(limits, found.index, found.count)
             self.begin_read(host, wait)
 
     def list_readers(self) -> list[SimulatedHost]:
