--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
@@ -30,7 +30,7 @@
         exchange: recordexchange.RecordExchange,
         list_ahead: collections.abc.Callable[[], list[addresses.Address]],
         find_timeout: collections.abc.Callable[[], float],
-        spread: random.Random,
+        rng: random.Random,
     ) -> None:
         """Prepare.
 
@@ -40,7 +40,7 @@
         self._exchange = exchange
         self._list_ahead = list_ahead
         self._find_timeout = find_timeout
-        self._spread = spread
+        self._spread = rng
         self._is_ahead = anyio.Event()
         # Peers that did not answer since one did.
         self._failed: set[addresses.Address] = set()
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -50,7 +50,7 @@
         on_return: collections.abc.Callable[[float], None],
         on_answer: collections.abc.Callable[[], None],
         probe_lock: anyio.Lock,
-        spread: random.Random,
+        rng: random.Random,
     ) -> None:
         """Prepare.
 
@@ -68,7 +68,7 @@
         self._on_return = on_return
         self._on_answer = on_answer
         self._probe_lock = probe_lock
-        self._spread = spread
+        self._spread = rng
         # When the store answered last; None before the first answer.
         self.last_answer_at: float | None = None
         self._is_lost = False
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -43,7 +43,7 @@
         self, count: int, bound_s: float, groups: int = 1, readers: int = 0
     ) -> None:
         """Start ``count`` hosts a group, of which ``readers`` read or all."""
-        self.spread = random.Random(1)
+        self.rng = random.Random(1)
         self.calls = 0
         self.probes = 0
         self.now = 0.0
@@ -76,7 +76,7 @@
             replica, dict.fromkeys(records.TOPICS, bound_s)
         )
         # Names say nothing of the group, as a hash of them does not.
-        name = ids.Host(f'host-{self.spread.random()}')
+        name = ids.Host(f'host-{self.rng.random()}')
         return SimulatedHost(name, group, is_reading, fresh, replica)
 
     def begin_read(self, host: SimulatedHost, wait: float) -> None:
@@ -165,7 +165,7 @@
                 continue
             ages = host.fresh.list_group_ages(self.now)
             positions = records.list_positions(host.replica.positions)
-            other = self.spread.choice(far)
+            other = self.rng.choice(far)
             other.fresh.update_far(host.name, ages, positions, self.now)
 
 
