--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -119,7 +119,7 @@
         self._store = store
         self._reload = reload
         self._read_stamp = read_stamp
-        self._spread = random.Random()
+        self._rng = random.Random()
         self._catalogue: catalogue.Catalogue | None = None
         self._is_stopping = False
         self._stop_asked = anyio.Event()
@@ -155,7 +155,7 @@
                 self._directory.note_return,
                 lambda: self._mesh.tell(),
                 probe_lock,
-                self._spread,
+                self._rng,
             )
             for topic in records.TOPICS
         ]
@@ -164,7 +164,7 @@
             self._exchange,
             self._list_ahead,
             self._find_fetch_time,
-            self._spread,
+            self._rng,
         )
         self._exchange.on_unreadable = functools.partial(
             self._input_errors.report, inputerrors.Source.PEER
@@ -177,7 +177,7 @@
                 addresses.Address(seed.host, state_port)
                 for seed in config.seeds
             ),
-            self._spread,
+            self._rng,
         )
         self._mesh.on_state = self._take_state
         self._mesh.on_dropped = self._forget_peer
@@ -203,7 +203,7 @@
             self._paces,
             self._health,
             self._mesh,
-            self._spread,
+            self._rng,
         )
         self._candidates = candidates.Candidates(config.host, self._mesh)
         self._dispatcher = dispatch.Dispatcher(
@@ -216,7 +216,7 @@
                 self._directory,
                 self._paces,
                 self._health,
-                self._spread,
+                self._rng,
                 lambda: self._is_stopping,
                 lambda: records.has_all_topics(self._replica.positions),
                 self._scheduler.find_hold,
@@ -226,7 +226,7 @@
             self._health,
             self._mesh,
             self._candidates,
-            self._spread,
+            self._rng,
         )
         self._shared_allowances = sharedallowances.SharedAllowances(
             config.host,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
@@ -40,7 +40,7 @@
         self._exchange = exchange
         self._list_ahead = list_ahead
         self._find_timeout = find_timeout
-        self._spread = rng
+        self._rng = rng
         self._is_ahead = anyio.Event()
         # Peers that did not answer since one did.
         self._failed: set[addresses.Address] = set()
@@ -63,7 +63,7 @@
     def choose(self, ahead: list[addresses.Address]) -> addresses.Address:
         """Return a peer, if possible one that did not fail just now."""
         sound = [peer for peer in ahead if peer not in self._failed]
-        return self._spread.choice(sound or ahead)
+        return self._rng.choice(sound or ahead)
 
     async def _fetch(self, peer: addresses.Address) -> None:
         # Failures in a row make the time longer: a page of records may be
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -68,7 +68,7 @@
         self._on_return = on_return
         self._on_answer = on_answer
         self._probe_lock = probe_lock
-        self._spread = rng
+        self._rng = rng
         # When the store answered last; None before the first answer.
         self.last_answer_at: float | None = None
         self._is_lost = False
@@ -106,7 +106,7 @@
             await self._read(wait_s)
         except dialect.StoreUnavailable as error:
             self._note_lost(str(error), clocks.read_monotonic())
-            await anyio.sleep(self._retry_s * self._spread.uniform(0.7, 1.3))
+            await anyio.sleep(self._retry_s * self._rng.uniform(0.7, 1.3))
             self._retry_s = min(LAST_RETRY, self._retry_s * 2)
             return
         self._note_heard(clocks.read_monotonic())
@@ -168,7 +168,7 @@
         gap = timing.find_probe_interval(
             limits, self._fresh.count_group_hosts()
         )
-        return gap * self._spread.uniform(0.8, 1.2)
+        return gap * self._rng.uniform(0.8, 1.2)
 
     async def _ask(self, scope: anyio.CancelScope) -> None:
         try:
