--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -57,7 +57,7 @@
     # Next offset that the host knew by it.
     position: int
     # The store gave it to this group; others are not handed on.
-    is_of_group: bool
+    is_from_group: bool
 
 
 @ty.final
@@ -213,7 +213,7 @@
         newest = self._own.get(topic)
         for answers in self._near.values():
             answer = answers.get(topic)
-            if answer is None or not answer.is_of_group:
+            if answer is None or not answer.is_from_group:
                 continue
             if answer.position > known:
                 continue
@@ -246,13 +246,15 @@
 def _make_answers(
     ages_ms: list[int],
     positions: list[int],
-    is_of_group: bool,
+    is_from_group: bool,
     now: float,
 ) -> dict[dialect.Topic, _Answer]:
     # An answer from the future would count for as long as it lies ahead, and
     # lost reads would not be noticed until then.
     return {
-        topic: _Answer(now - max(0, age_ms) / MS_PER_S, position, is_of_group)
+        topic: _Answer(
+            now - max(0, age_ms) / MS_PER_S, position, is_from_group
+        )
         for topic, age_ms, position in zip(
             records.TOPICS, ages_ms, positions, strict=False
         )
