--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -76,7 +76,7 @@
         self.set_bounds(bounds)
         self._own: dict[dialect.Topic, float] = {}
         # Near peers were told of the newest answers.
-        self._is_told = True
+        self._is_announced = True
         # Answers of near peers, and the newest one of far peers.
         self._near: dict[ids.Host, dict[dialect.Topic, _Answer]] = {}
         self._far: dict[dialect.Topic, _Answer] = {}
@@ -91,7 +91,7 @@
     def record_answer(self, topic: dialect.Topic, at: float) -> None:
         """Take an answer of the store to this host."""
         self._own[topic] = max(at, self._own.get(topic, at))
-        self._is_told = False
+        self._is_announced = False
 
     def hear(
         self,
@@ -132,7 +132,7 @@
                 newest is None
                 or answer.at - newest > limits.forward_threshold_s
             ):
-                self._is_told = False
+                self._is_announced = False
 
     def forget(self, host: ids.Host) -> None:
         """Drop what a peer told."""
@@ -152,9 +152,9 @@
         get up to fifty messages a second from each host, and few of them
         follow an answer.
         """
-        if self._is_told and not is_full_state:
+        if self._is_announced and not is_full_state:
             return []
-        self._is_told = True
+        self._is_announced = True
         return [
             _round_age(self._find_told(topic, is_reader), now)
             for topic in records.TOPICS
