--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -156,7 +156,7 @@
             return []
         self._is_announced = True
         return [
-            _round_age(self._find_told(topic, is_reader), now)
+            _round_age(self._find_reported(topic, is_reader), now)
             for topic in records.TOPICS
         ]
 
@@ -186,7 +186,7 @@
             due + self._count_before(topic, readers) * limits.probe_stagger_s
         )
 
-    def _find_told(
+    def _find_reported(
         self, topic: dialect.Topic, is_reader: bool
     ) -> float | None:
         own = self._own.get(topic)
