--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -163,7 +163,7 @@
     def list_group_ages(self, now: float) -> list[int]:
         """Return the ages of the group's newest answers, for far peers."""
         return [
-            _round_age(self._find_group(topic), now)
+            _round_age(self._find_group_newest(topic), now)
             for topic in records.TOPICS
         ]
 
@@ -208,7 +208,7 @@
             found.append(self._far[topic].at)
         return max(found, default=None)
 
-    def _find_group(self, topic: dialect.Topic) -> float | None:
+    def _find_group_newest(self, topic: dialect.Topic) -> float | None:
         known = self._replica.positions[topic]
         newest = self._own.get(topic)
         for answers in self._near.values():
