--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -183,7 +183,8 @@
         if now < due:
             return due
         return (
-            due + self._count_before(topic, readers) * limits.probe_stagger_s
+            due
+            + self._count_hosts_ahead(topic, readers) * limits.probe_stagger_s
         )
 
     def _find_reported(
@@ -221,7 +222,9 @@
                 newest = answer.at
         return newest
 
-    def _count_before(self, topic: dialect.Topic, readers: Readers) -> int:
+    def _count_hosts_ahead(
+        self, topic: dialect.Topic, readers: Readers
+    ) -> int:
         if not readers.is_reading:
             # Those that read go first, whatever this host was answered once.
             return readers.count + sum(
