--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
@@ -41,20 +41,20 @@
         self._list_ahead = list_ahead
         self._find_timeout = find_timeout
         self._rng = rng
-        self._is_ahead = anyio.Event()
+        self._peer_is_ahead = anyio.Event()
         # Peers that did not answer since one did.
         self._failed: set[addresses.Address] = set()
 
     def notify_ahead(self) -> None:
         """Say that a peer is ahead."""
-        self._is_ahead.set()
+        self._peer_is_ahead.set()
 
     async def run(self) -> None:
         """Catch up for as long as the daemon runs."""
         while True:
-            await self._is_ahead.wait()
+            await self._peer_is_ahead.wait()
             await anyio.sleep(PEER_FETCH_DELAY_S)
-            self._is_ahead = anyio.Event()
+            self._peer_is_ahead = anyio.Event()
             ahead = self._list_ahead()
             if not ahead:
                 continue
@@ -75,4 +75,4 @@
             return
         self._failed.add(peer)
         # Nobody may speak again before all of them are asked once.
-        self._is_ahead.set()
+        self._peer_is_ahead.set()
