--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/catchup.py
@@ -62,8 +62,8 @@
 
     def choose(self, ahead: list[addresses.Address]) -> addresses.Address:
         """Return a peer, if possible one that did not fail just now."""
-        sound = [peer for peer in ahead if peer not in self._failed]
-        return self._rng.choice(sound or ahead)
+        responsive = [peer for peer in ahead if peer not in self._failed]
+        return self._rng.choice(responsive or ahead)
 
     async def _fetch(self, peer: addresses.Address) -> None:
         # Failures in a row make the time longer: a page of records may be
