--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
@@ -99,7 +99,7 @@
         if known is not None and record.offset <= known.offset:
             return
         self._records[topic][record.key] = record
-        self._forget_removed(topic)
+        self._prune_removed(topic)
         for observer in self._observers:
             observer(topic, record)
 
@@ -116,7 +116,7 @@
             if removal.offset > known.offset:
                 self._apply_record(topic, removal)
 
-    def _forget_removed(self, topic: dialect.Topic) -> None:
+    def _prune_removed(self, topic: dialect.Topic) -> None:
         removed = [
             record
             for record in self._records[topic].values()
