--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -22,7 +22,7 @@
 __all__ = ['StoreReader']
 
 # Seconds before the next try after a failed read, and their limit.
-FIRST_RETRY = 0.1
+INITIAL_RETRY_DELAY_S = 0.1
 LAST_RETRY = 1.0
 # Seconds between looks of a host that does not read whether it is to.
 IDLE_LOOK = 0.1
@@ -78,7 +78,7 @@
         self._is_empty = False
         # The last answer had records, and ended the reads of other hosts too.
         self._had_records = False
-        self._retry_s = FIRST_RETRY
+        self._retry_s = INITIAL_RETRY_DELAY_S
 
     async def run(self) -> None:
         """Read for as long as the daemon runs."""
@@ -229,7 +229,7 @@
     def _note_heard(self, now: float) -> None:
         self.last_answer_at = now
         self._on_answer()
-        self._retry_s = FIRST_RETRY
+        self._retry_s = INITIAL_RETRY_DELAY_S
         if not self._is_lost:
             return
         self._is_lost = False
