--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -23,7 +23,7 @@
 
 # Seconds before the next try after a failed read, and their limit.
 INITIAL_RETRY_DELAY_S = 0.1
-LAST_RETRY = 1.0
+MAX_RETRY_DELAY_S = 1.0
 # Seconds between looks of a host that does not read whether it is to.
 IDLE_LOOK = 0.1
 # Least seconds between looks whether the store must be asked anew.
@@ -107,7 +107,7 @@
         except dialect.StoreUnavailable as error:
             self._note_lost(str(error), clocks.read_monotonic())
             await anyio.sleep(self._retry_s * self._rng.uniform(0.7, 1.3))
-            self._retry_s = min(LAST_RETRY, self._retry_s * 2)
+            self._retry_s = min(MAX_RETRY_DELAY_S, self._retry_s * 2)
             return
         self._note_heard(clocks.read_monotonic())
         if self._had_records:
