--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -25,7 +25,7 @@
 INITIAL_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 1.0
 # Seconds between looks of a host that does not read whether it is to.
-IDLE_LOOK = 0.1
+IDLE_POLL_INTERVAL_S = 0.1
 # Least seconds between looks whether the store must be asked anew.
 DUE_LOOK = 0.02
 # Seconds between two reads of which the first brought records. Records come in
@@ -89,7 +89,7 @@
             elif readers.is_reading:
                 await self._follow(readers)
             else:
-                await anyio.sleep(IDLE_LOOK)
+                await anyio.sleep(IDLE_POLL_INTERVAL_S)
 
     # Waiting for records.
 
