--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -27,7 +27,7 @@
 # Seconds between looks of a host that does not read whether it is to.
 IDLE_POLL_INTERVAL_S = 0.1
 # Least seconds between looks whether the store must be asked anew.
-DUE_LOOK = 0.02
+MIN_DUE_CHECK_INTERVAL_S = 0.02
 # Seconds between two reads of which the first brought records. Records come in
 # series (a storm of versions, a release of runners): in this time one call
 # gathers several, and it is short against the bounds for both topics, 2 s and
@@ -137,7 +137,7 @@
             if due <= now:
                 scope.cancel()
                 return
-            await anyio.sleep(max(DUE_LOOK, due - now))
+            await anyio.sleep(max(MIN_DUE_CHECK_INTERVAL_S, due - now))
 
     # Asking anew.
 
