--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -32,7 +32,7 @@
 # series (a storm of versions, a release of runners): in this time one call
 # gathers several, and it is short against the bounds for both topics, 2 s and
 # more.
-BATCH_PAUSE = 0.1
+BATCH_PAUSE_S = 0.1
 
 
 @ty.final
@@ -111,7 +111,7 @@
             return
         self._note_heard(clocks.read_monotonic())
         if self._had_records:
-            await anyio.sleep(BATCH_PAUSE)
+            await anyio.sleep(BATCH_PAUSE_S)
             return
         if self._replica.positions[self._topic] != position:
             return
@@ -120,7 +120,7 @@
         # read, or the newest records before the first that is kept), and
         # asking again at once would use up the calls of all hosts.
         passed = clocks.read_monotonic() - began_at
-        await anyio.sleep(max(0.0, BATCH_PAUSE - passed))
+        await anyio.sleep(max(0.0, BATCH_PAUSE_S - passed))
 
     def _find_wait(self, readers: freshness.Readers) -> float:
         limits = self._fresh.timing[self._topic]
