--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -78,7 +78,7 @@
         self._is_empty = False
         # The last answer had records, and ended the reads of other hosts too.
         self._had_records = False
-        self._retry_s = INITIAL_RETRY_DELAY_S
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
 
     async def run(self) -> None:
         """Read for as long as the daemon runs."""
@@ -106,8 +106,12 @@
             await self._read(wait_s)
         except dialect.StoreUnavailable as error:
             self._note_lost(str(error), clocks.read_monotonic())
-            await anyio.sleep(self._retry_s * self._rng.uniform(0.7, 1.3))
-            self._retry_s = min(MAX_RETRY_DELAY_S, self._retry_s * 2)
+            await anyio.sleep(
+                self._retry_delay_s * self._rng.uniform(0.7, 1.3)
+            )
+            self._retry_delay_s = min(
+                MAX_RETRY_DELAY_S, self._retry_delay_s * 2
+            )
             return
         self._note_heard(clocks.read_monotonic())
         if self._had_records:
@@ -229,7 +233,7 @@
     def _note_heard(self, now: float) -> None:
         self.last_answer_at = now
         self._on_answer()
-        self._retry_s = INITIAL_RETRY_DELAY_S
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
         if not self._is_lost:
             return
         self._is_lost = False
