--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -73,7 +73,7 @@
         self.last_answer_at: float | None = None
         self._is_lost = False
         # A probe failed: the store serves no host of the group.
-        self._is_out = False
+        self._is_outage = False
         # The store has no record of the topic.
         self._is_empty = False
         # The last answer had records, and ended the reads of other hosts too.
@@ -150,7 +150,7 @@
         return self._fresh.find_due(self._topic, now, readers) <= now
 
     async def _probe(self) -> None:
-        self._is_out = False
+        self._is_outage = False
         async with anyio.create_task_group() as group:
             while True:
                 # A store that is out answers on no topic: they take turns,
@@ -163,7 +163,7 @@
                     await anyio.sleep(self._find_gap())
             # The store answered a peer.
             group.cancel_scope.cancel()
-        if self._is_out:
+        if self._is_outage:
             # Registrations that lapsed in the outage come back from now on.
             self._on_return(clocks.read_monotonic())
 
@@ -178,7 +178,7 @@
         try:
             await self._read(0.0)
         except dialect.StoreUnavailable as error:
-            self._is_out = True
+            self._is_outage = True
             self._note_lost(str(error), clocks.read_monotonic())
             return
         self._note_heard(clocks.read_monotonic())
