--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -159,7 +159,7 @@
                 async with self._probe_lock:
                     if not self._is_due(self._find_readers()):
                         break
-                    group.start_soon(self._ask, group.cancel_scope)
+                    group.start_soon(self._send_probe, group.cancel_scope)
                     await anyio.sleep(self._find_gap())
             # The store answered a peer.
             group.cancel_scope.cancel()
@@ -174,7 +174,7 @@
         )
         return gap * self._rng.uniform(0.8, 1.2)
 
-    async def _ask(self, scope: anyio.CancelScope) -> None:
+    async def _send_probe(self, scope: anyio.CancelScope) -> None:
         try:
             await self._read(0.0)
         except dialect.StoreUnavailable as error:
