--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -65,7 +65,7 @@
         """Take what a peer knows; False if it does not answer in time."""
         try:
             with anyio.fail_after(timeout):
-                page = await self._ask(address)
+                page = await self._query_peer(address)
         except errors.Refused as error:
             self.on_unreadable(
                 str(address), str(error), clocks.read_monotonic()
@@ -79,7 +79,9 @@
         self._apply(page)
         return True
 
-    async def _ask(self, address: addresses.Address) -> messages.RecordPage:
+    async def _query_peer(
+        self, address: addresses.Address
+    ) -> messages.RecordPage:
         async with await anyio.connect_tcp(
             address.host, address.port
         ) as stream:
