--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -96,10 +96,10 @@
     async def _follow(self, readers: freshness.Readers) -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(self._watch_due, group.cancel_scope)
-            await self._read_on(self._find_wait(readers))
+            await self._long_poll(self._find_wait(readers))
             group.cancel_scope.cancel()
 
-    async def _read_on(self, wait_s: float) -> None:
+    async def _long_poll(self, wait_s: float) -> None:
         began_at = clocks.read_monotonic()
         position = self._replica.positions[self._topic]
         try:
