--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -160,14 +160,14 @@
                     if not self._is_due(self._find_readers()):
                         break
                     group.start_soon(self._send_probe, group.cancel_scope)
-                    await anyio.sleep(self._find_gap())
+                    await anyio.sleep(self._find_probe_interval())
             # The store answered a peer.
             group.cancel_scope.cancel()
         if self._is_outage:
             # Registrations that lapsed in the outage come back from now on.
             self._on_return(clocks.read_monotonic())
 
-    def _find_gap(self) -> float:
+    def _find_probe_interval(self) -> float:
         limits = self._fresh.timing[self._topic]
         gap = timing.find_probe_interval(
             limits, self._fresh.count_group_hosts()
