--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -105,7 +105,7 @@
         try:
             await self._read(wait_s)
         except dialect.StoreUnavailable as error:
-            self._note_lost(str(error), clocks.read_monotonic())
+            self._handle_failure(str(error), clocks.read_monotonic())
             await anyio.sleep(
                 self._retry_delay_s * self._rng.uniform(0.7, 1.3)
             )
@@ -179,7 +179,7 @@
             await self._read(0.0)
         except dialect.StoreUnavailable as error:
             self._is_outage = True
-            self._note_lost(str(error), clocks.read_monotonic())
+            self._handle_failure(str(error), clocks.read_monotonic())
             return
         self._note_heard(clocks.read_monotonic())
         scope.cancel()
@@ -221,7 +221,7 @@
 
     # Outages.
 
-    def _note_lost(self, detail: str, now: float) -> None:
+    def _handle_failure(self, detail: str, now: float) -> None:
         self._on_outage(now)
         if self._is_lost:
             return
