--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -113,7 +113,7 @@
                 MAX_RETRY_DELAY_S, self._retry_delay_s * 2
             )
             return
-        self._note_heard(clocks.read_monotonic())
+        self._handle_answer(clocks.read_monotonic())
         if self._had_records:
             await anyio.sleep(BATCH_PAUSE_S)
             return
@@ -181,7 +181,7 @@
             self._is_outage = True
             self._handle_failure(str(error), clocks.read_monotonic())
             return
-        self._note_heard(clocks.read_monotonic())
+        self._handle_answer(clocks.read_monotonic())
         scope.cancel()
 
     # One read.
@@ -230,7 +230,7 @@
             'gateway:store_lost', topic=self._topic, detail=detail
         )
 
-    def _note_heard(self, now: float) -> None:
+    def _handle_answer(self, now: float) -> None:
         self.last_answer_at = now
         self._on_answer()
         self._retry_delay_s = INITIAL_RETRY_DELAY_S
