--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -191,7 +191,7 @@
         if position == 0 and not self._is_empty:
             await self._read_snapshot()
             return
-        begun_at = clocks.read_monotonic()
+        started_at = clocks.read_monotonic()
         try:
             batch = await self._store.read_from(self._topic, position, wait_s)
         except dialect.HistoryGone:
@@ -205,11 +205,11 @@
         answered_at = clocks.read_monotonic()
         if not self._had_records:
             # The answer may have been under way for a while.
-            answered_at = min(answered_at, begun_at + wait_s)
+            answered_at = min(answered_at, started_at + wait_s)
         self._fresh.record_answer(self._topic, answered_at)
 
     async def _read_snapshot(self) -> None:
-        begun_at = clocks.read_monotonic()
+        started_at = clocks.read_monotonic()
         batch = await self._store.read_snapshot(self._topic)
         self._had_records = bool(batch.records or batch.corrupt_records)
         self._replica.apply(self._topic, batch, is_snapshot=True)
@@ -217,7 +217,7 @@
         # asked for all of it ten times a second made nearly a third of a
         # quiet day's calls.
         self._is_empty = batch.next_offset == 0
-        self._fresh.record_answer(self._topic, begun_at)
+        self._fresh.record_answer(self._topic, started_at)
 
     # Outages.
 
