--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -100,7 +100,7 @@
             group.cancel_scope.cancel()
 
     async def _long_poll(self, wait_s: float) -> None:
-        began_at = clocks.read_monotonic()
+        started_at = clocks.read_monotonic()
         position = self._replica.positions[self._topic]
         try:
             await self._read(wait_s)
@@ -123,7 +123,7 @@
         # the offsets there make no sense to us (the end lies before what was
         # read, or the newest records before the first that is kept), and
         # asking again at once would use up the calls of all hosts.
-        passed = clocks.read_monotonic() - began_at
+        passed = clocks.read_monotonic() - started_at
         await anyio.sleep(max(0.0, BATCH_PAUSE_S - passed))
 
     def _find_wait(self, readers: freshness.Readers) -> float:
