--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -163,7 +163,7 @@
         self._catch_up = catchup.CatchUp(
             self._exchange,
             self._list_ahead,
-            self._find_fetch_time,
+            self._find_fetch_timeout,
             self._rng,
         )
         self._exchange.on_unreadable = functools.partial(
@@ -504,7 +504,7 @@
             if records.is_ahead(peer.state.positions, self._replica.positions)
         ]
 
-    def _find_fetch_time(self) -> float:
+    def _find_fetch_timeout(self) -> float:
         return min(
             item.fetch_timeout_s for item in self._freshness.timing.values()
         )
