--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -141,7 +141,7 @@
         self._replica.add_observer(self._take_record)
         self._replica.on_corrupt_record = self._report_corrupt_record
         self._freshness = freshness.Freshness(
-            self._replica, _find_bounds(config.bounds)
+            self._replica, _make_topic_bounds(config.bounds)
         )
         probe_lock = anyio.Lock()
         self._readers = [
@@ -652,7 +652,7 @@
             )
         bounds = found.bounds
         self._directory.set_drain_time(bounds.drain_s)
-        self._freshness.set_bounds(_find_bounds(bounds))
+        self._freshness.set_bounds(_make_topic_bounds(bounds))
         self._allowances.set_slack(bounds.quota_slack)
         self._shared_allowances.set_slack(bounds.quota_slack)
         self._retry_budget.set_bounds(
@@ -689,6 +689,6 @@
         )
 
 
-def _find_bounds(bounds: settings.Bounds) -> dict[dialect.Topic, float]:
+def _make_topic_bounds(bounds: settings.Bounds) -> dict[dialect.Topic, float]:
     # How long each topic's changes may take until this host goes by them.
     return {dialect.CONFIG: bounds.apply_s, dialect.RUNNERS: bounds.drain_s}
