--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -271,7 +271,7 @@
             find_client=self._clients.find,
             count_hosts=self._mesh.count_hosts,
             is_stopping=lambda: self._is_stopping,
-            on_change=self._tell_change,
+            on_change=self._announce_change,
             on_garbled=functools.partial(
                 self._input_errors.report, inputerrors.Source.ANSWER
             ),
@@ -539,7 +539,7 @@
 
     # States of hosts.
 
-    def _tell_change(self) -> None:
+    def _announce_change(self) -> None:
         # In a large system coordinators are told, and other hosts go by the
         # next heartbeat.
         if not self._mesh.is_divided():
