--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -138,7 +138,7 @@
         config = self._settings
         self._directory = directory.Directory(config.bounds.drain_s)
         self._replica = records.Replica()
-        self._replica.add_observer(self._take_record)
+        self._replica.add_observer(self._handle_record)
         self._replica.on_corrupt_record = self._report_corrupt_record
         self._freshness = freshness.Freshness(
             self._replica, _make_topic_bounds(config.bounds)
@@ -368,7 +368,7 @@
 
     # Records.
 
-    def _take_record(
+    def _handle_record(
         self, topic: dialect.Topic, record: dialect.Record
     ) -> None:
         now = clocks.read_monotonic()
