--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -373,7 +373,7 @@
     ) -> None:
         now = clocks.read_monotonic()
         if topic == dialect.CONFIG:
-            self._take_catalogue(record, now)
+            self._handle_catalogue(record, now)
         else:
             self._take_runner(record, now)
         self._scheduler.pump(now)
@@ -396,7 +396,7 @@
             clocks.read_monotonic(),
         )
 
-    def _take_catalogue(self, record: dialect.Record, now: float) -> None:
+    def _handle_catalogue(self, record: dialect.Record, now: float) -> None:
         if record.value is None:
             return
         try:
