--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -375,7 +375,7 @@
         if topic == dialect.CONFIG:
             self._handle_catalogue(record, now)
         else:
-            self._take_runner(record, now)
+            self._handle_runner(record, now)
         self._scheduler.pump(now)
         if self._mesh.is_divided():
             # Few hosts follow the store; the others hear from each other.
@@ -419,7 +419,7 @@
             offset=record.offset,
         )
 
-    def _take_runner(self, record: dialect.Record, now: float) -> None:
+    def _handle_runner(self, record: dialect.Record, now: float) -> None:
         runner = ids.Runner(record.key)
         birth: int | None = None
         if record.value is None:
