--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -179,7 +179,7 @@
             ),
             self._rng,
         )
-        self._mesh.on_state = self._take_state
+        self._mesh.on_state = self._handle_state
         self._mesh.on_dropped = self._forget_peer
         self._mesh.on_unreadable = functools.partial(
             self._input_errors.report, inputerrors.Source.DATAGRAM
@@ -545,7 +545,7 @@
         if not self._mesh.is_divided():
             self._mesh.tell()
 
-    def _take_state(self, state: messages.HostState, now: float) -> None:
+    def _handle_state(self, state: messages.HostState, now: float) -> None:
         self._allowances.hear(state, now)
         self._shared_allowances.hear(
             state.incarnation, state.usage, state.hosts == 0, now
