--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -435,7 +435,7 @@
             state = 'draining' if entry.is_draining else 'open'
             news = self._directory.update(entry)
             if news is directory.News.START:
-                self._end_earlier(entry.start)
+                self._end_earlier_starts(entry.start)
             elif news is directory.News.OUTDATED:
                 state = 'outdated'
         self._log_runner(runner, state, birth, record.offset)
@@ -465,7 +465,7 @@
             offset=offset,
         )
 
-    def _end_earlier(self, later: ids.RunnerStart) -> None:
+    def _end_earlier_starts(self, later: ids.RunnerStart) -> None:
         for start, count in self._clients.end_earlier(later).items():
             self._scheduler.places.hand_over(start, later, count)
 
