--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -315,7 +315,7 @@
             tree.start('catch-up', self._catch_up.run)
             tree.start('join', self._join)
             tree.start('pump', self._pump_forever)
-            tree.start('tidy', self._tidy_forever)
+            tree.start('tidy', self._clean_up_forever)
             tree.start('restarts', self._clients.run)
             tree.start('signals', self._watch_signals)
             tree.start('settings', self._watch_settings)
@@ -594,7 +594,7 @@
         self._pumped_at = now
         self._scheduler.pump(now)
 
-    async def _tidy_forever(self) -> None:
+    async def _clean_up_forever(self) -> None:
         while True:
             await anyio.sleep(CLEANUP_INTERVAL_S)
             now = clocks.read_monotonic()
