--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -122,7 +122,7 @@
         self._rng = random.Random()
         self._catalogue: catalogue.Catalogue | None = None
         self._is_stopping = False
-        self._stop_asked = anyio.Event()
+        self._stop_requested = anyio.Event()
         self._pumped_at = 0.0
         self._clients = runnerclients.RunnerClients()
         self._peer_socket = asgi.bind_address(config.peers)
@@ -320,7 +320,7 @@
             tree.start('signals', self._watch_signals)
             tree.start('settings', self._watch_settings)
             eliot.log_message('gateway:started', incarnation=self.incarnation)
-            await self._stop_asked.wait()
+            await self._stop_requested.wait()
             await self._drain()
         await self._clients.close()
         eliot.log_message('gateway:stopped')
@@ -340,7 +340,7 @@
 
     def stop(self) -> None:
         """Begin a graceful stop, as SIGTERM does."""
-        self._stop_asked.set()
+        self._stop_requested.set()
 
     def count_peers(self) -> int:
         """Return the number of other hosts that are known."""
