--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -43,7 +43,7 @@
         self._reads_store = reads_store
         self._is_stopping = is_stopping
         # Totals that near peers were told with the last whole state.
-        self._told_usage: quotas.Usage = {}
+        self._sent_usage: quotas.Usage = {}
 
     def make_state(
         self, number: int, scope: mesh.Scope, hints: dict[ids.Host, str]
@@ -67,7 +67,7 @@
             ages = self._list_near_ages(now, is_full_state=True)
         levels = quotas.Usage()
         if scope is mesh.Scope.WHOLE:
-            self._told_usage = usage
+            self._sent_usage = usage
             levels = _round_units(self._shared.list_levels(now))
         return messages.HostState(
             host=self._config.host,
@@ -105,7 +105,7 @@
             usage={
                 name: units
                 for name, units in usage.items()
-                if units != self._told_usage.get(name)
+                if units != self._sent_usage.get(name)
             },
             ranks=self._list_ranks(now),
             answer_ages=self._list_near_ages(now, is_full_state=False),
