--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -36,7 +36,7 @@
         self._incarnation = incarnation
         self._process = messages.digest_process(incarnation)
         self._replica = replica
-        self._ages = ages
+        self._freshness = ages
         self._shared = shared
         self._schedule = schedule
         self._others = others
@@ -60,7 +60,7 @@
         if scope is not mesh.Scope.WHOLE:
             group_used = _round_units(self._shared.list_used(now))
         if scope is mesh.Scope.FAR:
-            ages = self._ages.list_group_ages(now)
+            ages = self._freshness.list_group_ages(now)
         else:
             running = dict(self._schedule.places.running)
             ranks = self._list_ranks(now)
@@ -112,7 +112,7 @@
         )
 
     def _list_near_ages(self, now: float, is_full_state: bool) -> list[int]:
-        return self._ages.list_near_ages(
+        return self._freshness.list_near_ages(
             now, self._reads_store(now), is_full_state
         )
 
