--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -37,7 +37,7 @@
         self._process = messages.digest_process(incarnation)
         self._replica = replica
         self._freshness = ages
-        self._shared = shared
+        self._allowances = shared
         self._schedule = schedule
         self._others = others
         self._reads_store = reads_store
@@ -52,13 +52,13 @@
         now = clocks.read_monotonic()
         asked = group_asked = group_used = quotas.Usage()
         if self._others.partition.count > 1:
-            asked = _round_units(self._shared.buckets.list_asked(now))
-            group_asked = _round_units(self._shared.sum_group_asked(asked))
+            asked = _round_units(self._allowances.buckets.list_asked(now))
+            group_asked = _round_units(self._allowances.sum_group_asked(asked))
         running: dict[ids.RunnerStart, int] = {}
         ranks: dict[ids.Pool, list[waiting.Rank]] = {}
-        usage = _round_units(self._shared.buckets.usage)
+        usage = _round_units(self._allowances.buckets.usage)
         if scope is not mesh.Scope.WHOLE:
-            group_used = _round_units(self._shared.list_used(now))
+            group_used = _round_units(self._allowances.list_used(now))
         if scope is mesh.Scope.FAR:
             ages = self._freshness.list_group_ages(now)
         else:
@@ -68,7 +68,7 @@
         levels = quotas.Usage()
         if scope is mesh.Scope.WHOLE:
             self._sent_usage = usage
-            levels = _round_units(self._shared.list_levels(now))
+            levels = _round_units(self._allowances.list_levels(now))
         return messages.HostState(
             host=self._config.host,
             incarnation=self._incarnation,
@@ -86,7 +86,7 @@
             group_asked=group_asked,
             answer_ages=ages,
             group_used=group_used,
-            hosts=self._shared.count_hosts(now),
+            hosts=self._allowances.count_hosts(now),
             levels=levels,
         )
 
@@ -94,7 +94,7 @@
         """Return what near peers decide by and may have changed."""
         now = clocks.read_monotonic()
         running = messages.digest_starts(self._schedule.places.running)
-        usage = _round_units(self._shared.buckets.usage)
+        usage = _round_units(self._allowances.buckets.usage)
         return messages.HostChange(
             process=self._process,
             number=number,
