--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -38,7 +38,7 @@
         self._replica = replica
         self._freshness = ages
         self._allowances = shared
-        self._schedule = schedule
+        self._scheduler = schedule
         self._others = others
         self._reads_store = reads_store
         self._is_stopping = is_stopping
@@ -62,7 +62,7 @@
         if scope is mesh.Scope.FAR:
             ages = self._freshness.list_group_ages(now)
         else:
-            running = dict(self._schedule.places.running)
+            running = dict(self._scheduler.places.running)
             ranks = self._list_ranks(now)
             ages = self._list_near_ages(now, is_full_state=True)
         levels = quotas.Usage()
@@ -93,7 +93,7 @@
     def make_change(self, number: int) -> messages.HostChange:
         """Return what near peers decide by and may have changed."""
         now = clocks.read_monotonic()
-        running = messages.digest_starts(self._schedule.places.running)
+        running = messages.digest_starts(self._scheduler.places.running)
         usage = _round_units(self._allowances.buckets.usage)
         return messages.HostChange(
             process=self._process,
@@ -119,7 +119,7 @@
     def _list_ranks(self, now: float) -> dict[ids.Pool, list[waiting.Rank]]:
         return {
             service: [rank.shift(-now) for rank in items[: mesh.RANKS]]
-            for service, items in self._schedule.list_waiting(now).items()
+            for service, items in self._scheduler.list_waiting(now).items()
         }
 
 
