--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -39,7 +39,7 @@
         self._freshness = ages
         self._allowances = shared
         self._scheduler = schedule
-        self._others = others
+        self._mesh = others
         self._reads_store = reads_store
         self._is_stopping = is_stopping
         # Totals that near peers were told with the last whole state.
@@ -51,7 +51,7 @@
         """Return the whole state for hosts of a kind."""
         now = clocks.read_monotonic()
         asked = group_asked = group_used = quotas.Usage()
-        if self._others.partition.count > 1:
+        if self._mesh.partition.count > 1:
             asked = _round_units(self._allowances.buckets.list_asked(now))
             group_asked = _round_units(self._allowances.sum_group_asked(asked))
         running: dict[ids.RunnerStart, int] = {}
