--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
@@ -44,7 +44,7 @@
         self._lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
         self._thread = threading.Thread(target=self._write, daemon=True)
         self._allowed = BURST_LINES
-        self._seen_at = time.monotonic()
+        self._refilled_at = time.monotonic()
         self._dropped = 0
 
     def start(self) -> None:
@@ -78,8 +78,8 @@
         self._dropped = 0
 
     def _may_write(self, now: float) -> bool:
-        passed = now - self._seen_at
-        self._seen_at = now
+        passed = now - self._refilled_at
+        self._refilled_at = now
         allowed = self._allowed + passed * LINES_PER_S
         self._allowed = min(BURST_LINES, allowed)
         if self._allowed < 1:
