--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
@@ -43,7 +43,7 @@
         self._fields = fields
         self._lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
         self._thread = threading.Thread(target=self._write, daemon=True)
-        self._allowed = BURST_LINES
+        self._tokens = BURST_LINES
         self._refilled_at = time.monotonic()
         self._dropped = 0
 
@@ -80,11 +80,11 @@
     def _may_write(self, now: float) -> bool:
         passed = now - self._refilled_at
         self._refilled_at = now
-        allowed = self._allowed + passed * LINES_PER_S
-        self._allowed = min(BURST_LINES, allowed)
-        if self._allowed < 1:
+        allowed = self._tokens + passed * LINES_PER_S
+        self._tokens = min(BURST_LINES, allowed)
+        if self._tokens < 1:
             return False
-        self._allowed -= 1
+        self._tokens -= 1
         return True
 
     def _write(self) -> None:
