--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
@@ -59,7 +59,7 @@
 
     def __call__(self, message: dict[str, ty.Any]) -> None:
         """Take one message of eliot's."""
-        if not self._may_write(time.monotonic()):
+        if not self._take_token(time.monotonic()):
             self._dropped += 1
             return
         line = {
@@ -77,7 +77,7 @@
             return
         self._dropped = 0
 
-    def _may_write(self, now: float) -> bool:
+    def _take_token(self, now: float) -> bool:
         passed = now - self._refilled_at
         self._refilled_at = now
         allowed = self._tokens + passed * LINES_PER_S
