--- a/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
@@ -10,7 +10,8 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
 
 __all__ = [
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -18,7 +18,8 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import records, timing
+from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.replication import timing
 
 __all__ = ['Freshness', 'Readers']
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -16,7 +16,12 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import addresses, clocks, codec, errors, frames, sockets
+from apricotlanding import addresses
+from apricotlanding import clocks
+from apricotlanding import codec
+from apricotlanding import errors
+from apricotlanding import frames
+from apricotlanding import sockets
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.replication import records
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -17,7 +17,9 @@
 
 from apricotlanding import clocks
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import freshness, records, timing
+from apricotlandingd.gateway.replication import freshness
+from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.replication import timing
 
 __all__ = ['StoreReader']
 
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -7,11 +7,13 @@
 import eliot
 import testtools
 
-import gatewayparts
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import noticelimit
-from apricotlandingd.gateway.process import inputerrors, logwriter, telemetry
+from apricotlandingd.gateway.process import inputerrors
+from apricotlandingd.gateway.process import logwriter
+from apricotlandingd.gateway.process import telemetry
 from apricotlandingd.gateway.runners import directory
+import gatewayparts
 
 
 class TestDirectory(testtools.TestCase):
--- a/tests/test_gateway_catchup.py
+++ b/tests/test_gateway_catchup.py
@@ -9,12 +9,10 @@
 
 from apricotlanding import addresses
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import (
-    catchup,
-    recordexchange,
-    records,
-    timing,
-)
+from apricotlandingd.gateway.replication import catchup
+from apricotlandingd.gateway.replication import recordexchange
+from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.replication import timing
 
 # Seconds in which a configuration must be in force, and what may pass until
 # the records are here: the peer's message came before, and time is left for
--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -6,9 +6,12 @@
 import anyio.lowlevel
 import testtools
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import freshness, records, storereader
+from apricotlandingd.gateway.replication import freshness
+from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.replication import storereader
 
 # Seconds after the last record in which it has surely been read.
 SETTLE_S = 0.5
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -7,7 +7,9 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.replication import freshness, records, timing
+from apricotlandingd.gateway.replication import freshness
+from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.replication import timing
 
 # The bounds on changes that the settings may name, in seconds.
 BOUND_S = 2.0
