--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -1,18 +1,17 @@
-"""How long hosts wait for the store, derived from the bounds of the settings.
-
-A change that the store took has to be known on every host within a bound. A
-read that waits at the store brings it at once, unless the read is lost: the
-store fell silent, or the connection did, and nothing shows it before the
-whole wait is over. One host could only guard against that with waits shorter
-than the bound, and would make four times as many calls.
-
-Hosts share the work instead. Each tells its peers how long ago the store last
-answered it, so a group knows how old its newest answer is. Reads of a group
-are spread so that one of them ends every moment (``find_staggered_wait``), and an
-answer that is missed shows soon on every host. When the newest answer is
-older than ``Timing.max_answer_age_s``, one host after the other asks the store
-anew (``freshness``), and the others hear what is new from the host that got
-an answer.
+"""Timeouts and intervals of the store readers, derived from one bound.
+
+The settings bound the time until a change that the store accepted is known on
+every host. A long poll delivers it at once, unless the read is lost: the store
+or the connection stopped responding, and the host notices only when the whole
+wait is over. A single host could guard against that only with waits shorter
+than the bound, which takes four times as many calls.
+
+Hosts share this work. Each tells its peers the age of the store's last answer,
+so a group knows the age of its newest answer. Reads of a group are staggered
+(``find_staggered_wait``), so a missed answer is soon noticed on every host.
+When the newest answer is older than ``Timing.max_answer_age_s``, one host
+after another probes the store (``freshness``), and the others get new records
+from the host that was answered.
 """
 
 import dataclasses
@@ -28,59 +27,57 @@
     'find_read_wait',
 ]
 
-# Seconds that a read waits at the store at most. Answers of seven hosts are
-# then 0.7 s apart, and each host makes 0.4 calls a second for two topics.
+# Longest time that a read waits at the store. With seven hosts, answers are then
+# 0.7 s apart, and each host makes 0.4 calls a second for two topics.
 MAX_READ_WAIT_S = 5.0
-# Seconds after its last answer for which the store counts as reached by a
-# host: the longest wait, and a second each for the answer and for a host
-# that is slow.
+# A host whose last answer is older does not count as reaching the store: the
+# longest wait, plus a second for the answer and one for a slow host.
 MAX_STORE_ANSWER_AGE_S = MAX_READ_WAIT_S + 2.0
-# Shortest bound, in seconds, that is taken as it is. Below it messages between
-# hosts are too slow to keep it, and hosts would ask the store without end.
+# Shorter bounds are raised to this. Messages between hosts are too slow to keep
+# them, and hosts would query the store continuously.
 MIN_BOUND_S = 0.4
-# Parts of a bound. Half of it may pass until the group knows that reads are
-# lost. Of the rest, a turn or two go to hosts that do not ask because they
-# have just died, one fetch to a peer that has, and a quarter is left for
-# hosts that are slow.
+# Shares of a bound. Half of it may pass until the group detects that reads are
+# lost. The rest covers a turn or two of hosts that have just died and do not
+# probe, one fetch from a peer that has just died, and a quarter for slow hosts.
 MAX_ANSWER_AGE_SHARE = 0.5
-# Time that a host leaves to the one whose turn to ask is before its own: an
-# answer takes milliseconds, and peers hear of it within 20 ms.
+# Delay between the turns of two hosts: an answer takes milliseconds, and peers
+# hear of it within 20 ms.
 PROBE_STAGGER_SHARE = 0.05
-# An answer of another group is handed on at once if it is newer by this time
-# than all that is known here.
+# An answer of another group is forwarded at once if it is newer by this than
+# every answer known here.
 FORWARD_THRESHOLD_SHARE = 0.1
-# A peer that is ahead and does not answer is given up after this time, for
-# another one: it died or froze just after it spoke.
+# Timeout of a fetch from a peer that is ahead, before another one is asked: the
+# peer may have died or frozen just after its message.
 FETCH_TIMEOUT_SHARE = 0.2
-# Time between two probes of one host: each host of a group adds a turn, and
-# two bounds hold for very few and very many hosts.
+# Limits of the interval between two probes of one host. Each host of a group
+# adds one stagger; the limits apply to very small and very large groups.
 MIN_PROBE_INTERVAL_SHARE = 0.25
 MAX_PROBE_INTERVAL_SHARE = 0.5
-# Part of ``max_answer_age_s`` in which an answer is due while all is well, so
-# that nobody asks for lack of one.
+# Share of ``max_answer_age_s`` within which answers arrive in normal operation,
+# so that no host probes.
 ANSWER_SPACING_SHARE = 0.75
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """What follows from one bound; all in seconds."""
+    """Timeouts and intervals derived from one bound, in seconds."""
 
-    # Age of the group's newest answer from which on it asks anew.
+    # Age of the group's newest answer above which hosts probe the store.
     max_answer_age_s: float
-    # How much later each next host asks.
+    # Delay between the turns of two hosts to probe.
     probe_stagger_s: float
-    # By how much an answer of another group must be newer to be urgent.
+    # How much newer an answer of another group must be to be forwarded at once.
     forward_threshold_s: float
-    # How long a peer may take to hand on what it knows.
+    # Timeout of a fetch of records from a peer.
     fetch_timeout_s: float
-    # Least and most time between two probes of one host.
+    # Limits of the interval between two probes of one host.
     min_probe_interval_s: float
     max_probe_interval_s: float
 
 
 def derive_timing(bound_s: float) -> Timing:
-    """Return what keeps a bound on the time until a change is known."""
+    """Return the timing that keeps a bound on the delay of changes."""
     bound_s = max(MIN_BOUND_S, bound_s)
     return Timing(
         max_answer_age_s=bound_s * MAX_ANSWER_AGE_SHARE,
@@ -95,8 +92,8 @@
 def find_read_wait(timing: Timing, readers: int) -> float:
     """Return how long a read waits for records, in seconds.
 
-    With few readers it is so short that their answers, evenly spread, still
-    come in time.
+    With few readers the wait is short enough for their evenly staggered
+    answers to keep the bound.
     """
     spacing = timing.max_answer_age_s * ANSWER_SPACING_SHARE
     return min(MAX_READ_WAIT_S, spacing * readers)
@@ -105,20 +102,21 @@
 def find_staggered_wait(timing: Timing, index: int, readers: int) -> float:
     """Return how long the first read after new records waits.
 
-    A record ends the reads of all hosts at the same moment. If the next ones
-    began and ended together, a silence of a moment would swallow all of them.
-    So each host starts with another part of the whole wait, by its place
-    among the readers, and their reads end one after the other from then on.
+    A record ends the reads of all hosts at the same time. If the next reads
+    also started and ended together, a short outage could lose all of them. So
+    each host first waits a share of the full wait that grows with its index
+    among the readers, and from then on their reads end one after another.
     """
     return find_read_wait(timing, readers) * (index + 1) / readers
 
 
 def find_probe_interval(timing: Timing, hosts: int) -> float:
-    """Return the time between two probes of one host of a group, in seconds.
+    """Return the interval between two probes of one host, in seconds.
 
-    In an outage every host of the group asks: those that were read from by
-    the others are no better off. More hosts ask more rarely, so that a store
-    that comes back meets as many calls of few hosts as of many.
+    In an outage every host of the group probes, since the usual readers reach
+    the store no better than the others. Hosts of a larger group probe less
+    often, so a store that recovers gets about as many calls from a large
+    group as from a small one.
     """
     gap = timing.probe_stagger_s * hosts
     return max(
