--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -544,7 +544,7 @@
             state.incarnation, state.usage, state.hosts == 0, now
         )
         if self._mesh.partition.is_near(state.host):
-            self._freshness.hear(
+            self._freshness.update_near(
                 state.host,
                 state.answer_ages,
                 state.positions,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -1,16 +1,16 @@
-"""How old the newest answer of the store is, as a group of hosts knows it.
-
-An answer, with records or without, proves that its host knows all that the
-store had at that moment. Hosts tell each other the age of their newest answer
-to each topic. A host that has the records of the one that tells may go by
-that answer as by one of its own; one that lacks them may not, and fetches
-them first (``catchup``).
-
-Of several groups, each has a few hosts that read. They tell the newest answer
-of their group to hosts of others, and those that do not read hand it on in
-their own group, and no further. Were ages handed on without end, the time
-that each message takes would be lost each time, and an answer would stay
-young for as long as hosts repeat it to each other.
+"""Age of the store's newest answer, as known to a group of hosts.
+
+An answer, with or without records, proves that its host knew everything that
+the store held at that moment. Hosts tell each other the age of their newest
+answer to each topic. A host that has all records of the reporting peer may
+count that answer as its own; one that lacks some must fetch them first
+(``catchup``).
+
+In a system of several groups, a few hosts of each group read the store. They
+send the age of their group's newest answer to hosts of other groups. Hosts
+that do not read forward such ages within their own group, and no further: each
+message adds a delay that the age does not contain, so an answer that hosts
+repeated to each other without limit would never seem to grow old.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
 
 __all__ = ['Freshness', 'Readers']
 
-# Largest age in a message, in seconds. Older answers say nothing.
+# Largest age in a message. Older answers carry no information.
 MAX_REPORTED_AGE_S = 60.0
 MS_PER_S = 1000
 
@@ -31,22 +31,22 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Readers:
-    """The hosts that follow the store, as one of them sees it."""
+    """The hosts that read the store, as seen by one host."""
 
     # Without this host.
     others: tuple[ids.Host, ...]
     own: ids.Host
-    # This host is one of them; the rest hear from them.
+    # This host reads too; hosts that do not get records from readers.
     is_reading: bool
 
     @property
     def count(self) -> int:
-        """Return how many there are if this host reads."""
+        """Return the number of readers if this host reads."""
         return len(self.others) + 1
 
     @property
     def index(self) -> int:
-        """Return this host's place among them, by name."""
+        """Return this host's index among the readers, by name."""
         return sum(host < self.own for host in self.others)
 
 
@@ -55,15 +55,15 @@
 class _Answer:
     # When the store answered, on this host's clock.
     at: float
-    # Next offset that the host knew by it.
+    # Next offset after the records that the answering host knew.
     position: int
-    # The store gave it to this group; others are not handed on.
+    # A host of this group got it; answers of others are not forwarded.
     is_from_group: bool
 
 
 @ty.final
 class Freshness:
-    """The newest answer to each topic: this host's and its peers'."""
+    """Newest answers to each topic, of this host and its peers."""
 
     def __init__(
         self, replica: records.Replica, bounds: dict[dialect.Topic, float]
@@ -76,25 +76,25 @@
         self.timing: dict[dialect.Topic, timing.Timing] = {}
         self.set_bounds(bounds)
         self._own: dict[dialect.Topic, float] = {}
-        # Near peers were told of the newest answers.
+        # Near peers were sent the ages of the newest answers.
         self._is_announced = True
         # Answers of near peers, and the newest one of far peers.
         self._near: dict[ids.Host, dict[dialect.Topic, _Answer]] = {}
         self._far: dict[dialect.Topic, _Answer] = {}
 
     def set_bounds(self, bounds: dict[dialect.Topic, float]) -> None:
-        """Take the operators' bounds."""
+        """Replace the operators' bounds."""
         self.timing = {
             topic: timing.derive_timing(bound)
             for topic, bound in bounds.items()
         }
 
     def record_answer(self, topic: dialect.Topic, at: float) -> None:
-        """Take an answer of the store to this host."""
+        """Record an answer of the store to this host."""
         self._own[topic] = max(at, self._own.get(topic, at))
         self._is_announced = False
 
-    def hear(
+    def update_near(
         self,
         host: ids.Host,
         ages_ms: list[int],
@@ -102,9 +102,9 @@
         is_own: bool,
         now: float,
     ) -> None:
-        """Take what a near peer tells, in the order of the topics.
+        """Store the answer ages of a near peer, in the order of the topics.
 
-        ``is_own`` says that the store gave these answers to the peer.
+        ``is_own`` says that the peer itself got these answers.
         """
         if not ages_ms:
             return
@@ -117,8 +117,8 @@
         positions: list[int],
         now: float,
     ) -> None:
-        """Take what a far peer tells of its group."""
-        # It may have been near before.
+        """Store the answer ages that a far peer sent for its group."""
+        # The peer may have been near before.
         self.forget(host)
         answers = _make_answers(ages_ms, positions, False, now)
         for topic, answer in answers.items():
@@ -136,22 +136,22 @@
                 self._is_announced = False
 
     def forget(self, host: ids.Host) -> None:
-        """Drop what a peer told."""
+        """Drop the answers of a peer."""
         self._near.pop(host, None)
 
     def count_group_hosts(self) -> int:
-        """Return how many hosts are in the group, this one included."""
+        """Return the number of hosts in the group, including this one."""
         return 1 + len(self._near)
 
     def list_near_ages(
         self, now: float, is_reader: bool, is_full_state: bool
     ) -> list[int]:
-        """Return the ages of answers for near peers.
+        """Return the answer ages to send to near peers.
 
-        Those of this host if it reads the store; else the newest, also of
-        other groups. Between whole messages only new answers are told: peers
-        get up to fifty messages a second from each host, and few of them
-        follow an answer.
+        These are the ages of this host's own answers if it reads the store,
+        and otherwise of the newest ones, including other groups'. Between full
+        states only new answers are sent: each host sends up to fifty messages
+        a second, and few of them follow an answer.
         """
         if self._is_announced and not is_full_state:
             return []
@@ -162,7 +162,7 @@
         ]
 
     def list_group_ages(self, now: float) -> list[int]:
-        """Return the ages of the group's newest answers, for far peers."""
+        """Return the ages of the group's newest answers for far peers."""
         return [
             _round_age(self._find_group_newest(topic), now)
             for topic in records.TOPICS
@@ -171,10 +171,10 @@
     def find_due(
         self, topic: dialect.Topic, now: float, readers: Readers
     ) -> float:
-        """Return when it is this host's turn to ask the store anew.
+        """Return when this host may probe the store.
 
-        The host whose own answer is the oldest goes first: after asking, its
-        reads end at another time than those of the others.
+        The host whose own answer is the oldest goes first, because its reads
+        then end at another time than those of the other hosts.
         """
         newest = self._find_newest(topic)
         if newest is None:
@@ -227,7 +227,7 @@
         self, topic: dialect.Topic, readers: Readers
     ) -> int:
         if not readers.is_reading:
-            # Those that read go first, whatever this host was answered once.
+            # Readers go first, however recent this host's last answer is.
             return readers.count + sum(
                 host < readers.own for host in self._near
             )
@@ -238,8 +238,8 @@
             answer = self._near.get(host, {}).get(topic)
             if answer is None:
                 continue
-            # Answers of the same moment are told apart by name: messages
-            # take a few milliseconds, which differ.
+            # Host names break ties between answers of about the same time,
+            # since message delays differ by a few milliseconds.
             is_older = answer.at < own - turn
             is_same = abs(answer.at - own) <= turn
             if is_older or (is_same and host < readers.own):
@@ -253,8 +253,8 @@
     is_from_group: bool,
     now: float,
 ) -> dict[dialect.Topic, _Answer]:
-    # An answer from the future would count for as long as it lies ahead, and
-    # lost reads would not be noticed until then.
+    # Negative ages count as zero: an answer in the future would hide lost
+    # reads until its time had come.
     return {
         topic: _Answer(
             now - max(0, age_ms) / MS_PER_S, position, is_from_group
@@ -266,7 +266,8 @@
 
 
 def _round_age(at: float | None, now: float) -> int:
-    # Whole milliseconds take three bytes in a message, seconds nine.
+    # Integer milliseconds take three bytes in a message; float seconds take
+    # nine.
     age = (
         MAX_REPORTED_AGE_S if at is None else min(MAX_REPORTED_AGE_S, now - at)
     )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -27,18 +27,19 @@
     'find_read_wait',
 ]
 
-# Longest time that a read waits at the store. With seven hosts, answers are then
-# 0.7 s apart, and each host makes 0.4 calls a second for two topics.
+# Longest time that a read waits at the store. With seven hosts, answers are
+# then 0.7 s apart, and each host makes 0.4 calls a second for two topics.
 MAX_READ_WAIT_S = 5.0
 # A host whose last answer is older does not count as reaching the store: the
 # longest wait, plus a second for the answer and one for a slow host.
 MAX_STORE_ANSWER_AGE_S = MAX_READ_WAIT_S + 2.0
-# Shorter bounds are raised to this. Messages between hosts are too slow to keep
-# them, and hosts would query the store continuously.
+# Shorter bounds are raised to this. Messages between hosts are too slow to
+# keep them, and hosts would query the store continuously.
 MIN_BOUND_S = 0.4
 # Shares of a bound. Half of it may pass until the group detects that reads are
 # lost. The rest covers a turn or two of hosts that have just died and do not
-# probe, one fetch from a peer that has just died, and a quarter for slow hosts.
+# probe, one fetch from a peer that has just died, and a quarter for slow
+# hosts.
 MAX_ANSWER_AGE_SHARE = 0.5
 # Delay between the turns of two hosts: an answer takes milliseconds, and peers
 # hear of it within 20 ms.
@@ -46,15 +47,15 @@
 # An answer of another group is forwarded at once if it is newer by this than
 # every answer known here.
 FORWARD_THRESHOLD_SHARE = 0.1
-# Timeout of a fetch from a peer that is ahead, before another one is asked: the
-# peer may have died or frozen just after its message.
+# Timeout of a fetch from a peer that is ahead, before another one is asked:
+# the peer may have died or frozen just after its message.
 FETCH_TIMEOUT_SHARE = 0.2
 # Limits of the interval between two probes of one host. Each host of a group
 # adds one stagger; the limits apply to very small and very large groups.
 MIN_PROBE_INTERVAL_SHARE = 0.25
 MAX_PROBE_INTERVAL_SHARE = 0.5
-# Share of ``max_answer_age_s`` within which answers arrive in normal operation,
-# so that no host probes.
+# Share of ``max_answer_age_s`` within which answers arrive in normal
+# operation, so that no host probes.
 ANSWER_SPACING_SHARE = 0.75
 
 
@@ -67,7 +68,8 @@
     max_answer_age_s: float
     # Delay between the turns of two hosts to probe.
     probe_stagger_s: float
-    # How much newer an answer of another group must be to be forwarded at once.
+    # How much newer an answer of another group must be to be forwarded at
+    # once.
     forward_threshold_s: float
     # Timeout of a fetch of records from a peer.
     fetch_timeout_s: float
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -155,7 +155,7 @@
         for other in self.hosts:
             if other is host or other.group != host.group:
                 continue
-            other.fresh.hear(
+            other.fresh.update_near(
                 host.name, ages, positions, host.is_reading, self.now
             )
 
@@ -247,14 +247,14 @@
 
     def test_answer_of_a_peer_counts(self) -> None:
         _, fresh = self.make_fresh()
-        fresh.hear(ids.Host('host-b'), [100, 100], [0, 0], True, 5.0)
+        fresh.update_near(ids.Host('host-b'), [100, 100], [0, 0], True, 5.0)
         self.assertEqual(4.9 + BOUND_S / 2, self.find_due(fresh, 5.0))
 
     def test_answer_of_a_peer_that_is_ahead_does_not_count(self) -> None:
         # The peer's answer held a record that this host does not have. If it
         # counted and the peer died, nobody would ask for the record.
         replica, fresh = self.make_fresh()
-        fresh.hear(ids.Host('host-b'), [100, 100], [1, 1], True, 5.0)
+        fresh.update_near(ids.Host('host-b'), [100, 100], [1, 1], True, 5.0)
         self.assertEqual(BOUND_S / 2, self.find_due(fresh, 5.0))
         record = dialect.Record('config', 0, b'value')
         replica.apply(TOPIC, dialect.Batch((record,), 1), is_snapshot=False)
@@ -274,13 +274,13 @@
         ages = fresh.list_near_ages(5.0, False, True)
         self.assertEqual(100, ages[0])
         _, near = self.make_fresh()
-        near.hear(ids.Host('host-c'), ages, [0, 0], False, 5.0)
+        near.update_near(ids.Host('host-c'), ages, [0, 0], False, 5.0)
         self.assertEqual(4.9 + BOUND_S / 2, self.find_due(near, 5.0))
         self.assertEqual(5000, near.list_group_ages(5.0)[0])
 
     def test_answer_of_a_near_peer_is_told_to_other_groups_only(self) -> None:
         _, fresh = self.make_fresh()
-        fresh.hear(ids.Host('host-b'), [100, 100], [0, 0], True, 5.0)
+        fresh.update_near(ids.Host('host-b'), [100, 100], [0, 0], True, 5.0)
         self.assertEqual(100, fresh.list_group_ages(5.0)[0])
         self.assertEqual(5000, fresh.list_near_ages(5.0, True, True)[0])
 
@@ -288,12 +288,14 @@
         # A peer whose clock or message is wrong must not keep this host from
         # asking the store.
         _, fresh = self.make_fresh()
-        fresh.hear(ids.Host('host-b'), [-60000, 0], [0, 0], True, 5.0)
+        fresh.update_near(ids.Host('host-b'), [-60000, 0], [0, 0], True, 5.0)
         self.assertEqual(5.0 + BOUND_S / 2, self.find_due(fresh, 5.0))
 
     def test_host_that_does_not_read_goes_last(self) -> None:
         _, fresh = self.make_fresh()
-        fresh.hear(ids.Host('host-b'), [60000, 60000], [0, 0], True, 5.0)
+        fresh.update_near(
+            ids.Host('host-b'), [60000, 60000], [0, 0], True, 5.0
+        )
         own = ids.Host('host-c')
         others = (ids.Host('host-b'),)
         due = [
