--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/__init__.py
@@ -1,7 +1,8 @@
-"""Records of the configuration and of runners, copied to every host.
+"""Configuration and runner records, replicated to every host.
 
-``records`` merges what comes by offset. ``storereader`` follows the platform's
-store, for as long as ``timing`` says, and ``freshness`` knows when its answers
-are too old. ``recordexchange`` hands records on from host to host, and
-``catchup`` asks for them.
+``records`` holds a host's replica and merges new records by offset.
+``storereader`` reads the platform's store with the waits that ``timing``
+derives, and ``freshness`` tracks the age of the store's answers.
+``recordexchange`` transfers records between hosts, and ``catchup`` decides
+when to fetch them.
 """
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/records.py
@@ -1,14 +1,14 @@
-"""The records that all hosts go by: configuration and runners.
+"""A host's replica of the configuration and runner records.
 
 Each host keeps the newest record of each key of two topics (``Replica``). They
-come from the platform's store by a long poll, or from a peer that is ahead.
-A store that turns this host away, or is out, is thereby made up for by any
-peer that still reads it; and in a large system only some hosts read the
-store, and the rest hears from them.
+come from the platform's store by long poll, or from a peer that is ahead. So a
+host that the store rejects or does not answer gets them from any peer that
+still reads the store; and in a large system only some hosts read the store,
+and the others get records from them.
 
 A record is applied only if its offset is higher than that of the record it
-replaces, so nothing ever goes back: not by a stale read, nor by a peer that
-is behind.
+replaces, so neither a stale read nor a peer that is behind can restore an old
+value.
 """
 
 import collections.abc
@@ -27,11 +27,11 @@
     'list_positions',
 ]
 
-# Next offset of each topic, as far as it is known without a gap.
+# Next offset of each topic; all records before it are known.
 Positions = dict[dialect.Topic, int]
 TOPICS: ty.Final = (dialect.CONFIG, dialect.RUNNERS)
-# Removed keys whose offsets are remembered, so that a peer that is behind
-# cannot bring them back.
+# Removed keys whose offsets are kept, so that a peer that is behind cannot
+# restore them.
 MAX_REMOVED_KEYS = 2000
 
 Observer = collections.abc.Callable[[dialect.Topic, dialect.Record], None]
@@ -42,34 +42,34 @@
 
 @ty.final
 class Replica:
-    """The newest record of each key."""
+    """The newest record of each key in each topic."""
 
     def __init__(self) -> None:
         """Start without any record."""
         self._records: dict[dialect.Topic, dict[str, dialect.Record]] = {
             topic: {} for topic in TOPICS
         }
-        # 0 until a topic is known as a whole.
+        # 0 until the whole topic has been read.
         self.positions: Positions = dict.fromkeys(TOPICS, 0)
         self._observers: list[Observer] = []
-        # Called with each record that came without a key that can be read.
-        # Filled in by the daemon.
+        # Called with each record whose key cannot be decoded. Set by the
+        # gateway.
         self.on_corrupt_record: CorruptRecordObserver = (
             lambda topic, corrupt_record: None
         )
         self.changed = anyio.Event()
 
     def add_observer(self, observer: Observer) -> None:
-        """Call a function with each record that is applied."""
+        """Register a function to be called with each applied record."""
         self._observers.append(observer)
 
     def apply(
         self, topic: dialect.Topic, batch: dialect.Batch, is_snapshot: bool
     ) -> None:
-        """Take records that follow on what is known.
+        """Apply a batch that follows the known records, or a snapshot.
 
-        A whole batch holds every key of the topic: what it lacks, and what
-        is not newer than it, was removed.
+        A snapshot holds every key of the topic: a known key that it lacks was
+        removed, unless its record is newer than the snapshot.
         """
         for record in batch.records:
             self._apply_record(topic, record)
@@ -130,12 +130,12 @@
 
 
 def list_positions(positions: Positions) -> list[int]:
-    """Return positions in the order of ``TOPICS``, for messages."""
+    """Return positions in the order of ``TOPICS``, as in messages."""
     return [positions[topic] for topic in TOPICS]
 
 
 def is_ahead(theirs: list[int], own: Positions) -> bool:
-    """Tell whether a peer knows records that this host does not."""
+    """Tell whether a peer has records that this host lacks."""
     return any(
         offset > own[topic]
         for topic, offset in zip(TOPICS, theirs, strict=False)
@@ -143,5 +143,5 @@
 
 
 def has_all_topics(own: Positions) -> bool:
-    """Tell whether every topic is known."""
+    """Tell whether every topic has been read."""
     return all(own[topic] > 0 for topic in TOPICS)
