--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -1,11 +1,11 @@
-"""Records between hosts: asking a peer that is ahead, and answering.
+"""Transfer of records between hosts.
 
-One connection, one question, one reply, as length-prefixed msgpack. Used
-when a peer's positions show that it knows more, which is when the store
-turns this host away or is slower than the peer's message.
+Each connection carries one query and one reply, as length-prefixed msgpack. A
+host queries a peer whose positions are ahead, which happens when the store
+rejects this host or is slower than the peer's message.
 
-Anybody can connect and ask, and what listens at a peer's address may be
-another program by now. Bytes that are no question or no reply end that one
+Any program can connect to the server, and another program may listen at a
+peer's address by now. Bytes that are not a valid query or reply end only that
 connection, and are reported.
 """
 
@@ -28,28 +28,28 @@
 
 __all__ = ['EXCHANGE_TIMEOUT_S', 'RecordExchange']
 
-# Longest time for a question and its reply, in seconds; a configuration of
-# several hundred routes is some 100 KB.
+# Timeout of a query and its reply. A configuration of several hundred routes
+# is about 100 KB.
 EXCHANGE_TIMEOUT_S = 1.5
-# Largest frame between hosts of one system, in bytes.
+# Largest reply that is accepted.
 FRAME_LIMIT_BYTES = 4 * 1024 * 1024
 
 
 @ty.final
 class RecordExchange:
-    """Hands records on to peers and takes them from peers."""
+    """Serves records to peers and fetches them from peers."""
 
     def __init__(self, replica: records.Replica) -> None:
-        """Serve and fill this board."""
+        """Serve records from a replica and apply fetched ones to it."""
         self._replica = replica
-        # Called with the peer's address and the reason for each question or
-        # reply that cannot be used. Filled in by the daemon.
+        # Called with the peer's address, the reason and the time for each
+        # invalid query or reply. Set by the gateway.
         self.on_unreadable: collections.abc.Callable[
             [str, str, float], None
         ] = lambda peer, detail, now: None
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        """Answer one peer's question."""
+        """Answer one peer's query."""
         link = frames.FrameStream(stream)
         try:
             with anyio.fail_after(EXCHANGE_TIMEOUT_S):
@@ -67,7 +67,7 @@
             await link.close()
 
     async def fetch(self, address: addresses.Address, timeout: float) -> bool:
-        """Take what a peer knows; False if it does not answer in time."""
+        """Apply a peer's records; return False if the fetch fails."""
         try:
             with anyio.fail_after(timeout):
                 page = await self._query_peer(address)
