--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -1,11 +1,11 @@
-"""Following one topic at the platform's store.
-
-Reads wait at the store until a record comes (a long poll). What shows that
-such a read is lost, and what is done then, is told in ``timing``: when no host
-of the group was answered for too long, this host in its turn gives up its
-read and asks without a wait (a probe), again and again, until the store
-answers it or a peer. Probes overlap: one that was swallowed does not keep the
-next one waiting, and a slow store has time to answer each of them.
+"""Reader of one topic of the platform's store.
+
+Reads are long polls: they wait at the store until a record comes. ``timing``
+explains how a lost read is detected. When no host of the group has been
+answered for too long, this host, in its turn, gives up its read and probes the
+store: it reads without a wait, repeatedly, until the store answers it or a
+peer. Probes overlap, so a lost one does not delay the next, and a slow store
+has time to answer each of them.
 """
 
 import collections.abc
@@ -23,23 +23,23 @@
 
 __all__ = ['StoreReader']
 
-# Seconds before the next try after a failed read, and their limit.
+# Delay before the retry of a failed read; it doubles up to the limit.
 INITIAL_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 1.0
-# Seconds between looks of a host that does not read whether it is to.
+# Interval at which a host that does not read checks whether it should.
 IDLE_POLL_INTERVAL_S = 0.1
-# Least seconds between looks whether the store must be asked anew.
+# Shortest interval between checks whether a probe is due.
 MIN_DUE_CHECK_INTERVAL_S = 0.02
-# Seconds between two reads of which the first brought records. Records come in
-# series (a storm of versions, a release of runners): in this time one call
-# gathers several, and it is short against the bounds for both topics, 2 s and
-# more.
+# Pause after a read that returned records. Records come in bursts, such as
+# many versions in a row or a release of runners; after the pause one call
+# fetches several of them. It is short compared with the bounds of both topics,
+# which are 2 s and more.
 BATCH_PAUSE_S = 0.1
 
 
 @ty.final
 class StoreReader:
-    """Follows one topic at the platform's store."""
+    """Reads the records of one topic from the platform's store."""
 
     def __init__(
         self,
@@ -54,11 +54,11 @@
         probe_lock: anyio.Lock,
         rng: random.Random,
     ) -> None:
-        """Prepare.
+        """Create a reader that has not read anything.
 
-        ``on_outage`` is called when the store does not serve this host, and
-        when it does again; ``on_return`` when it had served no host;
-        ``on_answer`` when it has answered. The topics of one host share
+        ``on_outage`` is called when the store stops or resumes serving this
+        host; ``on_return`` when it serves again after it served no host;
+        ``on_answer`` after each answer. The topics of one host share
         ``probe_lock``.
         """
         self._topic = topic
@@ -71,19 +71,19 @@
         self._on_answer = on_answer
         self._probe_lock = probe_lock
         self._rng = rng
-        # When the store answered last; None before the first answer.
+        # Time of the last answer; None before the first one.
         self.last_answer_at: float | None = None
         self._is_lost = False
-        # A probe failed: the store serves no host of the group.
+        # A probe failed, so the store serves no host of the group.
         self._is_outage = False
         # The store has no record of the topic.
         self._is_empty = False
-        # The last answer had records, and ended the reads of other hosts too.
+        # The last answer had records, which ended the reads of all hosts.
         self._had_records = False
         self._retry_delay_s = INITIAL_RETRY_DELAY_S
 
     async def run(self) -> None:
-        """Read for as long as the daemon runs."""
+        """Read until cancelled."""
         while True:
             readers = self._find_readers()
             if self._is_due(readers):
@@ -93,7 +93,7 @@
             else:
                 await anyio.sleep(IDLE_POLL_INTERVAL_S)
 
-    # Waiting for records.
+    # Long polls.
 
     async def _follow(self, readers: freshness.Readers) -> None:
         async with anyio.create_task_group() as group:
@@ -121,10 +121,10 @@
             return
         if self._replica.positions[self._topic] != position:
             return
-        # A read that brings nothing has waited at the store. If it has not,
-        # the offsets there make no sense to us (the end lies before what was
-        # read, or the newest records before the first that is kept), and
-        # asking again at once would use up the calls of all hosts.
+        # A read without records should have waited at the store. If it did
+        # not, the store's offsets are inconsistent (its end lies before the
+        # position read, or the newest records before the first one kept), and
+        # reading again at once would use up the call quota of all hosts.
         passed = clocks.read_monotonic() - started_at
         await anyio.sleep(max(0.0, BATCH_PAUSE_S - passed))
 
@@ -145,7 +145,7 @@
                 return
             await anyio.sleep(max(MIN_DUE_CHECK_INTERVAL_S, due - now))
 
-    # Asking anew.
+    # Probes.
 
     def _is_due(self, readers: freshness.Readers) -> bool:
         now = clocks.read_monotonic()
@@ -155,9 +155,9 @@
         self._is_outage = False
         async with anyio.create_task_group() as group:
             while True:
-                # A store that is out answers on no topic: they take turns,
-                # with half the calls, and the second one follows at once
-                # when the first is answered.
+                # During an outage the store answers on no topic. The topics
+                # take turns, which halves the calls, and the second one
+                # follows at once when the first is answered.
                 async with self._probe_lock:
                     if not self._is_due(self._find_readers()):
                         break
@@ -166,7 +166,7 @@
             # The store answered a peer.
             group.cancel_scope.cancel()
         if self._is_outage:
-            # Registrations that lapsed in the outage come back from now on.
+            # Registrations that expired in the outage are renewed from now on.
             self._on_return(clocks.read_monotonic())
 
     def _find_probe_interval(self) -> float:
@@ -186,7 +186,7 @@
         self._handle_answer(clocks.read_monotonic())
         scope.cancel()
 
-    # One read.
+    # Single reads.
 
     async def _read(self, wait_s: float) -> None:
         position = self._replica.positions[self._topic]
@@ -206,7 +206,7 @@
         self._replica.apply(self._topic, batch, is_snapshot=False)
         answered_at = clocks.read_monotonic()
         if not self._had_records:
-            # The answer may have been under way for a while.
+            # The answer may have been delayed in transit.
             answered_at = min(answered_at, started_at + wait_s)
         self._fresh.record_answer(self._topic, answered_at)
 
@@ -215,9 +215,9 @@
         batch = await self._store.read_snapshot(self._topic)
         self._had_records = bool(batch.records or batch.corrupt_records)
         self._replica.apply(self._topic, batch, is_snapshot=True)
-        # A topic without any record is waited on from its start. Hosts that
-        # asked for all of it ten times a second made nearly a third of a
-        # quiet day's calls.
+        # An empty topic is read by long poll from its start. Snapshots of it,
+        # ten times a second, made up nearly a third of the calls on a day
+        # with little traffic.
         self._is_empty = batch.next_offset == 0
         self._fresh.record_answer(self._topic, started_at)
 
