--- a/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/dialect.py
@@ -1,9 +1,9 @@
-"""What an adapter supplies: how one platform writes what we have to know.
+"""Interfaces that the adapter of a platform implements.
 
-``Dialect`` turns a caller's headers into a ``RequestHead``, writes the
-headers of the call to a runner, and reads a runner's answer. ``Store`` reads
-the platform's records and decodes them. Both only translate; every decision
-is made by the modules that call them.
+``Dialect`` parses a caller's headers into a ``RequestHead``, writes the
+headers of the call to a runner, parses the head of its answer, and decodes
+configurations and registrations. ``Store`` reads the platform's records. Both
+only translate; the modules that call them make every decision.
 """
 
 import collections.abc
@@ -31,7 +31,7 @@
 ]
 
 HeaderList = list[tuple[bytes, bytes]]
-# A stream of records in the platform's store: 'config' or 'runners'.
+# A log of records in the platform's store: 'config' or 'runners'.
 Topic = ty.NewType('Topic', str)
 CONFIG = Topic('config')
 RUNNERS = Topic('runners')
@@ -40,64 +40,64 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestHead:
-    """What a caller's headers say."""
+    """Parsed headers of a caller's request."""
 
-    # Names this attempt of the caller; a retry has another one.
+    # Id of this attempt; each retry of the caller has another one.
     attempt: str
     hostname: str
     # The credential as sent; None if there is none.
     key: str | None
-    # Seconds that the caller will wait; None if it does not say.
+    # Seconds that the caller will wait; None if not stated.
     deadline_s: float | None
-    # Tokens of the prompt, and the most that may be generated.
+    # Tokens of the prompt, and the limit of generated tokens.
     prompt_tokens: int
     output_tokens: int
-    # Tokens that the caller expects to be generated: right in the median,
-    # often far off. None if it does not say.
+    # The caller's estimate of the generated tokens: correct in the median, but
+    # often far off. None if not stated.
     expected_tokens: int | None
-    # The tokens were stated by the caller.
+    # The caller stated the token counts.
     has_token_counts: bool
-    # Parts of the prompt in order: digest and tokens.
+    # Digest and tokens of each segment of the prompt, in order.
     prefix: tuple[tuple[str, int], ...]
-    # Position after which a broken stream goes on; '' for a whole one.
+    # Id of the event after which a broken stream resumes; '' to start it.
     last_event: str
-    # Headers that go on to the runner, as the caller wrote them.
+    # Headers that are forwarded to the runner unchanged.
     passed: tuple[tuple[bytes, bytes], ...]
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """What a runner's status and headers say."""
+    """Parsed status and headers of a runner's answer."""
 
     status: int
-    # The attempt that the answer names.
+    # Id of the attempt that the answer names.
     attempt: str
     # The runner states that it did not run the request.
     is_not_run: bool
-    # Another runner has this address now.
+    # Another runner uses this address now.
     is_other_runner: bool
-    # Bears the mark without which no success counts.
+    # Has the seal, without which a success is not accepted.
     is_sealed: bool
-    # Requests that run and wait at the runner; None if it does not say.
+    # Requests running and queued at the runner; None if not stated.
     load: tuple[int, int] | None
-    # Seconds after which the runner closes the connection if it is idle.
+    # Seconds after which the runner closes an idle connection.
     idle_s: float | None
-    # Headers that go on to the caller.
+    # Headers that are forwarded to the caller.
     passed: tuple[tuple[bytes, bytes], ...]
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerEntry:
-    """A runner as it registered itself."""
+    """A runner's registration."""
 
     start: ids.RunnerStart
     service: ids.Pool
     address: addresses.Address
     domain: ids.Domain
     slots: int
-    # Serves what it has and takes nothing new.
+    # Finishes its requests and accepts no new ones.
     is_draining: bool
 
 
@@ -108,16 +108,16 @@
 
     key: str
     offset: int
-    # None says that the key was removed.
+    # None if the key was removed.
     value: bytes | None
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class CorruptRecord:
-    """A record of which not even the key can be read."""
+    """A record whose key cannot be decoded."""
 
-    # None if the record does not tell its offset either.
+    # None if the offset cannot be decoded either.
     offset: int | None
     detail: str
 
@@ -125,36 +125,36 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Batch:
-    """Records read at once, and the offset to go on at."""
+    """Records of one read, and the offset of the next one."""
 
     records: tuple[Record, ...]
     next_offset: int
-    # What was left out of ``records``. The offset to go on at lies behind it:
-    # a reader that stopped before a bad record would never read another one.
+    # Left out of ``records``. The next offset lies after them: a reader that
+    # stopped at a corrupt record would never read another one.
     corrupt_records: tuple[CorruptRecord, ...] = ()
 
 
 class Unreadable(ValueError):
-    """Data from outside cannot be used; the text says why, and the remedy."""
+    """External data is invalid; the text states the reason and the remedy."""
 
 
 class StoreUnavailable(Exception):
-    """The store did not answer, or refused; try again later."""
+    """The store did not answer or rejected the call; retry later."""
 
 
 class HistoryGone(Exception):
-    """The records from this offset on were dropped; take a snapshot."""
+    """The records at this offset were deleted; read a snapshot."""
 
 
 class Dialect(ty.Protocol):
-    """How callers and runners of a platform write requests and answers."""
+    """Formats of a platform's requests, answers and records."""
 
     def read_request(
         self, method: str, target: str, headers: HeaderList
     ) -> RequestHead | None:
-        """Return what a caller's headers say; None if no attempt is named.
+        """Parse a caller's headers; return None if they name no attempt.
 
-        Raises Unreadable for headers that no call to a runner may have.
+        Raises Unreadable for headers that a call to a runner must not have.
         """
 
     def write_request(
@@ -168,25 +168,25 @@
         """Return the headers of a call to a runner."""
 
     def read_answer(self, status: int, headers: HeaderList) -> AnswerHead:
-        """Return what a runner's answer says."""
+        """Parse the head of a runner's answer."""
 
     def write_refusal(
         self, attempt: str, return_s: float | None
     ) -> HeaderList:
-        """Return the headers of an answer of ours.
+        """Return the headers of an answer that the gateway itself gives.
 
-        They name the attempt, and when to come back if that is given.
+        They name the attempt and, if given, the time until a retry.
         """
 
     def decode_catalogue(self, data: bytes) -> catalogue.Catalogue:
-        """Return a configuration; Unreadable if it is none."""
+        """Decode a configuration; raises Unreadable."""
 
     def decode_runner(self, key: str, data: bytes) -> RunnerEntry:
-        """Return a registration; Unreadable if it names no runner."""
+        """Decode a registration; raises Unreadable."""
 
 
 class Store(ty.Protocol):
-    """The platform's records."""
+    """The platform's store of records."""
 
     async def read_snapshot(self, topic: Topic) -> Batch:
         """Return the newest record of each key.
@@ -197,15 +197,16 @@
     async def read_from(
         self, topic: Topic, offset: int, wait_s: float
     ) -> Batch:
-        """Wait so long for records at or after an offset; may return none.
+        """Return records at or after an offset; wait for them if none exist.
 
+        The batch is empty if none come within ``wait_s`` seconds.
         Raises StoreUnavailable or HistoryGone.
         """
 
     async def read_hosts(
         self,
     ) -> collections.abc.Mapping[ids.Host, addresses.Address | Unreadable]:
-        """Return where hosts said that they listen for peers.
+        """Return the peer addresses that hosts published.
 
         Raises StoreUnavailable.
         """
@@ -213,4 +214,4 @@
     async def write_host(
         self, host: ids.Host, address: addresses.Address
     ) -> None:
-        """State where this host listens for peers."""
+        """Publish the address at which this host listens for peers."""
