--- a/packages/apricotlandingd/src/apricotlandingd/gateway/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/__init__.py
@@ -1,17 +1,17 @@
-"""The entry of a platform's callers: forwards requests to runners.
+"""Gateway that forwards requests of a platform's callers to runners.
 
-This package is the daemon as it runs on a platform that keeps configuration
-and runner registrations in its own store. Its rooms:
+This package is the daemon for a platform that keeps configuration and runner
+registrations in its own store. Its subpackages:
 
-* ``requests``: a request's way, from a caller's connection to a runner's;
-* ``decisions``: who goes next, where to, who is refused and what may be sent
-  again; pure code that takes the present time as an argument;
-* ``runners``: what this host believes about runners;
-* ``hosts``: what hosts tell each other;
+* ``requests``: the path of a request from a caller's connection to a runner's;
+* ``decisions``: order of requests, choice of runners, refusals and retries;
+  pure code that takes the current time as an argument;
+* ``runners``: this host's view of the runners;
+* ``hosts``: messages between hosts;
 * ``replication``: records of the configuration and of runners, from the
   platform's store or from another host;
-* ``process``: the life of one process.
+* ``process``: start, settings, log, metrics and shutdown of the process.
 
-``catalogue`` and ``dialect`` hold the types that an adapter fills; nothing
-here knows a platform's names.
+``catalogue`` and ``dialect`` define the types that an adapter implements or
+fills; nothing here depends on a platform's names.
 """
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/catalogue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/catalogue.py
@@ -1,8 +1,8 @@
 """Configuration in force: routes, services, organisations and limits.
 
-An adapter decodes a platform's configuration into a ``Catalogue``; the
-exchange asks it which route a request takes and whose key it carries. A
-catalogue is immutable: a request keeps the one it was admitted under.
+An adapter decodes a platform's configuration into a ``Catalogue``, which is
+used to find the route of a request and the organisation of its key. A
+catalogue is immutable: a request keeps the one under which it was admitted.
 """
 
 import dataclasses
@@ -25,28 +25,28 @@
 
 
 class Repeat(enum.Enum):
-    """What a route allows to be sent again."""
+    """Whether requests of a route may run more than once."""
 
-    # May run any number of times.
+    # A request may run any number of times.
     IDEMPOTENT = 'idempotent'
-    # May run once for each attempt of a caller.
+    # A request may run once per attempt of a caller.
     AT_MOST_ONCE = 'at-most-once'
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A service that a route sends to."""
+    """A service to which a route sends requests."""
 
     service: ids.Pool
-    # Share of the route's requests, relative to the other targets.
+    # Weight of the service, relative to the other targets.
     weight: float
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host name and path prefix go, and how."""
+    """Rules for requests with one host name and path prefix."""
 
     name: ids.Route
     hostname: str
@@ -54,27 +54,27 @@
     repeat: Repeat
     # The answer is a stream of events.
     is_stream: bool
-    # A stream may go on at another runner after its last event.
+    # Another runner may resume a stream after its last event.
     is_resumable: bool
-    # Longest time that a caller is kept, in seconds.
+    # Longest time that a caller waits, in seconds.
     timeout_s: float
-    # Time to the answer, or to the first event, that callers want; seconds.
+    # Objective for the time to the answer or its first event, in seconds.
     objective_s: float
-    # Longest pause between events that callers want; seconds, 0 if none.
+    # Objective for the longest pause between events, in seconds; 0 if none.
     gap_objective_s: float
     tier: ids.Tier
     targets: tuple[Target, ...]
-    # Most runners that one request may be sent to.
+    # Largest number of runners to which a request may be sent.
     max_sends: int
-    # No key is asked for.
+    # Requests need no key.
     is_public: bool
 
     def is_repeatable(self) -> bool:
-        """Tell whether a second run of a request does no harm."""
+        """Tell whether a request may safely run a second time."""
         return self.repeat is Repeat.IDEMPOTENT or self.is_resumable
 
     def find_service(self, attempt: str) -> ids.Pool:
-        """Return the service for an attempt, by weight and by its id."""
+        """Choose an attempt's service by weight and a hash of its id."""
         total = sum(target.weight for target in self.targets)
         point = xxhash.xxh3_64_intdigest(attempt.encode()) / 2**64 * total
         for target in self.targets:
@@ -90,56 +90,55 @@
     """A pool of runners that serve the same requests."""
 
     name: ids.Pool
-    # Most connections that one runner takes from all hosts together.
+    # Limit of connections to one runner, from all hosts together.
     max_connections: int
-    # Tokens in one event of a stream.
+    # Tokens per event of a stream.
     event_tokens: float = 1.0
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Organisation:
-    """Whose requests these are, and how much it may ask for."""
+    """An organisation that sends requests, and its allowance."""
 
     name: ids.Organisation
     keys: frozenset[str]
-    # Goes before the route's tier; None leaves the route's.
+    # Overrides the route's tier; None keeps it.
     tier: ids.Tier | None
-    # Allowance in units a second, and its burst in units; 0 is no limit.
+    # Rate of the allowance and its burst; 0 is unlimited.
     units_per_s: float
     burst_units: float
-    # Units are tokens; else each request is one unit.
+    # Units are tokens; otherwise each request is one unit.
     counts_tokens: bool
-    # Units of a request that does not say its tokens.
+    # Units of a request that does not state its tokens.
     default_tokens: float
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what callers send."""
+    """Limits for callers' requests and connections."""
 
     max_body_bytes: int = 4 * 1024 * 1024
-    # Seconds that an unused connection stays open.
+    # Seconds after which an idle connection is closed.
     idle_s: float = 15.0
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Catalogue:
-    """One version of the configuration."""
+    """A version of the configuration."""
 
     version: ids.Version
     # Routes by host name, longest prefix first.
     routes: dict[str, tuple[Route, ...]]
     services: dict[ids.Pool, Service]
     organisations: dict[ids.Organisation, Organisation]
-    # Organisations by key.
     organisations_by_key: dict[str, Organisation]
     limits: CallerLimits
 
     def find_route(self, hostname: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path."""
+        """Return the route with the longest matching path prefix."""
         for route in self.routes.get(hostname, ()):
             if path.startswith(route.path_prefix):
                 return route
