--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -572,7 +572,7 @@
             due = clocks.read_monotonic() + PUMP_INTERVAL_S
             await anyio.sleep(PUMP_INTERVAL_S)
             now = clocks.read_monotonic()
-            if self._stalls.note(now - due, now):
+            if self._stalls.record_delay(now - due, now):
                 eliot.log_message(
                     'gateway:stalled',
                     late_s=round(now - due, 4),
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/stalls.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/stalls.py
@@ -1,36 +1,36 @@
-"""Times in which the process did not run.
+"""Detection of stalls: times in which the process did not run.
 
-A host that is short of processor time, or frozen, leaves what arrives unread
-and runs its timers late. From outside both look like a slow network; only
-the process itself can tell, by timers that come later than asked for.
+A host that is short of CPU time, or frozen, does not read its input and runs
+its timers late. From outside both look like a slow network. Only the process
+itself can detect a stall, by timers that fire later than scheduled.
 """
 
 import typing as ty
 
 __all__ = ['StallDetector']
 
-# Seconds of lateness that count as a stall. Timers of an idle process come
-# some milliseconds late; callers begin to feel a quarter of their shortest
-# objective, which is 0.2 s.
+# Delay of a timer that counts as a stall. Timers of an idle process are a few
+# milliseconds late; callers notice a quarter of their shortest objective,
+# which is 0.2 s.
 STALL_THRESHOLD_S = 0.05
-# Least seconds between two reports, so that a host that is always short of
-# processor time does not fill its log.
+# Shortest interval between two reports, so that a host that is always short of
+# CPU time does not fill its log.
 REPORT_INTERVAL_S = 1.0
 
 
 @ty.final
 class StallDetector:
-    """Judges by how much a timer came late."""
+    """Detects stalls by the delays of timers."""
 
     def __init__(self) -> None:
-        """Start without a stall."""
-        # Stalls, and seconds in them, since the start of the process.
+        """Start without any stall."""
+        # Number of stalls since the start, and their total delay.
         self.count = 0
         self.seconds = 0.0
         self._reported_at: float | None = None
 
-    def note(self, late_s: float, now: float) -> bool:
-        """Take one lateness; True if it is to be reported."""
+    def record_delay(self, late_s: float, now: float) -> bool:
+        """Record the delay of a timer; return True if it is to be reported."""
         if late_s < STALL_THRESHOLD_S:
             return False
         self.count += 1
