--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -1,6 +1,6 @@
-"""What this host tells the others: its part of ``messages``, put together.
+"""Builds the messages in which this host reports its state to other hosts.
 
-``mesh`` sends it; what each field means stands in ``messages``.
+``mesh`` sends them; ``messages`` documents their fields.
 """
 
 import collections.abc
@@ -23,7 +23,7 @@
 
 @ty.final
 class HostStateBuilder:
-    """Writes this host's messages from what its parts hold."""
+    """Builds this host's state messages from its components."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         reads_store: collections.abc.Callable[[float], bool],
         is_stopping: collections.abc.Callable[[], bool],
     ) -> None:
-        """Take the parts that the messages are made from."""
+        """Store the components that the messages are built from."""
         self._config = config
         self._incarnation = incarnation
         self._process = messages.digest_process(incarnation)
@@ -48,13 +48,13 @@
         self._mesh = others
         self._reads_store = reads_store
         self._is_stopping = is_stopping
-        # Totals that near peers were told with the last whole state.
+        # Totals in the last full state that near peers were sent.
         self._sent_usage: quotas.Usage = {}
 
     def make_state(
         self, number: int, scope: mesh.Scope, hints: dict[ids.Host, str]
     ) -> messages.HostState:
-        """Return the whole state for hosts of a kind."""
+        """Return the full state for the hosts of a scope."""
         now = clocks.read_monotonic()
         asked = group_asked = group_used = quotas.Usage()
         if self._mesh.partition.count > 1:
@@ -97,7 +97,7 @@
         )
 
     def make_change(self, number: int) -> messages.HostChange:
-        """Return what near peers decide by and may have changed."""
+        """Return the fields that near peers use and that may have changed."""
         now = clocks.read_monotonic()
         running = messages.digest_starts(self._scheduler.places.running)
         usage = _round_units(self._allowances.buckets.usage)
@@ -130,6 +130,6 @@
 
 
 def _round_units(units: quotas.Usage) -> quotas.Usage:
-    # Whole numbers take three to five bytes, others nine; totals that are
-    # rounded each time drift by less than one unit.
+    # Integers take three to five bytes in a message, floats nine. Totals are
+    # rounded for each message, so they are off by less than one unit.
     return {name: round(number) for name, number in units.items()}
