--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/inputerrors.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/inputerrors.py
@@ -1,7 +1,7 @@
-"""Input that could not be used: counted, and said in the log now and then.
+"""Counts invalid input from other programs and logs it at a limited rate.
 
-Everything that another program can write or send arrives at some reader; each
-of them goes on with what it can use and reports the rest here.
+Each reader of external input continues with what it can decode and reports
+the rest here.
 """
 
 import enum
@@ -14,26 +14,26 @@
 
 __all__ = ['InputErrors', 'Source']
 
-# Characters of a key and of a reason that are written.
+# Longer keys and reasons are truncated in the log.
 MAX_LOGGED_CHARS: ty.Final = 200
 
 
 class Source(enum.Enum):
-    """Where input came from."""
+    """Where invalid input came from."""
 
-    # A runner's entry, by its id.
+    # A runner's registration; the key is the runner's id.
     REGISTRATION = 'registration'
     # The operators' configuration.
     CONFIGURATION = 'configuration'
-    # A record of the store without a key that can be read, by its topic.
+    # A record whose key cannot be decoded; the key is the topic.
     RECORD = 'record'
-    # Where another host listens, by its name.
+    # Another host's record of its address; the key is the host's name.
     HOST_RECORD = 'host_record'
-    # A message of another host, by the sender's IP number.
+    # A message of another host; the key is the sender's IP address.
     DATAGRAM = 'datagram'
-    # A question or a reply about records, by the peer's address.
+    # A query for records or its reply; the key is the peer's address.
     PEER = 'peer'
-    # An answer, by the runner's id.
+    # A runner's answer; the key is the runner's id.
     ANSWER = 'answer'
     # The settings file.
     SETTINGS = 'settings'
@@ -41,17 +41,17 @@
 
 @ty.final
 class InputErrors:
-    """What one process could not use since its start."""
+    """Counts and logs the invalid input of one process."""
 
     def __init__(self, found: telemetry.MetricRegistry) -> None:
-        """Count into these measures."""
+        """Count into a registry of metrics."""
         self._telemetry = found
         self._limit = noticelimit.NoticeLimit()
 
     def report(
         self, source: Source, key: str, detail: str, now: float
     ) -> None:
-        """Count one input, and log it unless its key was logged lately."""
+        """Count an input, and log it unless its key was logged recently."""
         self._telemetry.count('unreadable_total', source=source.value)
         held = self._limit.admit(f'{source.value} {key}', now)
         if held is None:
