--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/logwriter.py
@@ -1,9 +1,9 @@
-"""The structured log: JSON lines on standard output, never in the way.
+"""Structured log: JSON lines on standard output, written without blocking.
 
-Lines go through a bounded queue to a thread that writes them. When the
-reader of standard output is slow, or lines come faster than the limit,
-lines are dropped and counted; the count is written with the next line that
-goes through. No request ever waits for its log.
+Lines pass through a bounded queue to a thread that writes them. When the
+reader of standard output is slow, or lines exceed the rate limit, lines are
+dropped and counted; the next line that is written contains the count. No
+request ever waits for its log.
 """
 
 import collections.abc
@@ -19,26 +19,25 @@
 
 __all__ = ['LogWriter', 'open_log']
 
-# Lines that wait to be written.
 MAX_QUEUED_LINES = 2000
-# Lines a second on average, and at once. A host of today takes some twenty
-# requests a second with two or three lines each.
+# Rate and burst of the token bucket that limits lines. A host handles about
+# twenty requests a second, with two or three lines each.
 LINES_PER_S = 300.0
 BURST_LINES = 900.0
-# Characters of a text in a line. Callers write ids and paths of up to 64 KB,
-# and QUEUE_LINES of them would be most of a host's memory; a traceback of ours
-# fits.
+# Longer texts are truncated. Callers send ids and paths of up to 64 KB, and a
+# full queue of them would take most of a host's memory. A traceback of this
+# code fits.
 MAX_FIELD_CHARS = 4000
-# Fields of eliot's that our lines do not need.
+# Fields of eliot's messages that are not written.
 _OMITTED_FIELDS = ('task_uuid', 'task_level')
 
 
 @ty.final
 class LogWriter:
-    """An eliot destination that does not block."""
+    """A non-blocking eliot destination."""
 
     def __init__(self, stream: ty.TextIO, fields: dict[str, str]) -> None:
-        """Write to a stream, with these fields in each line."""
+        """Write to a stream; each line contains these fields."""
         self._stream = stream
         self._fields = fields
         self._lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
@@ -48,17 +47,17 @@
         self._dropped = 0
 
     def start(self) -> None:
-        """Start the writer."""
+        """Start the writer thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Write what waits; gives up after a second."""
+        """Write the queued lines; give up after a second."""
         with contextlib.suppress(queue.Full):
             self._lines.put_nowait(None)
         self._thread.join(timeout=1.0)
 
     def __call__(self, message: dict[str, ty.Any]) -> None:
-        """Take one message of eliot's."""
+        """Queue or drop one message."""
         if not self._take_token(time.monotonic()):
             self._dropped += 1
             return
@@ -78,10 +77,10 @@
         self._dropped = 0
 
     def _take_token(self, now: float) -> bool:
-        passed = now - self._refilled_at
+        elapsed_s = now - self._refilled_at
         self._refilled_at = now
-        allowed = self._tokens + passed * LINES_PER_S
-        self._tokens = min(BURST_LINES, allowed)
+        tokens = self._tokens + elapsed_s * LINES_PER_S
+        self._tokens = min(BURST_LINES, tokens)
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -96,8 +95,8 @@
                 self._stream.write(line + '\n')
                 self._stream.flush()
             except OSError:
-                # Nobody reads: the lines are lost, and there is no place
-                # left to say so.
+                # Standard output is closed. The lines are lost, and there is
+                # nowhere else to report it.
                 continue
 
 
@@ -107,12 +106,12 @@
 
 @contextlib.contextmanager
 def open_log(**fields: str) -> collections.abc.Iterator[None]:
-    """Write log lines to standard output while the context lasts."""
-    logwriter = LogWriter(sys.stdout, fields)
-    logwriter.start()
-    eliot.add_destinations(logwriter)
+    """Log to standard output while the context is active."""
+    writer = LogWriter(sys.stdout, fields)
+    writer.start()
+    eliot.add_destinations(writer)
     try:
         yield
     finally:
-        eliot.remove_destination(logwriter)
-        logwriter.stop()
+        eliot.remove_destination(writer)
+        writer.stop()
