--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/settings.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a gateway host, as an adapter reads them.
+"""Settings of a gateway host, as read by an adapter.
 
-Addresses and bounds come from the platform; what this project chooses itself
-stands as named constants where it is used.
+Addresses and bounds come from the platform; values that this project chooses
+are named constants in the modules that use them.
 """
 
 import dataclasses
@@ -16,20 +16,20 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the platform's operators hold all hosts to."""
+    """Bounds that the platform's operators set for all hosts."""
 
     # Seconds between SIGTERM and SIGKILL.
     stop_grace_s: float
-    # Seconds after which a leaving runner gets nothing more.
+    # Seconds after which a draining runner gets no more requests.
     drain_s: float
-    # Seconds after which a configuration is in force on every host.
+    # Seconds within which every host applies a new configuration.
     apply_s: float
-    # Retries at a service that are free of charge in a window, of all
-    # hosts together; further ones are a share of the requests.
+    # Retry budget of a service, for all hosts together: ``retry_slack``
+    # retries in each window, and beyond them a share of the requests.
     retry_share: float
     retry_slack: float
     retry_window_s: float
-    # Units that all hosts together may hand out beyond an allowance.
+    # Units that all hosts together may grant beyond an allowance.
     quota_slack: float
 
 
@@ -40,15 +40,15 @@
 
     host: ids.Host
     domain: ids.Domain
-    # Where callers connect, and where the balancer asks for readiness.
+    # Addresses for callers, and for readiness checks of the load balancer.
     callers: addresses.Address
     readiness: addresses.Address
-    # Where peers fetch records (TCP) and send their state (UDP).
+    # Addresses at which peers fetch records (TCP) and send states (UDP).
     peers: addresses.Address
     state: addresses.Address
-    # Where counters and histograms are read.
+    # Address that serves the metrics.
     metrics: addresses.Address
-    # Hosts that may help at the start; stale or down at times.
+    # Hosts to contact at the start; some may be stale or down.
     seeds: tuple[addresses.Address, ...]
     store: addresses.Address
     bounds: Bounds
