--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/telemetry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/telemetry.py
@@ -1,7 +1,7 @@
-"""Counters and histograms, served as text.
+"""Counters, gauges and histograms in the Prometheus text format.
 
-The format is the common one of a name, labels in braces and a number a
-line. Buckets of histograms are cumulative.
+Each line has a name, labels in braces and a number. Buckets of histograms are
+cumulative.
 """
 
 import bisect
@@ -10,8 +10,8 @@
 
 __all__ = ['MetricRegistry']
 
-# Upper bounds in seconds. They lie close together where the objectives of
-# callers do, between 0.2 and 1 s.
+# Upper bounds of histogram buckets. They are dense between 0.2 and 1 s, where
+# the objectives of callers lie.
 BUCKET_BOUNDS_S = (
     0.01,
     0.025,
@@ -33,22 +33,22 @@
 
 @ty.final
 class MetricRegistry:
-    """What one process has counted since its start."""
+    """Metrics of one process since its start."""
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Create an empty registry."""
         self._counts: collections.Counter[str] = collections.Counter()
         self._buckets: dict[str, list[int]] = {}
         self._sums: collections.Counter[str] = collections.Counter()
-        # Numbers read at the time of asking.
+        # Functions that are called when metrics are rendered.
         self.gauges: dict[str, ty.Callable[[], float]] = {}
 
     def count(self, name: str, **labels: str) -> None:
-        """Add one to a counter."""
+        """Increment a counter."""
         self._counts[_write_name(name, labels)] += 1
 
     def time(self, name: str, seconds: float, **labels: str) -> None:
-        """Add a duration to a histogram."""
+        """Record a duration in a histogram."""
         full = _write_name(name, labels)
         buckets = self._buckets.setdefault(
             full, [0] * (len(BUCKET_BOUNDS_S) + 1)
@@ -57,7 +57,7 @@
         self._sums[full] += seconds  # type: ignore[assignment]
 
     def render(self) -> str:
-        """Return everything as text."""
+        """Return all metrics as text."""
         lines = [
             f'{PREFIX}{name} {count}'
             for name, count in sorted(self._counts.items())
