--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/__init__.py
@@ -1,6 +1,7 @@
-"""The life of one process: its settings, its parts, its log and its end.
+"""The gateway process.
 
-``gateway`` builds and ties all parts and runs them under a supervisor;
+``gateway`` builds and connects all components, runs them under a supervisor
+and shuts them down; ``hoststates`` builds the messages to other hosts;
 ``settings``, ``logwriter`` (log), ``telemetry`` (metrics), ``stalls`` and
 ``inputerrors`` (what could not be read) serve them.
 """
