--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -1,23 +1,24 @@
-"""The daemon on a platform: builds its parts, ties them, runs the tree.
+"""The gateway process: builds its components and runs them as tasks.
 
     gateway
     ├── callers      HTTP listener, one task a request
-    ├── config       follows the configuration at the store
-    ├── runners      follows the registrations at the store
-    ├── mesh         states of the other hosts
-    ├── records      answers peers that lack records
-    ├── catch-up     takes records from a peer that is ahead
-    ├── join         finds the other hosts
-    ├── pump         decides what waits, by time
+    ├── config       reads the configuration from the store
+    ├── runners      reads the registrations from the store
+    ├── mesh         exchanges states with the other hosts
+    ├── records      serves records to peers that lack them
+    ├── catch-up     fetches records from a peer that is ahead
+    ├── join         publishes this host and finds the others
+    ├── pump         schedules waiting requests at an interval
     ├── tidy         drops connections, runners and peers that are gone
-    ├── restarts     closes connections of runners that started again
-    ├── settings     reads the settings again when they were written
-    └── signals      SIGTERM stops, SIGHUP reads the settings again
-
-Stopping: not ready at once, so that the balancer sends no new connections;
-those that are open are served and told to go elsewhere; the listener closes
-when the balancer must have noticed; the process ends when no connection is
-left, or when its grace is nearly over (``shutdown``).
+    ├── restarts     closes connections of runners that restarted
+    ├── settings     reloads the settings when they were written
+    └── signals      SIGTERM stops, SIGHUP reloads the settings
+
+Shutdown: the host is not ready from the signal on, so the load balancer opens
+no new connections. Open connections are served, and their callers are told to
+reconnect elsewhere. The listener closes once the load balancer must have
+noticed. The process ends when no connection is left, or shortly before its
+grace period is over (``shutdown``).
 """
 
 import collections.abc
@@ -69,23 +70,23 @@
 
 __all__ = ['Gateway']
 
-# Seconds between looks at what waits: a refusal is late by at most this.
+# Interval between scheduling passes; refusals are late by at most this.
 PUMP_INTERVAL_S = 0.02
-# Least seconds between decisions on peers' messages: a place that a peer
-# leaves to a request of this host is taken within this time.
+# Shortest interval between scheduling passes caused by peers' messages: a
+# place that a peer leaves to a request of this host is taken within this time.
 MIN_PEER_PUMP_INTERVAL_S = 0.005
-# Seconds between looks at connections, runners and peers that are gone.
+# Interval between cleanups of connections, runners and peers that are gone.
 CLEANUP_INTERVAL_S = 0.5
-# Hosts of a group that follow the store themselves; the others hear from
-# them. More than enough for a store that turns a third of the hosts away, of
-# one group; of several, records also spread from group to group.
+# Hosts of a group that read the store themselves; the others get records from
+# them. In a single group this is more than enough even if the store rejects a
+# third of the hosts; with several groups, records also spread between groups.
 MAX_READERS = 8
 MAX_READERS_PER_GROUP = 3
-# Groups in which hosts follow the store; the others hear from these.
+# Groups whose hosts read the store; the other groups get records from these.
 READING_GROUPS = 4
-# Seconds between looks at the settings file.
+# Interval between checks of the settings file for changes.
 SETTINGS_INTERVAL_S = 1.0
-# Seconds between tries to state this host and read the others.
+# Interval between attempts to publish this host and to read the others.
 JOIN_RETRY_INTERVAL_S = 1.0
 
 
@@ -96,19 +97,19 @@
     def __init__(
         self,
         config: settings.GatewaySettings,
-        spoken: dialect.Dialect,
+        platform_dialect: dialect.Dialect,
         store: dialect.Store,
         reload: collections.abc.Callable[[], settings.GatewaySettings],
         read_stamp: collections.abc.Callable[[], int],
     ) -> None:
-        """Build all parts and bind all addresses.
+        """Build all components and bind all addresses.
 
         ``reload`` reads the settings again; ``read_stamp`` returns a number
-        that changes when they were written. Raises OSError if an address
+        that changes when they are written. Raises OSError if an address
         cannot be bound.
         """
         self._settings = config
-        self._dialect = spoken
+        self._dialect = platform_dialect
         self._store = store
         self._reload = reload
         self._read_stamp = read_stamp
@@ -294,7 +295,7 @@
     # Running.
 
     async def run(self) -> None:
-        """Run until a graceful stop has ended."""
+        """Run until a graceful shutdown has completed."""
         self._peer_socket.setblocking(False)
         peers = await anyio.abc.SocketListener.from_socket(self._peer_socket)
         async with supervisor.Supervisor('gateway') as tree:
@@ -319,11 +320,11 @@
         eliot.log_message('gateway:stopped')
 
     def is_ready(self) -> bool:
-        """Tell the balancer whether to send callers here."""
+        """Tell whether the load balancer may send callers here."""
         if self._is_stopping or self._catalogue is None:
             return False
         if not self.knows_hosts():
-            # It hands out nothing of any allowance yet.
+            # It may not grant units of any allowance yet.
             return False
         return records.has_all_topics(self._replica.positions)
 
@@ -332,16 +333,16 @@
         return self._allowances.knows_hosts(clocks.read_monotonic())
 
     def stop(self) -> None:
-        """Begin a graceful stop, as SIGTERM does."""
+        """Start a graceful shutdown, as SIGTERM does."""
         self._stop_requested.set()
 
     def count_peers(self) -> int:
-        """Return the number of other hosts that are known."""
+        """Return the number of known peers."""
         return len(self._mesh.peers)
 
     @property
     def configuration_version(self) -> ids.Version | None:
-        """Return the version in force here; None before the first."""
+        """Return the version in force; None before the first one."""
         return None if self._catalogue is None else self._catalogue.version
 
     def _find_organisation(
@@ -352,7 +353,7 @@
         return self._catalogue.organisations.get(name)
 
     def list_open_runners(self) -> list[ids.Runner]:
-        """Return the runners that take new requests."""
+        """Return the runners that accept new requests."""
         return [
             ids.find_runner(entry.start)
             for entry in self._directory.list_all()
@@ -371,13 +372,13 @@
             self._handle_runner(record, now)
         self._scheduler.pump(now)
         if self._mesh.is_divided():
-            # Few hosts follow the store; the others hear from each other.
+            # Few hosts read the store; the others depend on peers' messages.
             self._mesh.tell()
 
     def _report_corrupt_record(
         self, topic: dialect.Topic, corrupt_record: dialect.CorruptRecord
     ) -> None:
-        place = (
+        position = (
             ''
             if corrupt_record.offset is None
             else f' (offset {corrupt_record.offset})'
@@ -385,7 +386,7 @@
         self._input_errors.report(
             inputerrors.Source.RECORD,
             topic,
-            f'{corrupt_record.detail}{place}',
+            f'{corrupt_record.detail}{position}',
             clocks.read_monotonic(),
         )
 
@@ -395,8 +396,8 @@
         try:
             found = self._dialect.decode_catalogue(record.value)
         except dialect.Unreadable as error:
-            # The version before stays in force: callers lose less by it than
-            # by none at all.
+            # The previous version stays in force: for callers that is better
+            # than no configuration.
             self._input_errors.report(
                 inputerrors.Source.CONFIGURATION, record.key, str(error), now
             )
@@ -434,9 +435,9 @@
         self._log_runner(runner, state, birth, record.offset)
 
     def _retract(self, runner: ids.Runner, detail: str, now: float) -> None:
-        # The entry in force is the newest one, and it names no runner to
-        # use. Going on with the one before would send callers to a process
-        # that has been replaced, or has taken its word back.
+        # The newest entry counts, and it names no usable runner. With the
+        # previous entry, requests would go to a process that was replaced or
+        # has withdrawn its registration.
         self._input_errors.report(
             inputerrors.Source.REGISTRATION, runner, detail, now
         )
@@ -463,8 +464,8 @@
             self._scheduler.places.hand_over(start, later, count)
 
     def _find_readers(self) -> freshness.Readers:
-        # The first few hosts by name that say that they reach the store, and
-        # those that hear too few of these.
+        # Readers are the first hosts by name that report reaching the store. A
+        # host that hears of too few of them reads too.
         own = self._settings.host
         heard = [
             peer for peer in self._mesh.list_heard() if peer.state.reads_store
@@ -477,7 +478,7 @@
         )
 
     def _count_readers(self) -> int:
-        # In this host's group.
+        # The limit for this host's group.
         partition = self._mesh.partition
         if partition.count == 1:
             return MAX_READERS
@@ -533,8 +534,8 @@
     # States of hosts.
 
     def _announce_change(self) -> None:
-        # In a large system coordinators are told, and other hosts go by the
-        # next heartbeat.
+        # In a large system, coordinators get messages of their own, and other
+        # hosts learn of changes from the next heartbeat.
         if not self._mesh.is_divided():
             self._mesh.tell()
 
@@ -613,9 +614,9 @@
                 self.stop()
 
     async def _watch_settings(self) -> None:
-        # The platform writes new settings with a signal or without. They are
-        # read once more in any case: a change between the first reading and
-        # this, whose signal came before it was taken, would be lost.
+        # The platform may write new settings without a signal. The first pass
+        # always reloads them: a change after the initial read, whose signal
+        # came before the handler was installed, would otherwise be lost.
         known = None
         while True:
             await anyio.sleep(SETTINGS_INTERVAL_S)
@@ -629,8 +630,8 @@
         try:
             found = self._reload()
         except Exception as error:
-            # Half a file, or one that is not for us: the settings in force
-            # stay.
+            # The file is incomplete or invalid: the current settings stay in
+            # force.
             self._input_errors.report(
                 inputerrors.Source.SETTINGS,
                 'reload',
@@ -651,7 +652,7 @@
         self._retry_budget.set_bounds(
             bounds.retry_share, bounds.retry_slack, bounds.retry_window_s
         )
-        # Addresses are those that the process is bound to.
+        # The addresses stay as they are, since the process is bound to them.
         self._settings = dataclasses.replace(
             self._settings, seeds=found.seeds, bounds=bounds
         )
@@ -683,5 +684,5 @@
 
 
 def _make_topic_bounds(bounds: settings.Bounds) -> dict[dialect.Topic, float]:
-    # How long each topic's changes may take until this host goes by them.
+    # Time within which changes of each topic must take effect on this host.
     return {dialect.CONFIG: bounds.apply_s, dialect.RUNNERS: bounds.drain_s}
