--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -1,4 +1,4 @@
-"""How a group of hosts shares the waiting at the store."""
+"""Long polls and probes of a group of hosts at a simulated store."""
 
 import dataclasses
 import random
@@ -14,9 +14,9 @@
 # The bounds on changes that the settings may name, in seconds.
 BOUND_S = 2.0
 BOUNDS = (BOUND_S, BOUND_S / 2)
-# Of a bound, what machines that are slower may take.
-SLOWNESS_PART = 0.25
-# Simulated time: a step, and how often peers hear from each other.
+# Share of a bound that is left for slower machines.
+SLOWNESS_SHARE = 0.25
+# Simulated time: length of a step, and intervals of messages between hosts.
 STEP_S = 0.01
 HEARTBEAT_S = 0.25
 FAR_INTERVAL_S = 0.1
@@ -25,32 +25,32 @@
 
 @dataclasses.dataclass
 class SimulatedHost:
-    """A host that follows one topic of a store without records."""
+    """A host that reads one topic of a store without records."""
 
     name: ids.Host
     group: int
     is_reading: bool
     fresh: freshness.Freshness
     replica: records.Replica
-    # When its read ends, and whether it will be answered.
+    # When its read ends, and whether the read will be answered.
     read_ends: float = 0.0
-    is_read_sound: bool = True
+    will_be_answered: bool = True
     probed_at: float = -1.0
 
 
 class SimulatedGroup:
-    """Hosts, their messages, and a store that may be silent."""
+    """Hosts, their messages, and a store that may stop responding."""
 
     def __init__(
         self, count: int, bound_s: float, groups: int = 1, readers: int = 0
     ) -> None:
-        """Start ``count`` hosts a group, of which ``readers`` read or all."""
+        """Start ``count`` hosts a group; ``readers`` of them, or all, read."""
         self.rng = random.Random(1)
         self.calls = 0
         self.probes = 0
         self.now = 0.0
         self.is_silent = False
-        # When the store answered anybody.
+        # Times at which the store answered any host.
         self.answers = [0.0]
         self.hosts = [
             self.make_host(group, index < (readers or count), bound_s)
@@ -60,7 +60,7 @@
         for host in self.list_readers():
             host.fresh.record_answer(TOPIC, 0.0)
         self.exchange_states()
-        # A record has just ended all reads.
+        # A record has just ended the reads of all hosts.
         for host in self.list_readers():
             limits = host.fresh.timing[TOPIC]
             found = self.find_readers(host)
@@ -77,19 +77,19 @@
         fresh = freshness.Freshness(
             replica, dict.fromkeys(records.TOPICS, bound_s)
         )
-        # Names say nothing of the group, as a hash of them does not.
+        # Names are random, so their order is independent of the groups.
         name = ids.Host(f'host-{self.rng.random()}')
         return SimulatedHost(name, group, is_reading, fresh, replica)
 
     def begin_read(self, host: SimulatedHost, wait: float) -> None:
         self.calls += 1
         host.read_ends = self.now + wait
-        host.is_read_sound = not self.is_silent
+        host.will_be_answered = not self.is_silent
 
-    def swallow_reads(self) -> None:
-        """Fall silent for a moment."""
+    def lose_reads(self) -> None:
+        """Lose all open reads, as a short outage does."""
         for host in self.hosts:
-            host.is_read_sound = False
+            host.will_be_answered = False
 
     def run(self, seconds: float) -> None:
         steps = round(seconds / STEP_S)
@@ -119,7 +119,7 @@
                 self.take_answer(host)
                 self.begin_read(host, wait)
             return
-        if not host.is_reading or not host.is_read_sound:
+        if not host.is_reading or not host.will_be_answered:
             return
         if self.now < host.read_ends:
             return
@@ -130,11 +130,11 @@
     def take_answer(self, host: SimulatedHost) -> None:
         host.fresh.record_answer(TOPIC, self.now)
         self.answers.append(self.now)
-        # An answer is told at once.
+        # Peers are sent a new answer at once.
         self.tell_near(host)
 
     def find_answer(self, since: float) -> float:
-        """Return when the store answered first since then."""
+        """Return the time of the store's first answer after a time."""
         return min(at for at in self.answers if at > since)
 
     def find_readers(self, host: SimulatedHost) -> freshness.Readers:
@@ -160,7 +160,7 @@
             )
 
     def tell_far(self) -> None:
-        """Let each host tell one host of another group."""
+        """Send the ages of each host to one host of another group."""
         for host in self.hosts:
             far = [other for other in self.hosts if other.group != host.group]
             if not far:
@@ -172,11 +172,11 @@
 
 
 class TestGroup(testtools.TestCase):
-    """Calls on a quiet day, and the time until a lost read is made good."""
+    """Calls without outages, and the time until lost reads are replaced."""
 
     def test_quiet_group_asks_no_more_than_its_reads(self) -> None:
-        # Reads of 4 s, begun anew as they ended, were 1.75 calls a second
-        # for the seven hosts of the deployments known to us.
+        # The limit is the rate of reads that wait 4 s and are repeated as they
+        # end: 1.75 calls a second for the seven hosts of a usual deployment.
         group = SimulatedGroup(7, BOUND_S)
         group.run(60.0)
         self.assertEqual(0, group.probes)
@@ -190,39 +190,39 @@
                 self.assertEqual(0, group.probes, f'{count} hosts, {bound} s')
 
     def test_groups_go_by_the_answers_of_each_other(self) -> None:
-        # Three hosts of each group read. By their own answers alone, 1.7 s
-        # apart, each group would ask between them: 290 calls in place of 104
-        # for five groups in half a minute, by a play of this kind.
+        # Three hosts of each group read. Their own answers alone are 1.7 s
+        # apart, so each group would probe in between: a simulation with five
+        # groups made 290 calls in half a minute instead of 104.
         group = SimulatedGroup(12, BOUND_S, groups=5, readers=3)
         group.run(15.0)
         self.assertEqual(0, group.probes)
 
     def test_reads_that_all_are_lost_are_made_good_in_time(self) -> None:
-        # A configuration comes right after a silence of a moment in which
-        # all reads were open; at any moment of the reads' wait.
+        # A configuration is written right after a short outage that lost all
+        # open reads, at various times within their wait.
         for count in (1, 2, 3, 7, 12):
             for bound in BOUNDS:
                 for tenths in range(0, 50, 7):
                     group = SimulatedGroup(count, bound)
                     group.run(0.1 + tenths / 10)
-                    group.swallow_reads()
+                    group.lose_reads()
                     lost_at = group.now
                     group.run(bound)
                     took = group.find_answer(lost_at) - lost_at
-                    self.assertLess(took, bound * (1 - SLOWNESS_PART))
+                    self.assertLess(took, bound * (1 - SLOWNESS_SHARE))
 
     def test_store_that_comes_back_is_met_at_once(self) -> None:
         for count in (1, 3, 7, 12):
             for bound in BOUNDS:
                 group = SimulatedGroup(count, bound)
                 group.is_silent = True
-                group.swallow_reads()
+                group.lose_reads()
                 group.run(8.0)
                 group.is_silent = False
                 back_at = group.now
                 group.run(bound)
                 took = group.find_answer(back_at) - back_at
-                self.assertLess(took, bound * (1 - SLOWNESS_PART))
+                self.assertLess(took, bound * (1 - SLOWNESS_SHARE))
 
     def test_bound_of_nothing_does_not_ask_without_end(self) -> None:
         group = SimulatedGroup(1, 0.0)
@@ -231,7 +231,7 @@
 
 
 class TestAges(testtools.TestCase):
-    """Which answers of others count here."""
+    """Which answers of peers count for a host."""
 
     def make_fresh(self) -> tuple[records.Replica, freshness.Freshness]:
         replica = records.Replica()
@@ -251,8 +251,8 @@
         self.assertEqual(4.9 + BOUND_S / 2, self.find_due(fresh, 5.0))
 
     def test_answer_of_a_peer_that_is_ahead_does_not_count(self) -> None:
-        # The peer's answer held a record that this host does not have. If it
-        # counted and the peer died, nobody would ask for the record.
+        # The peer's answer had a record that this host lacks. If it counted
+        # and the peer died, no host would read the record.
         replica, fresh = self.make_fresh()
         fresh.update_near(ids.Host('host-b'), [100, 100], [1, 1], True, 5.0)
         self.assertEqual(BOUND_S / 2, self.find_due(fresh, 5.0))
@@ -261,8 +261,8 @@
         self.assertEqual(4.9 + BOUND_S / 2, self.find_due(fresh, 5.0))
 
     def test_answer_of_another_group_counts_and_is_not_handed_on(self) -> None:
-        # Handed on in circles, an answer would stay young for ever, and lost
-        # reads would never be noticed.
+        # If hosts forwarded an answer in a cycle, it would never seem to grow
+        # old, and lost reads would never be noticed.
         _, fresh = self.make_fresh()
         fresh.update_far(ids.Host('host-b'), [100, 100], [0, 0], 5.0)
         self.assertEqual(4.9 + BOUND_S / 2, self.find_due(fresh, 5.0))
@@ -285,8 +285,8 @@
         self.assertEqual(5000, fresh.list_near_ages(5.0, True, True)[0])
 
     def test_age_below_zero_counts_as_zero(self) -> None:
-        # A peer whose clock or message is wrong must not keep this host from
-        # asking the store.
+        # A peer with a wrong clock or an invalid message must not keep this
+        # host from probing the store.
         _, fresh = self.make_fresh()
         fresh.update_near(ids.Host('host-b'), [-60000, 0], [0, 0], True, 5.0)
         self.assertEqual(5.0 + BOUND_S / 2, self.find_due(fresh, 5.0))
