--- a/tests/test_gateway_catchup.py
+++ b/tests/test_gateway_catchup.py
@@ -1,4 +1,4 @@
-"""Taking records from peers, some of which do not answer."""
+"""Fetching records from peers, some of which do not answer."""
 
 import collections.abc
 import random
@@ -14,17 +14,17 @@
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.replication import timing
 
-# Seconds in which a configuration must be in force, and what may pass until
-# the records are here: the peer's message came before, and time is left for
-# machines that are slower.
+# Time within which a configuration must be in force, and the share of it until
+# the records must have arrived. The rest covers the peer's message, which
+# comes before, and slower machines.
 BOUND_S = 1.0
-PART = 0.75
+TIME_SHARE = 0.75
 SEED = 1
-PATIENCE_S = 5.0
+TEST_TIMEOUT_S = 5.0
 
 
 async def never_answer(stream: anyio.abc.SocketStream) -> None:
-    """Keep a connection and say nothing, as a frozen host does."""
+    """Keep a connection open and never answer, as a frozen host does."""
     async with stream:
         await anyio.sleep_forever()
 
@@ -39,24 +39,24 @@
 
 
 class TestPeerThatDoesNotAnswer(testtools.TestCase):
-    """Requests are handled by the version before, on one host only.
+    """One host keeps using the previous configuration beyond the bound.
 
-    The store turns this host away. Two peers said that they know more, and
-    one of them froze right after: it is asked first, and the other one only
-    when the first is given up, which took longer than the bound.
+    The store rejects this host. Two peers reported that they are ahead, and
+    one of them froze right after its message. It is asked first, and the
+    other one only when that fetch times out, which took longer than the bound.
     """
 
     def test_other_peer_is_asked_within_the_bound(self) -> None:
-        anyio.run(self.play)
+        anyio.run(self.run_scenario)
 
-    async def play(self) -> None:
+    async def run_scenario(self) -> None:
         known = records.Replica()
         record = dialect.Record('config', 0, b'value')
         known.apply(dialect.CONFIG, dialect.Batch((record,), 1), True)
         lacking = records.Replica()
         frozen, frozen_at = await listen()
         sound, sound_at = await listen()
-        # Puts the frozen one where the first choice falls.
+        # The frozen peer is the first that the seeded generator chooses.
         ahead = [sound_at, sound_at]
         ahead[random.Random(SEED).choice((0, 1))] = frozen_at
 
@@ -66,7 +66,7 @@
             return ahead
 
         found = self.make_catch_up(lacking, list_ahead)
-        with anyio.fail_after(PATIENCE_S):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             async with anyio.create_task_group() as group:
                 group.start_soon(frozen.serve, never_answer)
                 exchange = recordexchange.RecordExchange(known)
@@ -75,14 +75,14 @@
                 started_at = anyio.current_time()
                 arrived = lacking.changed
                 found.notify_ahead()
-                # Peers tell their positions four times a second.
-                group.start_soon(self.tell_again, found)
+                # Peers send their positions four times a second.
+                group.start_soon(self.notify_repeatedly, found)
                 await arrived.wait()
                 took = anyio.current_time() - started_at
                 group.cancel_scope.cancel()
-        self.assertLess(took, BOUND_S * PART)
+        self.assertLess(took, BOUND_S * TIME_SHARE)
 
-    async def tell_again(self, found: catchup.CatchUp) -> None:
+    async def notify_repeatedly(self, found: catchup.CatchUp) -> None:
         while True:
             await anyio.sleep(0.25)
             found.notify_ahead()
