--- a/tests/test_gateway_reading.py
+++ b/tests/test_gateway_reading.py
@@ -1,4 +1,4 @@
-"""How a host follows the platform's store, and with how many calls."""
+"""Reads of the platform's store: records received, and number of calls."""
 
 import random
 
@@ -13,20 +13,20 @@
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.replication import storereader
 
-# Seconds after the last record in which it has surely been read.
+# Time after the last record within which it has been read.
 SETTLE_S = 0.5
 # Bound on the time until a change is known.
 BOUND_S = 2.0
 
 
-class QuietStore:
-    """A store whose records come when a test says so."""
+class ScriptedStore:
+    """A store whose records are written by the test."""
 
     def __init__(self) -> None:
         self.calls = 0
         self.records: list[dialect.Record] = []
-        # Offsets of those that cannot be read.
-        self.damaged: list[int] = []
+        # Offsets of the corrupt records.
+        self.corrupt_offsets: list[int] = []
         self.changed = anyio.Event()
 
     def write(self, key: str) -> None:
@@ -36,20 +36,20 @@
         self.changed = anyio.Event()
 
     def write_corrupt_record(self) -> None:
-        """Write a record that cannot be read."""
-        self.damaged.append(len(self.records))
+        """Write a record whose key cannot be decoded."""
+        self.corrupt_offsets.append(len(self.records))
         self.write('')
 
     def make_batch(self, offset: int) -> dialect.Batch:
         corrupt_records = tuple(
-            dialect.CorruptRecord(place, 'the key is no text')
-            for place in self.damaged
-            if place >= offset
+            dialect.CorruptRecord(position, 'the key is no text')
+            for position in self.corrupt_offsets
+            if position >= offset
         )
         found = tuple(
             record
             for record in self.records[offset:]
-            if record.offset not in self.damaged
+            if record.offset not in self.corrupt_offsets
         )
         return dialect.Batch(found, len(self.records), corrupt_records)
 
@@ -75,7 +75,7 @@
 
 
 def make_reader(
-    store: QuietStore, replica: records.Replica
+    store: ScriptedStore, replica: records.Replica
 ) -> storereader.StoreReader:
     """Return the only reader of a store."""
     return storereader.StoreReader(
@@ -93,14 +93,14 @@
 
 
 class TestReader(testtools.TestCase):
-    """One topic."""
+    """Reads of one topic."""
 
-    def play(self, keys: list[str], pause_s: float) -> tuple[int, int]:
-        """Write keys into a store that was empty; return calls and records.
+    def read_keys(self, keys: list[str], pause_s: float) -> tuple[int, int]:
+        """Write keys to an empty store; return the calls and the position.
 
-        An empty key stands for a record that cannot be read.
+        An empty key stands for a corrupt record.
         """
-        store = QuietStore()
+        store = ScriptedStore()
         replica = records.Replica()
         reader = make_reader(store, replica)
 
@@ -121,31 +121,31 @@
         return store.calls, replica.positions[dialect.CONFIG]
 
     def test_store_without_records_is_asked_once(self) -> None:
-        # Sixty hosts started before the first configuration was written, and
-        # each asked for it ten times a second.
-        calls, _ = self.play([], 0.0)
+        # Each of sixty hosts that started before the first configuration was
+        # written read a snapshot ten times a second.
+        calls, _ = self.read_keys([], 0.0)
         self.assertEqual(2, calls)
 
     def test_first_record_arrives(self) -> None:
-        _, position = self.play(['a'], 0.0)
+        _, position = self.read_keys(['a'], 0.0)
         self.assertEqual(1, position)
 
     def test_series_of_records_is_read_in_few_calls(self) -> None:
-        calls, position = self.play([f'k{n}' for n in range(30)], 0.01)
+        calls, position = self.read_keys([f'k{n}' for n in range(30)], 0.01)
         self.assertEqual(30, position)
         self.assertLessEqual(calls, 10)
 
     def test_series_of_bad_records_is_read_in_few_calls(self) -> None:
-        # All hosts together may make so many calls. Another program writes a
-        # series of records that cannot be read; each ended the wait of a
-        # read, and the next one began at once: a call for each.
-        calls, position = self.play([''] * 30, 0.01)
+        # The calls of all hosts together are limited. Another program writes a
+        # series of corrupt records. Each ended a long poll, and the next one
+        # started at once, so each record cost a call.
+        calls, position = self.read_keys([''] * 30, 0.01)
         self.assertEqual(30, position)
         self.assertLessEqual(calls, 10)
 
 
-class LeapingStore(QuietStore):
-    """A store that answers at once, and whose offsets make no sense."""
+class InconsistentStore(ScriptedStore):
+    """A store that answers at once and has inconsistent offsets."""
 
     def __init__(self, is_gone: bool) -> None:
         super().__init__()
@@ -166,11 +166,11 @@
         return dialect.Batch((), offset)
 
 
-class TestLeapingOffsets(testtools.TestCase):
-    """Reads that bring nothing and do not wait."""
+class TestInconsistentOffsets(testtools.TestCase):
+    """Reads that return no records without having waited."""
 
     def count_calls(self, is_gone: bool) -> int:
-        store = LeapingStore(is_gone)
+        store = InconsistentStore(is_gone)
         replica = records.Replica()
         reader = make_reader(store, replica)
 
@@ -182,12 +182,12 @@
         return store.calls
 
     def test_history_that_is_always_gone(self) -> None:
-        # The store turns every host away: one of them makes all the calls
-        # that there may be. The newest records were older than the first
-        # that is kept, so each read sent the reader back to them at once.
+        # The store rejects every host, because one of them uses up the call
+        # quota. The newest records were older than the first one kept, so
+        # each read was followed at once by a read of the snapshot.
         self.assertLess(self.count_calls(is_gone=True), 30)
 
     def test_reads_that_do_not_wait(self) -> None:
-        # As above: the end of the log lay before what the host had read, and
+        # As above, but the end of the log lay before the host's position, and
         # the store answered at once instead of waiting for a record.
         self.assertLess(self.count_calls(is_gone=False), 30)
