--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The life of a gateway process: what is decided without a network."""
+"""Shutdown plan and stall detection, without a network."""
 
 import anyio
 import testtools
@@ -8,7 +8,7 @@
 
 
 class FakeIntake:
-    """Listeners whose last connection ends when a test says so."""
+    """Listeners whose last connection is closed by the test."""
 
     def __init__(self) -> None:
         self.is_stopped = False
@@ -22,16 +22,17 @@
 
 
 class TestShutdown(testtools.TestCase):
-    """What a planned stop does when."""
+    """Steps of a graceful shutdown and their times."""
 
     def test_balancer_has_its_time_to_notice(self) -> None:
-        # It asks once a second and acts on the second answer: a connection
-        # that it sent 2.4 s after the signal must still be taken.
+        # The load balancer checks readiness once a second and acts on the
+        # second answer, so a connection 2.4 s after the signal must still be
+        # accepted.
         plan = shutdown.make_plan(grace_s=8.0, now=100.0)
         self.assertEqual(102.5, plan.close_at)
 
     def test_process_ends_before_it_is_killed(self) -> None:
-        # A kill in the middle of an answer leaves no line in the log.
+        # SIGKILL in the middle of an answer leaves no log line.
         for grace_s in (0.5, 1.0, 2.0, 4.0, 8.0, 60.0):
             plan = shutdown.make_plan(grace_s, now=100.0)
             self.assertTrue(plan.end_at < 100.0 + grace_s)
@@ -45,15 +46,15 @@
             self.assertTrue(left_s >= grace_s / 25, left_s)
 
     def test_short_grace_leaves_time_for_what_is_in_progress(self) -> None:
-        # The notice alone would outlast the grace: the process was killed
-        # with its listener open and its requests in progress.
+        # The notice alone would exceed the grace period: the process was
+        # killed with its listener open and requests in progress.
         for grace_s in (0.5, 1.0, 2.0):
             plan = shutdown.make_plan(grace_s, now=100.0)
             left_s = plan.give_up_at - plan.close_at
             self.assertTrue(left_s >= grace_s / 5, left_s)
 
     def test_end_waits_for_the_last_connection(self) -> None:
-        async def play() -> None:
+        async def run_scenario() -> None:
             intake = FakeIntake()
             async with anyio.create_task_group() as group:
                 group.start_soon(end_later, intake)
@@ -64,28 +65,28 @@
             await anyio.sleep(0.05)
             intake.ended.set()
 
-        anyio.run(play)
+        anyio.run(run_scenario)
 
     def test_end_comes_although_a_caller_never_reads(self) -> None:
-        async def play() -> None:
+        async def run_scenario() -> None:
             with anyio.fail_after(2.0):
                 self.assertFalse(await shutdown.finish(FakeIntake(), 0.05))
 
-        anyio.run(play)
+        anyio.run(run_scenario)
 
     def test_time_that_is_over_ends_at_once(self) -> None:
-        # The host was frozen past the end of the grace.
-        async def play() -> None:
+        # The host was frozen until after the end of the grace period.
+        async def run_scenario() -> None:
             intake = FakeIntake()
             with anyio.fail_after(2.0):
                 self.assertFalse(await shutdown.finish(intake, -1.0))
             self.assertTrue(intake.is_stopped)
 
-        anyio.run(play)
+        anyio.run(run_scenario)
 
 
 class TestStallWatch(testtools.TestCase):
-    """Timers that come late."""
+    """Detection of delayed timers."""
 
     def setUp(self) -> None:
         super().setUp()
