--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -1,4 +1,4 @@
-"""Bad input is said once a key and minute, and always counted."""
+"""Invalid input is always counted, and logged once per key and minute."""
 
 import io
 import json
@@ -17,12 +17,12 @@
 
 
 class TestDirectory(testtools.TestCase):
-    """A runner whose entry was written over."""
+    """Runners whose registration was overwritten with an invalid one."""
 
     def test_is_out_also_while_the_store_is_away(self) -> None:
-        # A request goes to a process that is no runner. The store is out, so
-        # registrations that end may only have lapsed, and are kept; this one
-        # has not lapsed, it was replaced by one that names no runner.
+        # A request went to a process that is no runner. During a store outage,
+        # registrations that are removed may only have expired, and are kept.
+        # This one did not expire: an entry that names no runner replaced it.
         runners = directory.Directory(2.0)
         for name in ('r1', 'r2'):
             runners.update(gatewayparts.make_entry(name))
@@ -45,13 +45,13 @@
         runners.expire(20.0)
 
 
-class TestJournal(testtools.TestCase):
-    """Lines about input that is as long as somebody likes."""
+class TestLogWriter(testtools.TestCase):
+    """Log lines with long fields."""
 
     def test_long_fields_are_cut(self) -> None:
-        # A host is killed for its memory, with all its requests. Callers
-        # send ids and paths of 60 KB, each of which stands in a line that
-        # waits to be written, two thousand of them at most.
+        # A host runs out of memory, is killed and loses all its requests.
+        # Callers send ids and paths of 60 KB, which are held in up to two
+        # thousand queued lines.
         stream = io.StringIO()
         lines = logwriter.LogWriter(stream, {'host': 'host-1'})
         lines.start()
@@ -75,7 +75,7 @@
 
 
 class TestNoticeLimit(testtools.TestCase):
-    """Which notices go through; time is an argument."""
+    """Which notices are admitted; time is an argument."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -90,9 +90,9 @@
         self.assertIsNone(self.limit.admit('a', 71.0))
 
     def test_many_keys_share_one_notice(self) -> None:
-        # An operator finds no request in the log: a stranger sends messages
-        # under a new name each, every one of them is worth a line, and the
-        # log drops what is above its limit.
+        # The log loses the lines of requests: another program sends each
+        # message under a new name, each is logged, and the log drops lines
+        # above its rate limit.
         given = [
             number
             for number in range(10_000)
@@ -113,23 +113,23 @@
         self.assertIsNone(self.limit.admit(long + 'b', 0.0))
 
 
-class TestForeignInput(testtools.TestCase):
-    """Counter and log."""
+class TestInputErrors(testtools.TestCase):
+    """Counting and logging of invalid input."""
 
     def test_counted_always_and_logged_once(self) -> None:
         found = telemetry.MetricRegistry()
-        foreign = inputerrors.InputErrors(found)
+        input_errors = inputerrors.InputErrors(found)
         messages: list[dict[str, ty.Any]] = []
         eliot.add_destinations(messages.append)
         self.addCleanup(eliot.remove_destination, messages.append)
         for second in range(30):
-            foreign.report(
+            input_errors.report(
                 inputerrors.Source.REGISTRATION,
                 'i-once',
                 'x' * 10_000,
                 float(second),
             )
-        # Those that were written before there was a destination come too.
+        # The destination also gets messages logged before it was added.
         written = [item for item in messages if item.get('key') == 'i-once']
         self.assertEqual(1, len(written))
         self.assertEqual('gateway:unreadable', written[0]['message_type'])
