--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/telemetry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/telemetry.py
@@ -49,12 +49,12 @@
 
     def time(self, name: str, seconds: float, **labels: str) -> None:
         """Record a duration in a histogram."""
-        full = _write_name(name, labels)
+        full_name = _write_name(name, labels)
         buckets = self._buckets.setdefault(
-            full, [0] * (len(BUCKET_BOUNDS_S) + 1)
+            full_name, [0] * (len(BUCKET_BOUNDS_S) + 1)
         )
         buckets[bisect.bisect_left(BUCKET_BOUNDS_S, seconds)] += 1
-        self._sums[full] += seconds  # type: ignore[assignment]
+        self._sums[full_name] += seconds  # type: ignore[assignment]
 
     def render(self) -> str:
         """Return all metrics as text."""
@@ -70,8 +70,8 @@
 
     def _render_histogram(self, name: str, buckets: list[int]) -> list[str]:
         base, _, labels = name.partition('{')
-        inner = labels.rstrip('}')
-        comma = ',' if inner else ''
+        label_text = labels.rstrip('}')
+        comma = ',' if label_text else ''
         total = 0
         lines: list[str] = []
         for bound, count in zip(
@@ -79,9 +79,9 @@
         ):
             total += count
             lines.append(
-                f'{PREFIX}{base}_bucket{{{inner}{comma}le="{bound}"}} {total}'
+                f'{PREFIX}{base}_bucket{{{label_text}{comma}le="{bound}"}} {total}'
             )
-        tail = f'{{{inner}}}' if inner else ''
+        tail = f'{{{label_text}}}' if label_text else ''
         lines.append(f'{PREFIX}{base}_count{tail} {total}')
         lines.append(f'{PREFIX}{base}_sum{tail} {self._sums[name]:.6f}')
         return lines
@@ -90,5 +90,5 @@
 def _write_name(name: str, labels: dict[str, str]) -> str:
     if not labels:
         return name
-    inner = ','.join(f'{key}="{value}"' for key, value in labels.items())
-    return f'{name}{{{inner}}}'
+    label_text = ','.join(f'{key}="{value}"' for key, value in labels.items())
+    return f'{name}{{{label_text}}}'
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -232,7 +232,7 @@
                 host < readers.own for host in self._near
             )
         own = self._own.get(topic, 0.0)
-        turn = self.timing[topic].probe_stagger_s
+        stagger_s = self.timing[topic].probe_stagger_s
         count = 0
         for host in readers.others:
             answer = self._near.get(host, {}).get(topic)
@@ -240,8 +240,8 @@
                 continue
             # Host names break ties between answers of about the same time,
             # since message delays differ by a few milliseconds.
-            is_older = answer.at < own - turn
-            is_same = abs(answer.at - own) <= turn
+            is_older = answer.at < own - stagger_s
+            is_same = abs(answer.at - own) <= stagger_s
             if is_older or (is_same and host < readers.own):
                 count += 1
         return count
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -146,6 +146,6 @@
 
 
 def _check_topics(count: int) -> None:
-    wanted = len(records.TOPICS)
-    if count != wanted:
-        raise codec.refuse_frame(f'{count} topics, {wanted} are known')
+    expected = len(records.TOPICS)
+    if count != expected:
+        raise codec.refuse_frame(f'{count} topics, {expected} are known')
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/storereader.py
@@ -64,7 +64,7 @@
         self._topic = topic
         self._store = store
         self._replica = replica
-        self._fresh = fresh
+        self._freshness = fresh
         self._find_readers = find_readers
         self._on_outage = on_outage
         self._on_return = on_return
@@ -125,11 +125,11 @@
         # not, the store's offsets are inconsistent (its end lies before the
         # position read, or the newest records before the first one kept), and
         # reading again at once would use up the call quota of all hosts.
-        passed = clocks.read_monotonic() - started_at
-        await anyio.sleep(max(0.0, BATCH_PAUSE_S - passed))
+        elapsed_s = clocks.read_monotonic() - started_at
+        await anyio.sleep(max(0.0, BATCH_PAUSE_S - elapsed_s))
 
     def _find_wait(self, readers: freshness.Readers) -> float:
-        limits = self._fresh.timing[self._topic]
+        limits = self._freshness.timing[self._topic]
         if self._had_records:
             return timing.find_staggered_wait(
                 limits, readers.index, readers.count
@@ -139,7 +139,9 @@
     async def _watch_due(self, scope: anyio.CancelScope) -> None:
         while True:
             now = clocks.read_monotonic()
-            due = self._fresh.find_due(self._topic, now, self._find_readers())
+            due = self._freshness.find_due(
+                self._topic, now, self._find_readers()
+            )
             if due <= now:
                 scope.cancel()
                 return
@@ -149,7 +151,7 @@
 
     def _is_due(self, readers: freshness.Readers) -> bool:
         now = clocks.read_monotonic()
-        return self._fresh.find_due(self._topic, now, readers) <= now
+        return self._freshness.find_due(self._topic, now, readers) <= now
 
     async def _probe(self) -> None:
         self._is_outage = False
@@ -170,11 +172,11 @@
             self._on_return(clocks.read_monotonic())
 
     def _find_probe_interval(self) -> float:
-        limits = self._fresh.timing[self._topic]
-        gap = timing.find_probe_interval(
-            limits, self._fresh.count_group_hosts()
+        limits = self._freshness.timing[self._topic]
+        interval_s = timing.find_probe_interval(
+            limits, self._freshness.count_group_hosts()
         )
-        return gap * self._rng.uniform(0.8, 1.2)
+        return interval_s * self._rng.uniform(0.8, 1.2)
 
     async def _send_probe(self, scope: anyio.CancelScope) -> None:
         try:
@@ -208,7 +210,7 @@
         if not self._had_records:
             # The answer may have been delayed in transit.
             answered_at = min(answered_at, started_at + wait_s)
-        self._fresh.record_answer(self._topic, answered_at)
+        self._freshness.record_answer(self._topic, answered_at)
 
     async def _read_snapshot(self) -> None:
         started_at = clocks.read_monotonic()
@@ -219,7 +221,7 @@
         # ten times a second, made up nearly a third of the calls on a day
         # with little traffic.
         self._is_empty = batch.next_offset == 0
-        self._fresh.record_answer(self._topic, started_at)
+        self._freshness.record_answer(self._topic, started_at)
 
     # Outages.
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/timing.py
@@ -97,8 +97,8 @@
     With few readers the wait is short enough for their evenly staggered
     answers to keep the bound.
     """
-    spacing = timing.max_answer_age_s * ANSWER_SPACING_SHARE
-    return min(MAX_READ_WAIT_S, spacing * readers)
+    spacing_s = timing.max_answer_age_s * ANSWER_SPACING_SHARE
+    return min(MAX_READ_WAIT_S, spacing_s * readers)
 
 
 def find_staggered_wait(timing: Timing, index: int, readers: int) -> float:
@@ -120,7 +120,8 @@
     often, so a store that recovers gets about as many calls from a large
     group as from a small one.
     """
-    gap = timing.probe_stagger_s * hosts
+    interval_s = timing.probe_stagger_s * hosts
     return max(
-        timing.min_probe_interval_s, min(timing.max_probe_interval_s, gap)
+        timing.min_probe_interval_s,
+        min(timing.max_probe_interval_s, interval_s),
     )
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -107,10 +107,10 @@
         readers = self.find_readers(host)
         wait = timing.find_read_wait(limits, readers.count)
         if host.fresh.find_due(TOPIC, self.now, readers) <= self.now:
-            gap = timing.find_probe_interval(
+            interval_s = timing.find_probe_interval(
                 limits, host.fresh.count_group_hosts()
             )
-            if self.now < host.probed_at + gap:
+            if self.now < host.probed_at + interval_s:
                 return
             host.probed_at = self.now
             self.calls += 1
