--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/telemetry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/telemetry.py
@@ -70,8 +70,8 @@
 
     def _render_histogram(self, name: str, buckets: list[int]) -> list[str]:
         base, _, labels = name.partition('{')
-        label_text = labels.rstrip('}')
-        comma = ',' if label_text else ''
+        pairs = labels.rstrip('}')
+        comma = ',' if pairs else ''
         total = 0
         lines: list[str] = []
         for bound, count in zip(
@@ -79,9 +79,9 @@
         ):
             total += count
             lines.append(
-                f'{PREFIX}{base}_bucket{{{label_text}{comma}le="{bound}"}} {total}'
+                f'{PREFIX}{base}_bucket{{{pairs}{comma}le="{bound}"}} {total}'
             )
-        tail = f'{{{label_text}}}' if label_text else ''
+        tail = f'{{{pairs}}}' if pairs else ''
         lines.append(f'{PREFIX}{base}_count{tail} {total}')
         lines.append(f'{PREFIX}{base}_sum{tail} {self._sums[name]:.6f}')
         return lines
@@ -90,5 +90,5 @@
 def _write_name(name: str, labels: dict[str, str]) -> str:
     if not labels:
         return name
-    label_text = ','.join(f'{key}="{value}"' for key, value in labels.items())
-    return f'{name}{{{label_text}}}'
+    pairs = ','.join(f'{key}="{value}"' for key, value in labels.items())
+    return f'{name}{{{pairs}}}'
