--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -19,7 +19,7 @@
 class TestDirectory(testtools.TestCase):
     """Runners whose registration was overwritten with an invalid one."""
 
-    def test_is_out_also_while_the_store_is_away(self) -> None:
+    def test_retracted_runner_is_removed_during_store_outage(self) -> None:
         # A request went to a process that is no runner. During a store outage,
         # registrations that are removed may only have expired, and are kept.
         # This one did not expire: an entry that names no runner replaced it.
@@ -35,7 +35,7 @@
         )
         self.assertFalse(runners.retract(ids.Runner('r2'), 10.1))
 
-    def test_one_that_is_waited_for_is_out_too(self) -> None:
+    def test_retracted_runner_that_expired_is_removed(self) -> None:
         runners = directory.Directory(2.0)
         runners.update(gatewayparts.make_entry('r1'))
         runners.note_outage(10.0)
@@ -101,13 +101,13 @@
         self.assertEqual(noticelimit.KEYS + 1, len(given))
         self.assertEqual(noticelimit.KEYS + 1, self.limit.count_keys())
 
-    def test_keys_of_the_past_make_room(self) -> None:
+    def test_expired_keys_make_room(self) -> None:
         for number in range(noticelimit.KEYS):
             self.limit.admit(f'key {number}', 0.0)
         self.assertEqual(0, self.limit.admit('new', noticelimit.INTERVAL))
         self.assertIsNone(self.limit.admit('new', noticelimit.INTERVAL + 1))
 
-    def test_endless_keys_take_no_memory(self) -> None:
+    def test_long_keys_are_truncated(self) -> None:
         long = 'k' * 100_000
         self.assertEqual(0, self.limit.admit(long + 'a', 0.0))
         self.assertIsNone(self.limit.admit(long + 'b', 0.0))
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -24,7 +24,7 @@
 class TestShutdown(testtools.TestCase):
     """Steps of a graceful shutdown and their times."""
 
-    def test_balancer_has_its_time_to_notice(self) -> None:
+    def test_listener_stays_open_until_load_balancer_notices(self) -> None:
         # The load balancer checks readiness once a second and acts on the
         # second answer, so a connection 2.4 s after the signal must still be
         # accepted.
@@ -67,14 +67,14 @@
 
         anyio.run(run_scenario)
 
-    def test_end_comes_although_a_caller_never_reads(self) -> None:
+    def test_shutdown_ends_although_a_caller_never_reads(self) -> None:
         async def run_scenario() -> None:
             with anyio.fail_after(2.0):
                 self.assertFalse(await shutdown.finish(FakeIntake(), 0.05))
 
         anyio.run(run_scenario)
 
-    def test_time_that_is_over_ends_at_once(self) -> None:
+    def test_exceeded_grace_period_ends_at_once(self) -> None:
         # The host was frozen until after the end of the grace period.
         async def run_scenario() -> None:
             intake = FakeIntake()
--- a/tests/test_gateway_waits.py
+++ b/tests/test_gateway_waits.py
@@ -174,7 +174,7 @@
 class TestGroup(testtools.TestCase):
     """Calls without outages, and the time until lost reads are replaced."""
 
-    def test_quiet_group_asks_no_more_than_its_reads(self) -> None:
+    def test_group_without_outage_makes_no_extra_calls(self) -> None:
         # The limit is the rate of reads that wait 4 s and are repeated as they
         # end: 1.75 calls a second for the seven hosts of a usual deployment.
         group = SimulatedGroup(7, BOUND_S)
@@ -189,7 +189,7 @@
                 group.run(20.0)
                 self.assertEqual(0, group.probes, f'{count} hosts, {bound} s')
 
-    def test_groups_go_by_the_answers_of_each_other(self) -> None:
+    def test_groups_use_answers_of_other_groups(self) -> None:
         # Three hosts of each group read. Their own answers alone are 1.7 s
         # apart, so each group would probe in between: a simulation with five
         # groups made 290 calls in half a minute instead of 104.
@@ -197,7 +197,7 @@
         group.run(15.0)
         self.assertEqual(0, group.probes)
 
-    def test_reads_that_all_are_lost_are_made_good_in_time(self) -> None:
+    def test_lost_reads_are_replaced_within_the_bound(self) -> None:
         # A configuration is written right after a short outage that lost all
         # open reads, at various times within their wait.
         for count in (1, 2, 3, 7, 12):
@@ -211,7 +211,7 @@
                     took = group.find_answer(lost_at) - lost_at
                     self.assertLess(took, bound * (1 - SLOWNESS_SHARE))
 
-    def test_store_that_comes_back_is_met_at_once(self) -> None:
+    def test_recovered_store_is_read_within_the_bound(self) -> None:
         for count in (1, 3, 7, 12):
             for bound in BOUNDS:
                 group = SimulatedGroup(count, bound)
@@ -224,7 +224,7 @@
                 took = group.find_answer(back_at) - back_at
                 self.assertLess(took, bound * (1 - SLOWNESS_SHARE))
 
-    def test_bound_of_nothing_does_not_ask_without_end(self) -> None:
+    def test_zero_bound_does_not_query_continuously(self) -> None:
         group = SimulatedGroup(1, 0.0)
         group.run(1.0)
         self.assertLess(group.calls, 15)
@@ -260,7 +260,7 @@
         replica.apply(TOPIC, dialect.Batch((record,), 1), is_snapshot=False)
         self.assertEqual(4.9 + BOUND_S / 2, self.find_due(fresh, 5.0))
 
-    def test_answer_of_another_group_counts_and_is_not_handed_on(self) -> None:
+    def test_answer_of_another_group_counts_and_is_not_forwarded(self) -> None:
         # If hosts forwarded an answer in a cycle, it would never seem to grow
         # old, and lost reads would never be noticed.
         _, fresh = self.make_fresh()
@@ -268,7 +268,7 @@
         self.assertEqual(4.9 + BOUND_S / 2, self.find_due(fresh, 5.0))
         self.assertEqual(5000, fresh.list_group_ages(5.0)[0])
 
-    def test_host_that_does_not_read_hands_on_to_its_group_only(self) -> None:
+    def test_host_that_does_not_read_forwards_to_its_group_only(self) -> None:
         _, fresh = self.make_fresh()
         fresh.update_far(ids.Host('host-b'), [100, 100], [0, 0], 5.0)
         ages = fresh.list_near_ages(5.0, False, True)
