--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -90,15 +90,17 @@
         service = config.services.get(self.service)
         if service is not None:
             self.event_tokens = service.event_tokens
-        holder = config.holders.get(head.key or '')
+        holder = config.organisations_by_key.get(head.key or '')
         if holder is None and not route.is_public:
             return errors.make_problem(errors.Kind.UNKNOWN_KEY)
         self.organisation = holder
         try:
-            self.body = await asgi.read_body(receive, config.limits.body_bytes)
+            self.body = await asgi.read_body(
+                receive, config.limits.max_body_bytes
+            )
         except asgi.BodyTooLarge:
             return errors.make_problem(
-                errors.Kind.BODY_TOO_LARGE, limit=config.limits.body_bytes
+                errors.Kind.BODY_TOO_LARGE, limit=config.limits.max_body_bytes
             )
         self._note_arrival(clocks.read_monotonic())
         return await self._take_units(clocks.read_monotonic())
@@ -116,7 +118,7 @@
         if holder is None:
             return None
         tokens = None
-        if self.head.has_tokens:
+        if self.head.has_token_counts:
             tokens = self.head.prompt_tokens + self.head.output_tokens
         allowances = self._parts.allowances
         if holder.units_per_s > 0 and not allowances.knows_hosts(now):
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -334,7 +334,7 @@
             self._note(entry, observations.Kind.FAILURE)
         else:
             self._note(entry, observations.Kind.UNREACHABLE)
-        self._parts.measures.count('runner_failures_total')
+        self._parts.telemetry.count('runner_failures_total')
         eliot.log_message(
             'gateway:runner_failed',
             attempt=self._asked.head.attempt,
@@ -578,10 +578,10 @@
         if self._runner is not None:
             runner = ids.find_runner(self._runner)
         kind = self._reply.outcome.partition(' ')[0]
-        self._parts.measures.count('requests_total', outcome=kind)
-        self._parts.measures.time('request_seconds', took, outcome=kind)
+        self._parts.telemetry.count('requests_total', outcome=kind)
+        self._parts.telemetry.time('request_seconds', took, outcome=kind)
         if first is not None:
-            self._parts.measures.time('first_event_seconds', first)
+            self._parts.telemetry.time('first_event_seconds', first)
         eliot.log_message(
             'gateway:request',
             attempt=head.attempt,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
@@ -12,7 +12,7 @@
 
 from apricotlanding import addresses
 from apricotlanding import asgi
-from apricotlandingd.gateway.process import measures
+from apricotlandingd.gateway.process import telemetry
 from apricotlandingd.gateway.requests import exchange
 from apricotlandingd.gateway.requests import parts
 
@@ -29,14 +29,14 @@
         readiness: addresses.Address,
         metrics: addresses.Address,
         is_ready: collections.abc.Callable[[], bool],
-        found: measures.Measures,
+        found: telemetry.MetricRegistry,
     ) -> None:
         """Serve callers on every address that is not one of these two."""
         self._parts = shared
         self._readiness_port = readiness.port
         self._metrics_port = metrics.port
         self._is_ready = is_ready
-        self._measures = found
+        self._telemetry = found
         # The server reports each answer that we cut on purpose as an error.
         logging.getLogger('uvicorn.error').setLevel(logging.CRITICAL)
         # Requests of callers that are not answered yet.
@@ -52,7 +52,7 @@
             await _send_text(send, status, '')
             return
         if port == self._metrics_port:
-            await _send_text(send, 200, self._measures.render())
+            await _send_text(send, 200, self._telemetry.render())
             return
         found = exchange.Exchange(self._parts, scope, receive, send)
         self._open.add(found)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
@@ -14,7 +14,7 @@
 from apricotlandingd.gateway.hosts import allowances
 from apricotlandingd.gateway.hosts import dispatch
 from apricotlandingd.gateway.hosts import sharedallowances
-from apricotlandingd.gateway.process import measures
+from apricotlandingd.gateway.process import telemetry
 from apricotlandingd.gateway.requests import habits
 from apricotlandingd.gateway.requests import runnerclient
 from apricotlandingd.gateway.runners import directory
@@ -35,7 +35,7 @@
     dispatcher: dispatch.Dispatcher
     directory: directory.Directory
     paces: pace.Paces
-    measures: measures.Measures
+    telemetry: telemetry.MetricRegistry
     find_catalogue: collections.abc.Callable[[], catalogue.Catalogue | None]
     find_client: collections.abc.Callable[
         [dialect.RunnerEntry], runnerclient.RunnerClient
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -137,7 +137,7 @@
             buckets.hear(state.incarnation, state.usage, now)
             is_settled = state.hosts > 0
             uses.hear(1, state.group_asked, state.group_used, is_settled, now)
-            records.is_ahead(state.positions, records.Board().positions)
+            records.is_ahead(state.positions, records.Replica().positions)
 
         host.on_state = take
         now = 1.0
@@ -373,15 +373,15 @@
         )
     )
     def test_questions(self, data: bytes) -> None:
-        exchange = recordexchange.RecordExchange(records.Board())
+        exchange = recordexchange.RecordExchange(records.Replica())
         stream = ScriptedStream(data)
         anyio.run(exchange.serve, ty.cast(anyio.abc.SocketStream, stream))
 
     @fuzzing.give_examples()
     @hypothesis.given(write_spoiled(GOOD_PAGE))
     def test_replies(self, data: bytes) -> None:
-        board = records.Board()
-        exchange = recordexchange.RecordExchange(board)
+        replica = records.Replica()
+        exchange = recordexchange.RecordExchange(replica)
         found = self.decode(data)
         try:
             page = recordexchange._check_page(found)
@@ -390,8 +390,8 @@
             return
         exchange._apply(page)
         for topic in records.TOPICS:
-            self.assertTrue(0 <= board.positions[topic] < 2**63)
-            for record in board.list_since(topic, 0).records:
+            self.assertTrue(0 <= replica.positions[topic] < 2**63)
+            for record in replica.list_since(topic, 0).records:
                 self.assertTrue(0 <= record.offset < 2**63)
         # It can be told on.
         passed = exchange._make_page(GOOD_QUERY)
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -222,7 +222,7 @@
         organisation = PRESSING.organisation
         terms = shared.find_terms(organisation, now)
         self.assertIsNone(shared.take(organisation, COST, terms, now))
-        board = records.Board()
+        replica = records.Replica()
         bounds = dict.fromkeys(records.TOPICS, 1.0)
         schedule = scheduler.Scheduler(
             directory.Directory(2.0),
@@ -231,14 +231,14 @@
             others,
             random.Random(1),
         )
-        states = hoststates.HostStates(
+        states = hoststates.HostStateBuilder(
             ty.cast(
                 'ty.Any',
                 types.SimpleNamespace(host='host-0', state=OWN, peers=OWN),
             ),
             ids.Incarnation('host-0/1'),
-            board,
-            freshness.Freshness(board, bounds),
+            replica,
+            freshness.Freshness(replica, bounds),
             shared,
             schedule,
             others,
