--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -19,20 +19,18 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import bundle
-from apricotlanding import clocks
-from apricotlanding import hostlist
-from apricotlanding import ids
-from apricotlanding import metrics
-from apricotlanding import webclient
-from apricotlanding import wire
-from apricotlandingd.ownership import leases
-from apricotlandingd.ownership import owners
-from apricotlandingd.peering import peerlink
-from apricotlandingd.peering import peers
-from apricotlandingd.pools import ordering
-from apricotlandingd.pools import poolqueue
-from apricotlandingd.pools import runnerstate
+from apricotlanding import (
+    bundle,
+    clocks,
+    hostlist,
+    ids,
+    metrics,
+    webclient,
+    wire,
+)
+from apricotlandingd.ownership import leases, owners
+from apricotlandingd.peering import peerlink, peers
+from apricotlandingd.pools import engineorders, poolqueue, runnerstate
 
 __all__ = ['PoolDesk']
 
@@ -310,7 +308,7 @@
                     group.start_soon(self._follow_load, desk, runner, client)
                     group.start_soon(_follow_events, runner, client)
                     group.start_soon(
-                        ordering.keep_ordered, runner, desk.right, client
+                        engineorders.keep_ordered, runner, desk.right, client
                     )
             finally:
                 with anyio.CancelScope(shield=True):
