--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -17,12 +17,10 @@
 import anyio
 import eliot
 
-from apricotlanding import bundle
-from apricotlanding import clocks
-from apricotlanding import webclient
+from apricotlanding import bundle, clocks, webclient
 from apricotlandingd.ownership import leases
 
-__all__ = ['keep_ordered']
+__all__ = ['reconcile_runner']
 
 # Seconds between orders to an engine that does not check fencing numbers,
 # and between looks at what is declared.
@@ -39,7 +37,7 @@
     model: bundle.RunnerModel
 
 
-async def keep_ordered(
+async def reconcile_runner(
     runner: Ordered, right: leases.Right, client: webclient.WebClient
 ) -> None:
     """Order a runner to its declared state, until cancelled."""
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -308,7 +308,10 @@
                     group.start_soon(self._follow_load, desk, runner, client)
                     group.start_soon(_follow_events, runner, client)
                     group.start_soon(
-                        engineorders.keep_ordered, runner, desk.right, client
+                        engineorders.reconcile_runner,
+                        runner,
+                        desk.right,
+                        client,
                     )
             finally:
                 with anyio.CancelScope(shield=True):
