--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -31,14 +31,14 @@
 Declared = tuple[str | None, str | None]
 
 
-class Ordered(ty.Protocol):
+class ConfiguredRunner(ty.Protocol):
     """A runner as far as orders are concerned."""
 
     model: bundle.RunnerModel
 
 
 async def reconcile_runner(
-    runner: Ordered, right: leases.Right, client: webclient.WebClient
+    runner: ConfiguredRunner, right: leases.Right, client: webclient.WebClient
 ) -> None:
     """Order a runner to its declared state, until cancelled."""
     done: Declared | None = None
