--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -28,7 +28,7 @@
 LOOK_INTERVAL = 0.5
 _TIMEOUT = 2.0
 
-Declared = tuple[str | None, str | None]
+DeclaredState = tuple[str | None, str | None]
 
 
 class ConfiguredRunner(ty.Protocol):
@@ -41,7 +41,7 @@
     runner: ConfiguredRunner, right: leases.Right, client: webclient.WebClient
 ) -> None:
     """Order a runner to its declared state, until cancelled."""
-    done: Declared | None = None
+    done: DeclaredState | None = None
     done_at = float('-inf')
     while True:
         model = runner.model
