--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -9,7 +9,7 @@
 after every earlier owner's right has ended, and checks its own right before
 each order; so a late order can come only from a process that was stopped
 between that check and the sending. And the owner repeats its orders: whatever
-a late one has changed is put right within ``REPEAT_INTERVAL``.
+a late one has changed is put right within ``ORDER_REPEAT_INTERVAL_S``.
 """
 
 import typing as ty
@@ -24,7 +24,7 @@
 
 # Seconds between orders to an engine that does not check fencing numbers,
 # and between looks at what is declared.
-REPEAT_INTERVAL = 3.0
+ORDER_REPEAT_INTERVAL_S = 3.0
 LOOK_INTERVAL = 0.5
 _TIMEOUT = 2.0
 
@@ -48,7 +48,7 @@
         declared = (model.load, model.role)
         now = clocks.read_monotonic()
         is_due = not model.checks_fencing and now >= (
-            done_at + REPEAT_INTERVAL
+            done_at + ORDER_REPEAT_INTERVAL_S
         )
         if declared != (None, None) and (declared != done or is_due):
             if right.is_valid(now) and await _order(model, right, client):
