--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -25,7 +25,7 @@
 # Seconds between orders to an engine that does not check fencing numbers,
 # and between looks at what is declared.
 ORDER_REPEAT_INTERVAL_S = 3.0
-LOOK_INTERVAL = 0.5
+ORDER_CHECK_INTERVAL_S = 0.5
 _TIMEOUT = 2.0
 
 DeclaredState = tuple[str | None, str | None]
@@ -54,7 +54,7 @@
             if right.is_valid(now) and await _order(model, right, client):
                 done = declared
                 done_at = now
-        await anyio.sleep(LOOK_INTERVAL)
+        await anyio.sleep(ORDER_CHECK_INTERVAL_S)
 
 
 async def _order(
