--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -26,7 +26,7 @@
 # and between looks at what is declared.
 ORDER_REPEAT_INTERVAL_S = 3.0
 ORDER_CHECK_INTERVAL_S = 0.5
-_TIMEOUT = 2.0
+_ORDER_TIMEOUT_S = 2.0
 
 DeclaredState = tuple[str | None, str | None]
 
@@ -65,7 +65,7 @@
     order = {'epoch': right.epoch, 'load': model.load, 'role': model.role}
     try:
         status, _ = await client.call_json(
-            'POST', '/v1/orders', order, read_timeout=_TIMEOUT
+            'POST', '/v1/orders', order, read_timeout=_ORDER_TIMEOUT_S
         )
     except webclient.WebError as error:
         eliot.log_message('order:failed', runner=model.name, error=str(error))
