--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -51,13 +51,13 @@
             done_at + ORDER_REPEAT_INTERVAL_S
         )
         if declared != (None, None) and (declared != done or is_due):
-            if right.is_valid(now) and await _order(model, right, client):
+            if right.is_valid(now) and await _send_order(model, right, client):
                 done = declared
                 done_at = now
         await anyio.sleep(ORDER_CHECK_INTERVAL_S)
 
 
-async def _order(
+async def _send_order(
     model: bundle.RunnerModel,
     right: leases.Right,
     client: webclient.WebClient,
