--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -41,7 +41,7 @@
     runner: ConfiguredRunner, right: leases.Right, client: webclient.WebClient
 ) -> None:
     """Order a runner to its declared state, until cancelled."""
-    done: DeclaredState | None = None
+    applied: DeclaredState | None = None
     done_at = float('-inf')
     while True:
         model = runner.model
@@ -50,9 +50,9 @@
         is_due = not model.checks_fencing and now >= (
             done_at + ORDER_REPEAT_INTERVAL_S
         )
-        if declared != (None, None) and (declared != done or is_due):
+        if declared != (None, None) and (declared != applied or is_due):
             if right.is_valid(now) and await _send_order(model, right, client):
-                done = declared
+                applied = declared
                 done_at = now
         await anyio.sleep(ORDER_CHECK_INTERVAL_S)
 
