--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -42,18 +42,18 @@
 ) -> None:
     """Order a runner to its declared state, until cancelled."""
     applied: DeclaredState | None = None
-    done_at = float('-inf')
+    applied_at = float('-inf')
     while True:
         model = runner.model
         declared = (model.load, model.role)
         now = clocks.read_monotonic()
         is_due = not model.checks_fencing and now >= (
-            done_at + ORDER_REPEAT_INTERVAL_S
+            applied_at + ORDER_REPEAT_INTERVAL_S
         )
         if declared != (None, None) and (declared != applied or is_due):
             if right.is_valid(now) and await _send_order(model, right, client):
                 applied = declared
-                done_at = now
+                applied_at = now
         await anyio.sleep(ORDER_CHECK_INTERVAL_S)
 
 
