--- a/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         """Start unmeasured."""
         # Prompt and output tokens a second; 0 while nothing was measured.
-        self.tokens_s = 0.0
+        self.tokens_per_s = 0.0
         self._ended_tokens = 0
         self._ended_count = 0
         self._since: float | None = None
@@ -45,8 +45,8 @@
         if seconds < _INTERVAL_S or self._ended_count < _INTERVAL_ENDS:
             return
         rate = self._ended_tokens / seconds
-        weight = _NEWEST if self.tokens_s > 0.0 else 1.0
-        self.tokens_s += weight * (rate - self.tokens_s)
+        weight = _NEWEST if self.tokens_per_s > 0.0 else 1.0
+        self.tokens_per_s += weight * (rate - self.tokens_per_s)
         self._begin(now)
 
     def _begin(self, now: float) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -26,13 +26,8 @@
 import random
 import typing as ty
 
-from apricotlanding import bundle
-from apricotlanding import ids
-from apricotlanding import wire
-from apricotlandingd.pools import drainrate
-from apricotlandingd.pools import policies
-from apricotlandingd.pools import runnerstate
-from apricotlandingd.pools import tierqueue
+from apricotlanding import bundle, ids, wire
+from apricotlandingd.pools import drainrate, policies, runnerstate, tierqueue
 
 __all__ = ['GrantDecision', 'PoolQueue', 'ShedDecision']
 
@@ -250,9 +245,9 @@
 
     def estimate_retry(self) -> float:
         """Return in how many seconds what waits now will have drained."""
-        if self._drained.tokens_s <= 0.0:
+        if self._drained.tokens_per_s <= 0.0:
             return RETRY_FIRST
-        seconds = self._waiting_tokens / self._drained.tokens_s
+        seconds = self._waiting_tokens / self._drained.tokens_per_s
         return min(max(seconds, RETRY_FIRST), RETRY_LAST)
 
     # Granting.
@@ -456,7 +451,7 @@
         # the lowest tier that waits: a request of a higher tier may be as
         # hopeless, but it must not be given up before a lower one is.
         tier = self._find_sheddable()
-        if tier is None or self._drained.tokens_s <= 0.0:
+        if tier is None or self._drained.tokens_per_s <= 0.0:
             return
         lowest = sorted(tier.iterate(), key=lambda item: item.arrived_at)
         ahead = self._waiting_tokens - sum(item.tokens for item in lowest)
@@ -466,7 +461,7 @@
         )
         for waiting in lowest:
             tokens = short_ahead if waiting.is_short else ahead
-            if now + tokens / self._drained.tokens_s > waiting.deadline_at:
+            if now + tokens / self._drained.tokens_per_s > waiting.deadline_at:
                 yield self._shed(waiting)
                 continue
             ahead += waiting.tokens
