--- a/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
@@ -27,7 +27,7 @@
         self._ended_count = 0
         self._since: float | None = None
 
-    def note_end(self, tokens: int) -> None:
+    def record_finished(self, tokens: int) -> None:
         """Count a request that has left its runner."""
         self._ended_tokens += tokens
         self._ended_count += 1
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -165,7 +165,7 @@
         granted = self._granted.pop(message.ticket, None)
         if granted is None:
             return
-        self._drained.note_end(granted.waiting.tokens)
+        self._drained.record_finished(granted.waiting.tokens)
         runner = self.runners.get(granted.runner)
         if runner is None:
             return
