--- a/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
@@ -12,7 +12,7 @@
 _NEWEST = 0.3
 # Ends and seconds that make an interval.
 _MIN_INTERVAL_REQUESTS = 8
-_INTERVAL_S = 1.0
+_MIN_INTERVAL_S = 1.0
 
 
 @ty.final
@@ -42,7 +42,10 @@
             self._begin(now)
             return
         seconds = now - self._since
-        if seconds < _INTERVAL_S or self._ended_count < _MIN_INTERVAL_REQUESTS:
+        if (
+            seconds < _MIN_INTERVAL_S
+            or self._ended_count < _MIN_INTERVAL_REQUESTS
+        ):
             return
         rate = self._ended_tokens / seconds
         weight = _NEWEST if self.tokens_per_s > 0.0 else 1.0
