--- a/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
@@ -9,7 +9,7 @@
 __all__ = ['DrainRate']
 
 # Weight of the newest interval in the average.
-_NEWEST = 0.3
+_NEWEST_INTERVAL_WEIGHT = 0.3
 # Ends and seconds that make an interval.
 _MIN_INTERVAL_REQUESTS = 8
 _MIN_INTERVAL_S = 1.0
@@ -48,7 +48,7 @@
         ):
             return
         rate = self._ended_tokens / seconds
-        weight = _NEWEST if self.tokens_per_s > 0.0 else 1.0
+        weight = _NEWEST_INTERVAL_WEIGHT if self.tokens_per_s > 0.0 else 1.0
         self.tokens_per_s += weight * (rate - self.tokens_per_s)
         self._begin(now)
 
