--- a/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
@@ -23,13 +23,13 @@
         """Start unmeasured."""
         # Prompt and output tokens a second; 0 while nothing was measured.
         self.tokens_per_s = 0.0
-        self._ended_tokens = 0
+        self._finished_tokens = 0
         self._ended_count = 0
         self._since: float | None = None
 
     def record_finished(self, tokens: int) -> None:
         """Count a request that has left its runner."""
-        self._ended_tokens += tokens
+        self._finished_tokens += tokens
         self._ended_count += 1
 
     def update(self, is_saturated: bool, now: float) -> None:
@@ -47,12 +47,12 @@
             or self._ended_count < _MIN_INTERVAL_REQUESTS
         ):
             return
-        rate = self._ended_tokens / seconds
+        rate = self._finished_tokens / seconds
         weight = _NEWEST_INTERVAL_WEIGHT if self.tokens_per_s > 0.0 else 1.0
         self.tokens_per_s += weight * (rate - self.tokens_per_s)
         self._begin(now)
 
     def _begin(self, now: float) -> None:
         self._since = now
-        self._ended_tokens = 0
+        self._finished_tokens = 0
         self._ended_count = 0
