--- a/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
@@ -24,13 +24,13 @@
         # Prompt and output tokens a second; 0 while nothing was measured.
         self.tokens_per_s = 0.0
         self._finished_tokens = 0
-        self._ended_count = 0
+        self._finished_count = 0
         self._since: float | None = None
 
     def record_finished(self, tokens: int) -> None:
         """Count a request that has left its runner."""
         self._finished_tokens += tokens
-        self._ended_count += 1
+        self._finished_count += 1
 
     def update(self, is_saturated: bool, now: float) -> None:
         """Take the interval into the average, if it is long enough."""
@@ -44,7 +44,7 @@
         seconds = now - self._since
         if (
             seconds < _MIN_INTERVAL_S
-            or self._ended_count < _MIN_INTERVAL_REQUESTS
+            or self._finished_count < _MIN_INTERVAL_REQUESTS
         ):
             return
         rate = self._finished_tokens / seconds
@@ -55,4 +55,4 @@
     def _begin(self, now: float) -> None:
         self._since = now
         self._finished_tokens = 0
-        self._ended_count = 0
+        self._finished_count = 0
