--- a/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
@@ -25,7 +25,7 @@
         self.tokens_per_s = 0.0
         self._finished_tokens = 0
         self._finished_count = 0
-        self._since: float | None = None
+        self._interval_started_at: float | None = None
 
     def record_finished(self, tokens: int) -> None:
         """Count a request that has left its runner."""
@@ -36,12 +36,12 @@
         """Take the interval into the average, if it is long enough."""
         if not is_saturated:
             # What ends now says nothing of what could.
-            self._since = None
+            self._interval_started_at = None
             return
-        if self._since is None:
+        if self._interval_started_at is None:
             self._begin(now)
             return
-        seconds = now - self._since
+        seconds = now - self._interval_started_at
         if (
             seconds < _MIN_INTERVAL_S
             or self._finished_count < _MIN_INTERVAL_REQUESTS
@@ -53,6 +53,6 @@
         self._begin(now)
 
     def _begin(self, now: float) -> None:
-        self._since = now
+        self._interval_started_at = now
         self._finished_tokens = 0
         self._finished_count = 0
