--- a/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
@@ -39,7 +39,7 @@
             self._interval_started_at = None
             return
         if self._interval_started_at is None:
-            self._begin(now)
+            self._begin_interval(now)
             return
         seconds = now - self._interval_started_at
         if (
@@ -50,9 +50,9 @@
         rate = self._finished_tokens / seconds
         weight = _NEWEST_INTERVAL_WEIGHT if self.tokens_per_s > 0.0 else 1.0
         self.tokens_per_s += weight * (rate - self.tokens_per_s)
-        self._begin(now)
+        self._begin_interval(now)
 
-    def _begin(self, now: float) -> None:
+    def _begin_interval(self, now: float) -> None:
         self._interval_started_at = now
         self._finished_tokens = 0
         self._finished_count = 0
