--- a/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
@@ -34,7 +34,7 @@
     # Time left until the answer is useless, in seconds.
     deadline_s: float
     # For policies that draw.
-    draw: random.Random
+    rng: random.Random
     # Number of choices made in this pool so far.
     turn: int
     # The present time, on the monotonic clock.
@@ -100,7 +100,7 @@
 @register('random', has_tiers=False, has_limits=False)
 def choose_random(choice: Choice) -> runnerstate.RunnerState | None:
     """Draw a runner."""
-    return choice.draw.choice(choice.candidates)
+    return choice.rng.choice(choice.candidates)
 
 
 @register('round-robin', has_tiers=False, has_limits=False)
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -371,7 +371,7 @@
                 output_tokens=waiting.entry.output_tokens,
                 prefix=waiting.entry.prefix,
                 deadline_s=waiting.deadline_at - now,
-                draw=self._draw,
+                rng=self._draw,
                 turn=self._turn,
                 now=now,
             )
