--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -86,7 +86,7 @@
         self._tiers: dict[int, tierqueue.TierQueue] = {}
         self._waiting: dict[str, tierqueue.Waiting] = {}
         self._granted: dict[str, _Granted] = {}
-        self._draw = random.Random(seed)  # noqa: S311
+        self._rng = random.Random(seed)  # noqa: S311
         self._turn = 0
         self._waiting_tokens = 0
         self._waiting_short_tokens = 0
@@ -371,7 +371,7 @@
                 output_tokens=waiting.entry.output_tokens,
                 prefix=waiting.entry.prefix,
                 deadline_s=waiting.deadline_at - now,
-                rng=self._draw,
+                rng=self._rng,
                 turn=self._turn,
                 now=now,
             )
