--- a/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
@@ -36,7 +36,7 @@
     # For policies that draw.
     rng: random.Random
     # Number of choices made in this pool so far.
-    turn: int
+    choice_count: int
     # The present time, on the monotonic clock.
     now: float
 
@@ -106,7 +106,7 @@
 @register('round-robin', has_tiers=False, has_limits=False)
 def choose_in_turn(choice: Choice) -> runnerstate.RunnerState | None:
     """Take the runners in turn."""
-    return choice.candidates[choice.turn % len(choice.candidates)]
+    return choice.candidates[choice.choice_count % len(choice.candidates)]
 
 
 @register('least-reported', has_tiers=False, has_limits=False)
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -372,7 +372,7 @@
                 prefix=waiting.entry.prefix,
                 deadline_s=waiting.deadline_at - now,
                 rng=self._rng,
-                turn=self._turn,
+                choice_count=self._turn,
                 now=now,
             )
         )
