--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -87,7 +87,7 @@
         self._waiting: dict[str, tierqueue.Waiting] = {}
         self._granted: dict[str, _Granted] = {}
         self._rng = random.Random(seed)  # noqa: S311
-        self._turn = 0
+        self._choice_count = 0
         self._waiting_tokens = 0
         self._waiting_short_tokens = 0
         # Set while the queue is gone through, once a long one has no room.
@@ -363,7 +363,7 @@
         candidates = self._list_candidates(waiting, now)
         if not candidates:
             return None
-        self._turn += 1
+        self._choice_count += 1
         return self.policy.choose(
             policies.Choice(
                 candidates=candidates,
@@ -372,7 +372,7 @@
                 prefix=waiting.entry.prefix,
                 deadline_s=waiting.deadline_at - now,
                 rng=self._rng,
-                choice_count=self._turn,
+                choice_count=self._choice_count,
                 now=now,
             )
         )
