--- a/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
@@ -104,7 +104,7 @@
 
 
 @register('round-robin', has_tiers=False, has_limits=False)
-def choose_in_turn(choice: Choice) -> runnerstate.RunnerState | None:
+def choose_round_robin(choice: Choice) -> runnerstate.RunnerState | None:
     """Take the runners in turn."""
     return choice.candidates[choice.choice_count % len(choice.candidates)]
 
