--- a/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
@@ -122,7 +122,7 @@
 
 
 @register('prefix-aware', has_lookahead=True, has_short_slots=True)
-def choose_by_finish(choice: Choice) -> runnerstate.RunnerState | None:
+def choose_earliest_finish(choice: Choice) -> runnerstate.RunnerState | None:
     """Take the runner on which the request is expected to end first.
 
     Cached prompt blocks count as done, so that a prefix stays where it is
