--- a/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
@@ -71,7 +71,7 @@
 ) -> collections.abc.Callable[[Choose], Choose]:
     """Return a decorator that files a policy under a name."""
 
-    def file_policy(choose: Choose) -> Choose:
+    def register_policy(choose: Choose) -> Choose:
         if name in _policies:
             raise ValueError(f'policy {name!r} stands twice')
         _policies[name] = Policy(
@@ -84,7 +84,7 @@
         )
         return choose
 
-    return file_policy
+    return register_policy
 
 
 def find_policy(name: str) -> Policy:
