--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -50,7 +50,7 @@
 class GrantDecision:
     """A runner has room for a request."""
 
-    waiting: tierqueue.Waiting
+    waiting: tierqueue.WaitingRequest
     runner: ids.Runner
 
 
@@ -59,7 +59,7 @@
 class ShedDecision:
     """A request is given up."""
 
-    waiting: tierqueue.Waiting
+    waiting: tierqueue.WaitingRequest
     retry_after_s: float
     # Not for want of room: it could not end before its deadline even if it
     # began now.
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Granted:
-    waiting: tierqueue.Waiting
+    waiting: tierqueue.WaitingRequest
     runner: ids.Runner
     expires_at: float
     is_started: bool = False
@@ -84,7 +84,7 @@
         self.policy = policies.find_policy(pool.policy)
         self.runners: dict[ids.Runner, runnerstate.RunnerState] = {}
         self._tiers: dict[int, tierqueue.TierQueue] = {}
-        self._waiting: dict[str, tierqueue.Waiting] = {}
+        self._waiting: dict[str, tierqueue.WaitingRequest] = {}
         self._granted: dict[str, _Granted] = {}
         self._rng = random.Random(seed)  # noqa: S311
         self._choice_count = 0
@@ -131,7 +131,7 @@
             self._drop_waiting(held)
         # A daemon that registers what was shed has not heard of it.
         self._confirm(entry.ticket)
-        waiting = tierqueue.Waiting(
+        waiting = tierqueue.WaitingRequest(
             entry=entry,
             sender=sender,
             arrived_at=now - entry.waited_s,
@@ -289,7 +289,7 @@
 
     def _has_slot(
         self,
-        waiting: tierqueue.Waiting,
+        waiting: tierqueue.WaitingRequest,
         usable: collections.abc.Iterable[runnerstate.RunnerState],
     ) -> bool:
         # Long requests would hold every slot for seconds while hundreds of
@@ -311,8 +311,10 @@
         return total - short < slots - reserved
 
     def _choose_waiting(
-        self, options: list[tierqueue.Waiting], runner: runnerstate.RunnerState
-    ) -> tierqueue.Waiting:
+        self,
+        options: list[tierqueue.WaitingRequest],
+        runner: runnerstate.RunnerState,
+    ) -> tierqueue.WaitingRequest:
         # Under load a single runner has room, and what it caches decides
         # how long a prefill it gets: of the first few that wait, the one
         # with the longest cached prefix. One that was passed over often is
@@ -339,7 +341,7 @@
 
     def _is_late(
         self,
-        waiting: tierqueue.Waiting,
+        waiting: tierqueue.WaitingRequest,
         runner: runnerstate.RunnerState,
         now: float,
     ) -> bool:
@@ -358,7 +360,7 @@
         return now + LATE_CREDIT * expected_s > waiting.deadline_at
 
     def _choose_runner(
-        self, waiting: tierqueue.Waiting, now: float
+        self, waiting: tierqueue.WaitingRequest, now: float
     ) -> runnerstate.RunnerState | None:
         candidates = self._list_candidates(waiting, now)
         if not candidates:
@@ -378,7 +380,7 @@
         )
 
     def _list_candidates(
-        self, waiting: tierqueue.Waiting, now: float
+        self, waiting: tierqueue.WaitingRequest, now: float
     ) -> list[runnerstate.RunnerState]:
         usable = [
             runner for runner in self.runners.values() if runner.is_usable(now)
@@ -402,7 +404,7 @@
 
     def _place(
         self,
-        waiting: tierqueue.Waiting,
+        waiting: tierqueue.WaitingRequest,
         name: ids.Runner,
         now: float,
         is_started: bool,
@@ -490,14 +492,14 @@
                 return None
         return None
 
-    def _shed(self, waiting: tierqueue.Waiting) -> ShedDecision:
+    def _shed(self, waiting: tierqueue.WaitingRequest) -> ShedDecision:
         retry_after_s = self.estimate_retry()
         self._drop_waiting(waiting)
         tier = self._tiers[waiting.rank]
         tier.unconfirmed[waiting.entry.ticket] = waiting
         return ShedDecision(waiting, retry_after_s)
 
-    def _confirm(self, ticket: str) -> tierqueue.Waiting | None:
+    def _confirm(self, ticket: str) -> tierqueue.WaitingRequest | None:
         for tier in self._tiers.values():
             waiting = tier.unconfirmed.pop(ticket, None)
             if waiting is not None:
@@ -506,7 +508,7 @@
 
     # Book-keeping.
 
-    def _add_waiting(self, waiting: tierqueue.Waiting) -> None:
+    def _add_waiting(self, waiting: tierqueue.WaitingRequest) -> None:
         tier = self._tiers.get(waiting.rank)
         if tier is None:
             tier = self._tiers[waiting.rank] = tierqueue.TierQueue()
@@ -516,11 +518,11 @@
         if waiting.is_short:
             self._waiting_short_tokens += waiting.tokens
 
-    def _drop_waiting(self, waiting: tierqueue.Waiting) -> None:
+    def _drop_waiting(self, waiting: tierqueue.WaitingRequest) -> None:
         self._tiers[waiting.rank].discard(waiting)
         self._forget_waiting(waiting)
 
-    def _forget_waiting(self, waiting: tierqueue.Waiting) -> None:
+    def _forget_waiting(self, waiting: tierqueue.WaitingRequest) -> None:
         del self._waiting[waiting.entry.ticket]
         self._waiting_tokens -= waiting.tokens
         if waiting.is_short:
--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -13,15 +13,14 @@
 import itertools
 import typing as ty
 
-from apricotlanding import ids
-from apricotlanding import wire
+from apricotlanding import ids, wire
 
-__all__ = ['TierQueue', 'Waiting']
+__all__ = ['TierQueue', 'WaitingRequest']
 
 
 @ty.final
 @dataclasses.dataclass(slots=True, eq=False)
-class Waiting:
+class WaitingRequest:
     """A request that waits."""
 
     entry: wire.Registration
@@ -46,7 +45,7 @@
 @dataclasses.dataclass(slots=True, eq=False)
 class _Lane:
     # One organisation's queue in one tier.
-    items: collections.deque[Waiting]
+    items: collections.deque[WaitingRequest]
     virtual_time: float
     weight: float
     tokens: int = 0
@@ -60,16 +59,16 @@
         """Start empty."""
         self.lanes: dict[ids.Organisation, _Lane] = {}
         # Requests that are not ready to be granted, by ticket.
-        self.held: dict[str, Waiting] = {}
+        self.held: dict[str, WaitingRequest] = {}
         # Held ones and those in lanes.
         self.count = 0
         # Shed requests, by ticket, that their daemons may still keep.
-        self.unconfirmed: dict[str, Waiting] = {}
+        self.unconfirmed: dict[str, WaitingRequest] = {}
         self._heap: list[tuple[float, int, ids.Organisation]] = []
         self._ties = itertools.count()
         self._floor = 0.0
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: WaitingRequest) -> None:
         """Add a request, to be held if it is not ready."""
         self.count += 1
         if not waiting.entry.is_ready:
@@ -89,7 +88,7 @@
         lane.items.append(waiting)
         lane.tokens += waiting.tokens
 
-    def _peek(self) -> Waiting | None:
+    def _peek(self) -> WaitingRequest | None:
         """Return who is next; None if nothing is ready."""
         while self._heap:
             at, _, name = self._heap[0]
@@ -100,13 +99,13 @@
             heapq.heappop(self._heap)
         return None
 
-    def list_next(self, limit: int) -> list[Waiting]:
+    def list_next(self, limit: int) -> list[WaitingRequest]:
         """Return the first few of the organisation whose turn it is.
 
         In order of arrival; empty if nothing is ready.
         """
         head = self._peek()
-        found: list[Waiting] = []
+        found: list[WaitingRequest] = []
         if head is None:
             return found
         for waiting in self.lanes[head.entry.organisation].items:
@@ -116,7 +115,7 @@
                 found.append(waiting)
         return found
 
-    def take(self, waiting: Waiting) -> None:
+    def take(self, waiting: WaitingRequest) -> None:
         """Remove one that ``list_next`` has returned, as granted."""
         heapq.heappop(self._heap)
         lane = self.lanes[waiting.entry.organisation]
@@ -127,7 +126,7 @@
         if lane.items:
             self._push(waiting.entry.organisation, lane)
 
-    def discard(self, waiting: Waiting) -> None:
+    def discard(self, waiting: WaitingRequest) -> None:
         """Mark a request as gone; its place is cleared later."""
         waiting.is_gone = True
         self.count -= 1
@@ -136,7 +135,7 @@
         lane = self.lanes[waiting.entry.organisation]
         lane.tokens -= waiting.tokens
 
-    def find_excess(self) -> Waiting | None:
+    def find_excess(self) -> WaitingRequest | None:
         """Return which request gives way first.
 
         The newest of the organisation that waits with the most tokens for
@@ -153,7 +152,7 @@
             lane.items.pop()
         return lane.items[-1]
 
-    def iterate(self) -> ty.Iterator[Waiting]:
+    def iterate(self) -> ty.Iterator[WaitingRequest]:
         """Yield all that wait, in no order."""
         yield from self.held.values()
         for lane in self.lanes.values():
