--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Lane:
+class _OrganisationQueue:
     # One organisation's queue in one tier.
     items: collections.deque[WaitingRequest]
     virtual_time: float
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self.lanes: dict[ids.Organisation, _Lane] = {}
+        self.lanes: dict[ids.Organisation, _OrganisationQueue] = {}
         # Requests that are not ready to be granted, by ticket.
         self.held: dict[str, WaitingRequest] = {}
         # Held ones and those in lanes.
@@ -77,7 +77,7 @@
         name = waiting.entry.organisation
         lane = self.lanes.get(name)
         if lane is None:
-            lane = _Lane(
+            lane = _OrganisationQueue(
                 collections.deque(), self._floor, waiting.entry.weight
             )
             self.lanes[name] = lane
@@ -160,10 +160,10 @@
                 if not waiting.is_gone:
                     yield waiting
 
-    def _push(self, name: ids.Organisation, lane: _Lane) -> None:
+    def _push(self, name: ids.Organisation, lane: _OrganisationQueue) -> None:
         item = (lane.virtual_time, next(self._ties), name)
         heapq.heappush(self._heap, item)
 
-    def _skip_gone(self, lane: _Lane) -> None:
+    def _skip_gone(self, lane: _OrganisationQueue) -> None:
         while lane.items and lane.items[0].is_gone:
             lane.items.popleft()
