--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self.lanes: dict[ids.Organisation, _OrganisationQueue] = {}
+        self.queues: dict[ids.Organisation, _OrganisationQueue] = {}
         # Requests that are not ready to be granted, by ticket.
         self.held: dict[str, WaitingRequest] = {}
         # Held ones and those in lanes.
@@ -75,12 +75,12 @@
             self.held[waiting.entry.ticket] = waiting
             return
         name = waiting.entry.organisation
-        lane = self.lanes.get(name)
+        lane = self.queues.get(name)
         if lane is None:
             lane = _OrganisationQueue(
                 collections.deque(), self._floor, waiting.entry.weight
             )
-            self.lanes[name] = lane
+            self.queues[name] = lane
         if not lane.items:
             # It had nothing to wait for: it does not save up turns.
             lane.virtual_time = max(lane.virtual_time, self._floor)
@@ -92,7 +92,7 @@
         """Return who is next; None if nothing is ready."""
         while self._heap:
             at, _, name = self._heap[0]
-            lane = self.lanes[name]
+            lane = self.queues[name]
             self._skip_gone(lane)
             if lane.items and at == lane.virtual_time:
                 return lane.items[0]
@@ -108,7 +108,7 @@
         found: list[WaitingRequest] = []
         if head is None:
             return found
-        for waiting in self.lanes[head.entry.organisation].items:
+        for waiting in self.queues[head.entry.organisation].items:
             if len(found) == limit:
                 break
             if not waiting.is_gone:
@@ -118,7 +118,7 @@
     def take(self, waiting: WaitingRequest) -> None:
         """Remove one that ``list_next`` has returned, as granted."""
         heapq.heappop(self._heap)
-        lane = self.lanes[waiting.entry.organisation]
+        lane = self.queues[waiting.entry.organisation]
         self._floor = max(self._floor, lane.virtual_time)
         lane.virtual_time += waiting.tokens / lane.weight
         self.discard(waiting)
@@ -132,7 +132,7 @@
         self.count -= 1
         if self.held.pop(waiting.entry.ticket, None) is not None:
             return
-        lane = self.lanes[waiting.entry.organisation]
+        lane = self.queues[waiting.entry.organisation]
         lane.tokens -= waiting.tokens
 
     def find_excess(self) -> WaitingRequest | None:
@@ -144,10 +144,10 @@
         """
         if self.held:
             return next(reversed(self.held.values()))
-        lanes = [lane for lane in self.lanes.values() if lane.tokens > 0]
-        if not lanes:
+        queues = [lane for lane in self.queues.values() if lane.tokens > 0]
+        if not queues:
             return None
-        lane = max(lanes, key=lambda item: item.tokens / item.weight)
+        lane = max(queues, key=lambda item: item.tokens / item.weight)
         while lane.items and lane.items[-1].is_gone:
             lane.items.pop()
         return lane.items[-1]
@@ -155,7 +155,7 @@
     def iterate(self) -> ty.Iterator[WaitingRequest]:
         """Yield all that wait, in no order."""
         yield from self.held.values()
-        for lane in self.lanes.values():
+        for lane in self.queues.values():
             for waiting in lane.items:
                 if not waiting.is_gone:
                     yield waiting
