--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -75,27 +75,27 @@
             self.held[waiting.entry.ticket] = waiting
             return
         name = waiting.entry.organisation
-        lane = self.queues.get(name)
-        if lane is None:
-            lane = _OrganisationQueue(
+        queue = self.queues.get(name)
+        if queue is None:
+            queue = _OrganisationQueue(
                 collections.deque(), self._floor, waiting.entry.weight
             )
-            self.queues[name] = lane
-        if not lane.items:
+            self.queues[name] = queue
+        if not queue.items:
             # It had nothing to wait for: it does not save up turns.
-            lane.virtual_time = max(lane.virtual_time, self._floor)
-            self._push(name, lane)
-        lane.items.append(waiting)
-        lane.tokens += waiting.tokens
+            queue.virtual_time = max(queue.virtual_time, self._floor)
+            self._push(name, queue)
+        queue.items.append(waiting)
+        queue.tokens += waiting.tokens
 
     def _peek(self) -> WaitingRequest | None:
         """Return who is next; None if nothing is ready."""
         while self._heap:
             at, _, name = self._heap[0]
-            lane = self.queues[name]
-            self._skip_gone(lane)
-            if lane.items and at == lane.virtual_time:
-                return lane.items[0]
+            queue = self.queues[name]
+            self._skip_gone(queue)
+            if queue.items and at == queue.virtual_time:
+                return queue.items[0]
             heapq.heappop(self._heap)
         return None
 
@@ -118,13 +118,13 @@
     def take(self, waiting: WaitingRequest) -> None:
         """Remove one that ``list_next`` has returned, as granted."""
         heapq.heappop(self._heap)
-        lane = self.queues[waiting.entry.organisation]
-        self._floor = max(self._floor, lane.virtual_time)
-        lane.virtual_time += waiting.tokens / lane.weight
+        queue = self.queues[waiting.entry.organisation]
+        self._floor = max(self._floor, queue.virtual_time)
+        queue.virtual_time += waiting.tokens / queue.weight
         self.discard(waiting)
-        self._skip_gone(lane)
-        if lane.items:
-            self._push(waiting.entry.organisation, lane)
+        self._skip_gone(queue)
+        if queue.items:
+            self._push(waiting.entry.organisation, queue)
 
     def discard(self, waiting: WaitingRequest) -> None:
         """Mark a request as gone; its place is cleared later."""
@@ -132,8 +132,8 @@
         self.count -= 1
         if self.held.pop(waiting.entry.ticket, None) is not None:
             return
-        lane = self.queues[waiting.entry.organisation]
-        lane.tokens -= waiting.tokens
+        queue = self.queues[waiting.entry.organisation]
+        queue.tokens -= waiting.tokens
 
     def find_excess(self) -> WaitingRequest | None:
         """Return which request gives way first.
@@ -144,26 +144,26 @@
         """
         if self.held:
             return next(reversed(self.held.values()))
-        queues = [lane for lane in self.queues.values() if lane.tokens > 0]
+        queues = [queue for queue in self.queues.values() if queue.tokens > 0]
         if not queues:
             return None
-        lane = max(queues, key=lambda item: item.tokens / item.weight)
-        while lane.items and lane.items[-1].is_gone:
-            lane.items.pop()
-        return lane.items[-1]
+        queue = max(queues, key=lambda item: item.tokens / item.weight)
+        while queue.items and queue.items[-1].is_gone:
+            queue.items.pop()
+        return queue.items[-1]
 
     def iterate(self) -> ty.Iterator[WaitingRequest]:
         """Yield all that wait, in no order."""
         yield from self.held.values()
-        for lane in self.queues.values():
-            for waiting in lane.items:
+        for queue in self.queues.values():
+            for waiting in queue.items:
                 if not waiting.is_gone:
                     yield waiting
 
-    def _push(self, name: ids.Organisation, lane: _OrganisationQueue) -> None:
-        item = (lane.virtual_time, next(self._ties), name)
+    def _push(self, name: ids.Organisation, queue: _OrganisationQueue) -> None:
+        item = (queue.virtual_time, next(self._ties), name)
         heapq.heappush(self._heap, item)
 
-    def _skip_gone(self, lane: _OrganisationQueue) -> None:
-        while lane.items and lane.items[0].is_gone:
-            lane.items.popleft()
+    def _skip_gone(self, queue: _OrganisationQueue) -> None:
+        while queue.items and queue.items[0].is_gone:
+            queue.items.popleft()
