--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -66,7 +66,7 @@
         self.unconfirmed: dict[str, WaitingRequest] = {}
         self._heap: list[tuple[float, int, ids.Organisation]] = []
         self._ties = itertools.count()
-        self._floor = 0.0
+        self._virtual_clock = 0.0
 
     def add(self, waiting: WaitingRequest) -> None:
         """Add a request, to be held if it is not ready."""
@@ -78,12 +78,12 @@
         queue = self.queues.get(name)
         if queue is None:
             queue = _OrganisationQueue(
-                collections.deque(), self._floor, waiting.entry.weight
+                collections.deque(), self._virtual_clock, waiting.entry.weight
             )
             self.queues[name] = queue
         if not queue.items:
             # It had nothing to wait for: it does not save up turns.
-            queue.virtual_time = max(queue.virtual_time, self._floor)
+            queue.virtual_time = max(queue.virtual_time, self._virtual_clock)
             self._push(name, queue)
         queue.items.append(waiting)
         queue.tokens += waiting.tokens
@@ -119,7 +119,7 @@
         """Remove one that ``list_next`` has returned, as granted."""
         heapq.heappop(self._heap)
         queue = self.queues[waiting.entry.organisation]
-        self._floor = max(self._floor, queue.virtual_time)
+        self._virtual_clock = max(self._virtual_clock, queue.virtual_time)
         queue.virtual_time += waiting.tokens / queue.weight
         self.discard(waiting)
         self._skip_gone(queue)
