--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -65,7 +65,7 @@
         # Shed requests, by ticket, that their daemons may still keep.
         self.unconfirmed: dict[str, WaitingRequest] = {}
         self._heap: list[tuple[float, int, ids.Organisation]] = []
-        self._ties = itertools.count()
+        self._tie_breakers = itertools.count()
         self._virtual_clock = 0.0
 
     def add(self, waiting: WaitingRequest) -> None:
@@ -161,7 +161,7 @@
                     yield waiting
 
     def _push(self, name: ids.Organisation, queue: _OrganisationQueue) -> None:
-        item = (queue.virtual_time, next(self._ties), name)
+        item = (queue.virtual_time, next(self._tie_breakers), name)
         heapq.heappush(self._heap, item)
 
     def _skip_gone(self, queue: _OrganisationQueue) -> None:
