--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -443,7 +443,7 @@
             tier = self._find_sheddable()
             if tier is None:
                 return
-            waiting = tier.find_excess()
+            waiting = tier.find_shed_candidate()
             assert waiting is not None
             yield self._shed(waiting)
         yield from self._shed_hopeless(now)
--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -135,7 +135,7 @@
         queue = self.queues[waiting.entry.organisation]
         queue.tokens -= waiting.tokens
 
-    def find_excess(self) -> WaitingRequest | None:
+    def find_shed_candidate(self) -> WaitingRequest | None:
         """Return which request gives way first.
 
         The newest of the organisation that waits with the most tokens for
