--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -273,7 +273,7 @@
                     self._is_long_waiting = True
                     break
                 waiting = self._choose_waiting(options, runner)
-                tier.take(waiting)
+                tier.remove_granted(waiting)
                 self._forget_waiting(waiting)
                 if self._is_late(waiting, runner, now):
                     yield ShedDecision(waiting, 0.0, is_late=True)
--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -115,7 +115,7 @@
                 found.append(waiting)
         return found
 
-    def take(self, waiting: WaitingRequest) -> None:
+    def remove_granted(self, waiting: WaitingRequest) -> None:
         """Remove one that ``list_next`` has returned, as granted."""
         heapq.heappop(self._heap)
         queue = self.queues[waiting.entry.organisation]
