--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -93,7 +93,7 @@
         while self._heap:
             at, _, name = self._heap[0]
             queue = self.queues[name]
-            self._skip_gone(queue)
+            self._drop_removed(queue)
             if queue.items and at == queue.virtual_time:
                 return queue.items[0]
             heapq.heappop(self._heap)
@@ -122,7 +122,7 @@
         self._virtual_clock = max(self._virtual_clock, queue.virtual_time)
         queue.virtual_time += waiting.tokens / queue.weight
         self.discard(waiting)
-        self._skip_gone(queue)
+        self._drop_removed(queue)
         if queue.items:
             self._push(waiting.entry.organisation, queue)
 
@@ -164,6 +164,6 @@
         item = (queue.virtual_time, next(self._tie_breakers), name)
         heapq.heappush(self._heap, item)
 
-    def _skip_gone(self, queue: _OrganisationQueue) -> None:
+    def _drop_removed(self, queue: _OrganisationQueue) -> None:
         while queue.items and queue.items[0].is_gone:
             queue.items.popleft()
