--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -32,7 +32,7 @@
     rank: int
     # Whether it may take the slots kept for short requests.
     is_short: bool
-    is_gone: bool = False
+    is_removed: bool = False
     # How often a later one of its organisation was taken before it.
     passed: int = 0
 
@@ -111,7 +111,7 @@
         for waiting in self.queues[head.entry.organisation].items:
             if len(found) == limit:
                 break
-            if not waiting.is_gone:
+            if not waiting.is_removed:
                 found.append(waiting)
         return found
 
@@ -128,7 +128,7 @@
 
     def discard(self, waiting: WaitingRequest) -> None:
         """Mark a request as gone; its place is cleared later."""
-        waiting.is_gone = True
+        waiting.is_removed = True
         self.count -= 1
         if self.held.pop(waiting.entry.ticket, None) is not None:
             return
@@ -148,7 +148,7 @@
         if not queues:
             return None
         queue = max(queues, key=lambda item: item.tokens / item.weight)
-        while queue.items and queue.items[-1].is_gone:
+        while queue.items and queue.items[-1].is_removed:
             queue.items.pop()
         return queue.items[-1]
 
@@ -157,7 +157,7 @@
         yield from self.held.values()
         for queue in self.queues.values():
             for waiting in queue.items:
-                if not waiting.is_gone:
+                if not waiting.is_removed:
                     yield waiting
 
     def _push(self, name: ids.Organisation, queue: _OrganisationQueue) -> None:
@@ -165,5 +165,5 @@
         heapq.heappush(self._heap, item)
 
     def _drop_removed(self, queue: _OrganisationQueue) -> None:
-        while queue.items and queue.items[0].is_gone:
+        while queue.items and queue.items[0].is_removed:
             queue.items.popleft()
