--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -320,7 +320,10 @@
         # with the longest cached prefix. One that was passed over often is
         # taken in any case, so that each waits for a bounded number.
         head = options[0]
-        if not self.policy.has_lookahead or head.passed >= MOST_PASSED:
+        if (
+            not self.policy.has_lookahead
+            or head.overtaken_count >= MOST_PASSED
+        ):
             return head
         best = 0
         best_cached = runner.count_cached(head.entry.prefix)
@@ -336,7 +339,7 @@
                 best = index
                 best_cached = cached
         for waiting in options[:best]:
-            waiting.passed += 1
+            waiting.overtaken_count += 1
         return options[best]
 
     def _is_late(
--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -34,7 +34,7 @@
     is_short: bool
     is_removed: bool = False
     # How often a later one of its organisation was taken before it.
-    passed: int = 0
+    overtaken_count: int = 0
 
     @property
     def tokens(self) -> int:
