--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -32,7 +32,7 @@
 __all__ = ['GrantDecision', 'PoolQueue', 'ShedDecision']
 
 # Seconds in which a grant has to be used.
-GRANT_EXPIRY = 1.0
+GRANT_TIMEOUT_S = 1.0
 # Part of the expected time that a request needs before its deadline to be
 # begun at all.
 LATE_CREDIT = 0.7
@@ -413,7 +413,7 @@
         is_started: bool,
     ) -> None:
         self._granted[waiting.entry.ticket] = _Granted(
-            waiting, name, now + GRANT_EXPIRY, is_started
+            waiting, name, now + GRANT_TIMEOUT_S, is_started
         )
         runner = self.runners.get(name)
         if runner is None:
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -227,7 +227,7 @@
                     epoch,
                     ticket,
                     decision.runner,
-                    poolqueue.GRANT_EXPIRY,
+                    poolqueue.GRANT_TIMEOUT_S,
                 )
             else:
                 self._metrics.count(f'shed.tier{decision.waiting.entry.tier}')
