--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -35,7 +35,7 @@
 GRANT_TIMEOUT_S = 1.0
 # Part of the expected time that a request needs before its deadline to be
 # begun at all.
-LATE_CREDIT = 0.7
+MIN_ESTIMATE_SHARE = 0.7
 # How many of an organisation's requests are looked at for one whose prefix a
 # runner caches, and how often one may be passed over for that.
 LOOKAHEAD = 16
@@ -360,7 +360,7 @@
             entry.output_tokens,
             now,
         )
-        return now + LATE_CREDIT * expected_s > waiting.deadline_at
+        return now + MIN_ESTIMATE_SHARE * expected_s > waiting.deadline_at
 
     def _choose_runner(
         self, waiting: tierqueue.WaitingRequest, now: float
