--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -38,7 +38,7 @@
 MIN_ESTIMATE_SHARE = 0.7
 # How many of an organisation's requests are looked at for one whose prefix a
 # runner caches, and how often one may be passed over for that.
-LOOKAHEAD = 16
+LOOKAHEAD_REQUESTS = 16
 MOST_PASSED = 8
 # Bounds of the advice when to come back, in seconds.
 RETRY_FIRST = 1.0
@@ -258,7 +258,7 @@
         self._is_long_waiting = False
         for rank in sorted(self._tiers):
             tier = self._tiers[rank]
-            while options := tier.list_next(LOOKAHEAD):
+            while options := tier.list_next(LOOKAHEAD_REQUESTS):
                 is_short = options[0].is_short
                 if self._is_long_waiting and not is_short:
                     break
