--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -39,7 +39,7 @@
 # How many of an organisation's requests are looked at for one whose prefix a
 # runner caches, and how often one may be passed over for that.
 LOOKAHEAD_REQUESTS = 16
-MOST_PASSED = 8
+MAX_OVERTAKES = 8
 # Bounds of the advice when to come back, in seconds.
 RETRY_FIRST = 1.0
 RETRY_LAST = 30.0
@@ -322,7 +322,7 @@
         head = options[0]
         if (
             not self.policy.has_lookahead
-            or head.overtaken_count >= MOST_PASSED
+            or head.overtaken_count >= MAX_OVERTAKES
         ):
             return head
         best = 0
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -5,11 +5,8 @@
 
 import testtools
 
-from apricotlanding import bundle
-from apricotlanding import ids
-from apricotlanding import wire
-from apricotlandingd.pools import policies
-from apricotlandingd.pools import poolqueue
+from apricotlanding import bundle, ids, wire
+from apricotlandingd.pools import policies, poolqueue
 
 NEAR = ids.Incarnation('entry-1/a')
 FAR = ids.Incarnation('entry-2/b')
@@ -164,10 +161,10 @@
         # However many warm ones arrive, a cold one is passed over so often
         # and no more.
         self.add('cold', [])
-        for number in range(2 * poolqueue.MOST_PASSED):
+        for number in range(2 * poolqueue.MAX_OVERTAKES):
             self.add(f'warm-{number}', self.cached)
-        order = self.grant_all(2 * poolqueue.MOST_PASSED + 1)
-        self.assertEqual(poolqueue.MOST_PASSED, order.index('cold'))
+        order = self.grant_all(2 * poolqueue.MAX_OVERTAKES + 1)
+        self.assertEqual(poolqueue.MAX_OVERTAKES, order.index('cold'))
 
     def test_policy_without_lookahead(self) -> None:
         self.queue.policy = policies.find_policy('first-come')
