--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -41,7 +41,7 @@
 LOOKAHEAD_REQUESTS = 16
 MAX_OVERTAKES = 8
 # Bounds of the advice when to come back, in seconds.
-RETRY_FIRST = 1.0
+MIN_RETRY_AFTER_S = 1.0
 RETRY_LAST = 30.0
 
 
@@ -246,9 +246,9 @@
     def estimate_retry(self) -> float:
         """Return in how many seconds what waits now will have drained."""
         if self._drained.tokens_per_s <= 0.0:
-            return RETRY_FIRST
+            return MIN_RETRY_AFTER_S
         seconds = self._waiting_tokens / self._drained.tokens_per_s
-        return min(max(seconds, RETRY_FIRST), RETRY_LAST)
+        return min(max(seconds, MIN_RETRY_AFTER_S), RETRY_LAST)
 
     # Granting.
 
