--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -42,7 +42,7 @@
 MAX_OVERTAKES = 8
 # Bounds of the advice when to come back, in seconds.
 MIN_RETRY_AFTER_S = 1.0
-RETRY_LAST = 30.0
+MAX_RETRY_AFTER_S = 30.0
 
 
 @ty.final
@@ -248,7 +248,7 @@
         if self._drained.tokens_per_s <= 0.0:
             return MIN_RETRY_AFTER_S
         seconds = self._waiting_tokens / self._drained.tokens_per_s
-        return min(max(seconds, MIN_RETRY_AFTER_S), RETRY_LAST)
+        return min(max(seconds, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
 
     # Granting.
 
