--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -91,7 +91,7 @@
         self._waiting_tokens = 0
         self._waiting_short_tokens = 0
         # Set while the queue is gone through, once a long one has no room.
-        self._is_long_waiting = False
+        self._is_long_blocked = False
         self._drained = drainrate.DrainRate()
         self.update_pool(pool)
 
@@ -255,12 +255,12 @@
     def _grant_all(
         self, now: float
     ) -> ty.Iterator[GrantDecision | ShedDecision]:
-        self._is_long_waiting = False
+        self._is_long_blocked = False
         for rank in sorted(self._tiers):
             tier = self._tiers[rank]
             while options := tier.list_next(LOOKAHEAD_REQUESTS):
                 is_short = options[0].is_short
-                if self._is_long_waiting and not is_short:
+                if self._is_long_blocked and not is_short:
                     break
                 runner = self._choose_runner(options[0], now)
                 if runner is None and is_short:
@@ -270,7 +270,7 @@
                 if runner is None:
                     # Nothing but short requests of lower tiers, which take
                     # slots that it may not have.
-                    self._is_long_waiting = True
+                    self._is_long_blocked = True
                     break
                 waiting = self._choose_waiting(options, runner)
                 tier.remove_granted(waiting)
@@ -298,7 +298,7 @@
         # and while one waits short ones take no others.
         if not self.policy.has_short_slots:
             return True
-        if waiting.is_short and not self._is_long_waiting:
+        if waiting.is_short and not self._is_long_blocked:
             return True
         slots = short = total = 0
         for runner in usable:
