--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -92,7 +92,7 @@
         self._waiting_short_tokens = 0
         # Set while the queue is gone through, once a long one has no room.
         self._is_long_blocked = False
-        self._drained = drainrate.DrainRate()
+        self._drain_rate = drainrate.DrainRate()
         self.update_pool(pool)
 
     def update_pool(self, pool: bundle.PoolModel) -> None:
@@ -165,7 +165,7 @@
         granted = self._granted.pop(message.ticket, None)
         if granted is None:
             return
-        self._drained.record_finished(granted.waiting.tokens)
+        self._drain_rate.record_finished(granted.waiting.tokens)
         runner = self.runners.get(granted.runner)
         if runner is None:
             return
@@ -208,7 +208,7 @@
         self, now: float, may_shed: bool
     ) -> list[GrantDecision | ShedDecision]:
         """Grant what can be granted; then shed what has to be."""
-        self._drained.update(bool(self._waiting), now)
+        self._drain_rate.update(bool(self._waiting), now)
         found: list[GrantDecision | ShedDecision] = []
         found.extend(self._grant_all(now))
         if may_shed:
@@ -245,9 +245,9 @@
 
     def estimate_retry(self) -> float:
         """Return in how many seconds what waits now will have drained."""
-        if self._drained.tokens_per_s <= 0.0:
+        if self._drain_rate.tokens_per_s <= 0.0:
             return MIN_RETRY_AFTER_S
-        seconds = self._waiting_tokens / self._drained.tokens_per_s
+        seconds = self._waiting_tokens / self._drain_rate.tokens_per_s
         return min(max(seconds, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
 
     # Granting.
@@ -456,7 +456,7 @@
         # the lowest tier that waits: a request of a higher tier may be as
         # hopeless, but it must not be given up before a lower one is.
         tier = self._find_sheddable()
-        if tier is None or self._drained.tokens_per_s <= 0.0:
+        if tier is None or self._drain_rate.tokens_per_s <= 0.0:
             return
         lowest = sorted(tier.iterate(), key=lambda item: item.arrived_at)
         ahead = self._waiting_tokens - sum(item.tokens for item in lowest)
@@ -466,7 +466,10 @@
         )
         for waiting in lowest:
             tokens = short_ahead if waiting.is_short else ahead
-            if now + tokens / self._drained.tokens_per_s > waiting.deadline_at:
+            if (
+                now + tokens / self._drain_rate.tokens_per_s
+                > waiting.deadline_at
+            ):
                 yield self._shed(waiting)
                 continue
             ahead += waiting.tokens
