--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -188,12 +188,12 @@
         for waiting in list(self._waiting.values()):
             if waiting.sender == sender:
                 self._drop_waiting(waiting)
-        self.confirm_all(sender)
+        self.confirm_sheds(sender)
         for granted in list(self._granted.values()):
             if granted.waiting.sender == sender:
                 self._take_back(granted)
 
-    def confirm_all(self, sender: ids.Incarnation) -> None:
+    def confirm_sheds(self, sender: ids.Incarnation) -> None:
         """Take what was shed of a daemon's for confirmed.
 
         For one that is gone, or is about to register all that it has: its
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -124,7 +124,7 @@
             # The daemon may have read in the log that we serve before we
             # have: it asks again.
             return wire.Failed('', 'not the owner in this epoch')
-        desk.queue.confirm_all(sender)
+        desk.queue.confirm_sheds(sender)
         self.take_register(message, sender)
         desk.complete.add(sender)
         return wire.Ack()
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -69,7 +69,7 @@
     def test_confirmation_was_lost(self) -> None:
         # With a connection that broke; the daemon then registers all that
         # it has, and the shed ones are not among it.
-        self.queue.confirm_all(FAR)
+        self.queue.confirm_sheds(FAR)
         self.assertEqual({'high-2'}, self.shed())
 
     def register(
