--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -130,7 +130,7 @@
                 return
             self._drop_waiting(held)
         # A daemon that registers what was shed has not heard of it.
-        self._confirm(entry.ticket)
+        self._confirm_shed(entry.ticket)
         waiting = tierqueue.WaitingRequest(
             entry=entry,
             sender=sender,
@@ -156,7 +156,7 @@
             self._drop_waiting(waiting)
         else:
             # Shed by us, after it was begun on such a grant.
-            waiting = self._confirm(message.ticket)
+            waiting = self._confirm_shed(message.ticket)
         if waiting is not None:
             self._place(waiting, message.runner, now, is_started=True)
 
@@ -175,7 +175,7 @@
 
     def withdraw(self, ticket: str) -> None:
         """Forget a request that its daemon no longer wants to run."""
-        self._confirm(ticket)
+        self._confirm_shed(ticket)
         waiting = self._waiting.get(ticket)
         if waiting is not None:
             self._drop_waiting(waiting)
@@ -505,7 +505,7 @@
         tier.unconfirmed[waiting.entry.ticket] = waiting
         return ShedDecision(waiting, retry_after_s)
 
-    def _confirm(self, ticket: str) -> tierqueue.WaitingRequest | None:
+    def _confirm_shed(self, ticket: str) -> tierqueue.WaitingRequest | None:
         for tier in self._tiers.values():
             waiting = tier.unconfirmed.pop(ticket, None)
             if waiting is not None:
