--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -123,7 +123,7 @@
         known = self._granted.get(entry.ticket)
         if known is not None and entry.runner is None:
             # Its grant was not used; it waits again.
-            self._take_back(known)
+            self._revoke_grant(known)
         held = self._waiting.get(entry.ticket)
         if held is not None:
             if held.entry.is_ready or not entry.is_ready:
@@ -181,7 +181,7 @@
             self._drop_waiting(waiting)
         granted = self._granted.get(ticket)
         if granted is not None:
-            self._take_back(granted)
+            self._revoke_grant(granted)
 
     def drop_sender(self, sender: ids.Incarnation) -> None:
         """Forget what a daemon that is gone had waiting or running."""
@@ -191,7 +191,7 @@
         self.confirm_sheds(sender)
         for granted in list(self._granted.values()):
             if granted.waiting.sender == sender:
-                self._take_back(granted)
+                self._revoke_grant(granted)
 
     def confirm_sheds(self, sender: ids.Incarnation) -> None:
         """Take what was shed of a daemon's for confirmed.
@@ -221,7 +221,7 @@
         for granted in list(self._granted.values()):
             if granted.is_started or now < granted.expires_at:
                 continue
-            self._take_back(granted)
+            self._revoke_grant(granted)
             expired.append(GrantDecision(granted.waiting, granted.runner))
         return expired
 
@@ -231,7 +231,7 @@
         for granted in list(self._granted.values()):
             if granted.is_started or granted.runner != runner:
                 continue
-            self._take_back(granted)
+            self._revoke_grant(granted)
             found.append(GrantDecision(granted.waiting, granted.runner))
         return found
 
@@ -433,7 +433,7 @@
         )
         runner.remember_blocks(entry.prefix)
 
-    def _take_back(self, granted: _Granted) -> None:
+    def _revoke_grant(self, granted: _Granted) -> None:
         del self._granted[granted.waiting.entry.ticket]
         runner = self.runners.get(granted.runner)
         if runner is not None:
