--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -243,7 +243,7 @@
             if granted.is_started and granted.runner == runner
         ]
 
-    def estimate_retry(self) -> float:
+    def estimate_retry_after_s(self) -> float:
         """Return in how many seconds what waits now will have drained."""
         if self._drain_rate.tokens_per_s <= 0.0:
             return MIN_RETRY_AFTER_S
@@ -499,7 +499,7 @@
         return None
 
     def _shed(self, waiting: tierqueue.WaitingRequest) -> ShedDecision:
-        retry_after_s = self.estimate_retry()
+        retry_after_s = self.estimate_retry_after_s()
         self._drop_waiting(waiting)
         tier = self._tiers[waiting.rank]
         tier.unconfirmed[waiting.entry.ticket] = waiting
