--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -449,9 +449,9 @@
             waiting = tier.find_shed_candidate()
             assert waiting is not None
             yield self._shed(waiting)
-        yield from self._shed_hopeless(now)
+        yield from self._shed_infeasible(now)
 
-    def _shed_hopeless(self, now: float) -> ty.Iterator[ShedDecision]:
+    def _shed_infeasible(self, now: float) -> ty.Iterator[ShedDecision]:
         # What cannot begin before its deadline is told so at once. Only
         # the lowest tier that waits: a request of a higher tier may be as
         # hopeless, but it must not be given up before a lower one is.
