--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -442,7 +442,7 @@
     # Shedding.
 
     def _shed_all(self, now: float) -> ty.Iterator[ShedDecision]:
-        while self._is_overfull():
+        while self._is_over_limit():
             tier = self._find_sheddable()
             if tier is None:
                 return
@@ -476,7 +476,7 @@
             if waiting.is_short:
                 short_ahead += waiting.tokens
 
-    def _is_overfull(self) -> bool:
+    def _is_over_limit(self) -> bool:
         if len(self._waiting) > self.pool.queue_requests:
             return True
         if len(self._waiting) < 2:
