--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -17,7 +17,7 @@
 Shedding has one rule for all its reasons: only the lowest tier that waits is
 shed. Within it the organisation that waits with the most tokens for its
 weight gives its newest request. What was shed counts as waiting until the
-daemon that has it confirms; see ``_find_sheddable``.
+daemon that has it confirms; see ``_find_sheddable_tier``.
 """
 
 import collections
@@ -443,7 +443,7 @@
 
     def _shed_all(self, now: float) -> ty.Iterator[ShedDecision]:
         while self._is_over_limit():
-            tier = self._find_sheddable()
+            tier = self._find_sheddable_tier()
             if tier is None:
                 return
             waiting = tier.find_shed_candidate()
@@ -455,7 +455,7 @@
         # What cannot begin before its deadline is told so at once. Only
         # the lowest tier that waits: a request of a higher tier may be as
         # hopeless, but it must not be given up before a lower one is.
-        tier = self._find_sheddable()
+        tier = self._find_sheddable_tier()
         if tier is None or self._drain_rate.tokens_per_s <= 0.0:
             return
         lowest = sorted(tier.iterate(), key=lambda item: item.arrived_at)
@@ -483,7 +483,7 @@
             return False
         return self._waiting_tokens > self.pool.queue_tokens
 
-    def _find_sheddable(self) -> tierqueue.TierQueue | None:
+    def _find_sheddable_tier(self) -> tierqueue.TierQueue | None:
         # The lowest tier that waits, unless one below it has requests that
         # were shed and not confirmed. A link that is cut loses decisions
         # before anybody notices: the requests would be registered again and
