--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -140,7 +140,7 @@
             is_short=self._is_short(entry),
         )
         if entry.runner is not None:
-            self._place(waiting, entry.runner, now, is_started=True)
+            self._assign_runner(waiting, entry.runner, now, is_started=True)
             return
         self._add_waiting(waiting)
 
@@ -158,7 +158,7 @@
             # Shed by us, after it was begun on such a grant.
             waiting = self._confirm_shed(message.ticket)
         if waiting is not None:
-            self._place(waiting, message.runner, now, is_started=True)
+            self._assign_runner(waiting, message.runner, now, is_started=True)
 
     def finish(self, message: wire.Finished, now: float) -> None:
         """Note that a request has left its runner."""
@@ -278,7 +278,9 @@
                 if self._is_late(waiting, runner, now):
                     yield ShedDecision(waiting, 0.0, is_late=True)
                     continue
-                self._place(waiting, runner.name, now, is_started=False)
+                self._assign_runner(
+                    waiting, runner.name, now, is_started=False
+                )
                 yield GrantDecision(waiting, runner.name)
 
     def _is_short(self, entry: wire.Registration) -> bool:
@@ -405,7 +407,7 @@
             return []
         return found
 
-    def _place(
+    def _assign_runner(
         self,
         waiting: tierqueue.WaitingRequest,
         name: ids.Runner,
