--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -274,7 +274,7 @@
                     break
                 waiting = self._choose_waiting(options, runner)
                 tier.remove_granted(waiting)
-                self._forget_waiting(waiting)
+                self._unindex_waiting(waiting)
                 if self._is_late(waiting, runner, now):
                     yield ShedDecision(waiting, 0.0, is_late=True)
                     continue
@@ -528,9 +528,9 @@
 
     def _drop_waiting(self, waiting: tierqueue.WaitingRequest) -> None:
         self._tiers[waiting.rank].discard(waiting)
-        self._forget_waiting(waiting)
+        self._unindex_waiting(waiting)
 
-    def _forget_waiting(self, waiting: tierqueue.WaitingRequest) -> None:
+    def _unindex_waiting(self, waiting: tierqueue.WaitingRequest) -> None:
         del self._waiting[waiting.entry.ticket]
         self._waiting_tokens -= waiting.tokens
         if waiting.is_short:
