--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -272,7 +272,7 @@
                     # slots that it may not have.
                     self._is_long_blocked = True
                     break
-                waiting = self._choose_waiting(options, runner)
+                waiting = self._choose_request(options, runner)
                 tier.remove_granted(waiting)
                 self._unindex_waiting(waiting)
                 if self._is_late(waiting, runner, now):
@@ -312,7 +312,7 @@
             return short < reserved
         return total - short < slots - reserved
 
-    def _choose_waiting(
+    def _choose_request(
         self,
         options: list[tierqueue.WaitingRequest],
         runner: runnerstate.RunnerState,
