--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -15,14 +15,12 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import bundle
-from apricotlanding import ids
-from apricotlanding import wire
+from apricotlanding import bundle, ids, wire
 
 __all__ = ['Occupancy', 'RunnerState']
 
 # Tokens in a cache block; the engines' and ours must agree.
-BLOCK = 16
+BLOCK_TOKENS = 16
 # Weight of the newest measurement in an average.
 _NEWEST = 0.2
 # Seconds a token before anything was measured.
@@ -127,7 +125,7 @@
             if block not in self._blocks:
                 break
             count += 1
-        return count * BLOCK
+        return count * BLOCK_TOKENS
 
     def remember_blocks(self, blocks: list[int]) -> None:
         """Expect these blocks in its cache."""
@@ -181,7 +179,7 @@
         weight = _NEWEST if self.has_measurements else 1.0
         self.has_measurements = True
         self.output_token_s += weight * (decode_s - self.output_token_s)
-        if uncached < 4 * BLOCK or prefill_s <= 0.0:
+        if uncached < 4 * BLOCK_TOKENS or prefill_s <= 0.0:
             # Too short to measure, or our expectation was off.
             return
         token_s = prefill_s / uncached
--- a/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
@@ -16,9 +16,7 @@
 import expression
 import xxhash
 
-from apricotlanding import bundle
-from apricotlanding import errors
-from apricotlanding import ids
+from apricotlanding import bundle, errors, ids
 from apricotlandingd.pools import runnerstate
 
 __all__ = ['Head', 'Request', 'check_body', 'check_headers', 'hash_prefix']
@@ -165,7 +163,7 @@
     """
     chain: list[int] = []
     hasher = xxhash.xxh3_64()
-    size = runnerstate.BLOCK
+    size = runnerstate.BLOCK_TOKENS
     for start in range(0, len(words) - size + 1, size):
         if len(chain) == _PREFIX_BLOCKS:
             break
