--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -22,7 +22,7 @@
 # Tokens in a cache block; the engines' and ours must agree.
 BLOCK_TOKENS = 16
 # Weight of the newest measurement in an average.
-_NEWEST = 0.2
+_NEWEST_MEASUREMENT_WEIGHT = 0.2
 # Seconds a token before anything was measured.
 _PREFILL_TOKEN_S = 1.0 / 8000.0
 _OUTPUT_TOKEN_S = 0.006
@@ -176,11 +176,13 @@
     def _average_in(
         self, prefill_s: float, uncached: int, decode_s: float
     ) -> None:
-        weight = _NEWEST if self.has_measurements else 1.0
+        weight = _NEWEST_MEASUREMENT_WEIGHT if self.has_measurements else 1.0
         self.has_measurements = True
         self.output_token_s += weight * (decode_s - self.output_token_s)
         if uncached < 4 * BLOCK_TOKENS or prefill_s <= 0.0:
             # Too short to measure, or our expectation was off.
             return
         token_s = prefill_s / uncached
-        self.prefill_token_s += _NEWEST * (token_s - self.prefill_token_s)
+        self.prefill_token_s += _NEWEST_MEASUREMENT_WEIGHT * (
+            token_s - self.prefill_token_s
+        )
