--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -27,7 +27,7 @@
 _PREFILL_TOKEN_S = 1.0 / 8000.0
 _OUTPUT_TOKEN_S = 0.006
 # Blocks remembered for each runner; more than an engine caches is of no use.
-_REMEMBERED_BLOCKS = 8192
+_MAX_CACHED_BLOCKS = 8192
 # Seconds without work for a runner that failed a request.
 FAILURE_PAUSE = 1.0
 
@@ -132,7 +132,7 @@
         for block in blocks:
             self._blocks[block] = None
             self._blocks.move_to_end(block)
-        while len(self._blocks) > _REMEMBERED_BLOCKS:
+        while len(self._blocks) > _MAX_CACHED_BLOCKS:
             self._blocks.popitem(last=False)
 
     def forget_block(self, block: int) -> None:
