--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -29,7 +29,7 @@
 # Blocks remembered for each runner; more than an engine caches is of no use.
 _MAX_CACHED_BLOCKS = 8192
 # Seconds without work for a runner that failed a request.
-FAILURE_PAUSE = 1.0
+FAILURE_PAUSE_S = 1.0
 
 
 @ty.final
@@ -163,7 +163,7 @@
     ) -> None:
         """Learn from a request that ended."""
         if not message.is_good:
-            self.paused_until = now + FAILURE_PAUSE
+            self.paused_until = now + FAILURE_PAUSE_S
             return
         if message.first_s is None or message.output_tokens < 2:
             return
