--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -423,7 +423,7 @@
         entry = waiting.entry
         cached = runner.count_cached(entry.prefix)
         runner.occupy(
-            runnerstate.Occupancy(
+            runnerstate.Assignment(
                 ticket=entry.ticket,
                 tokens=waiting.tokens,
                 prompt_tokens=entry.prompt_tokens,
--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -17,7 +17,7 @@
 
 from apricotlanding import bundle, ids, wire
 
-__all__ = ['Occupancy', 'RunnerState']
+__all__ = ['Assignment', 'RunnerState']
 
 # Tokens in a cache block; the engines' and ours must agree.
 BLOCK_TOKENS = 16
@@ -34,7 +34,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Occupancy:
+class Assignment:
     """One request's place on a runner."""
 
     ticket: str
@@ -57,7 +57,7 @@
         self.name = ids.Runner(model.name)
         self.model = model
         # What this scheduler has granted, by ticket.
-        self.occupied: dict[str, Occupancy] = {}
+        self.occupied: dict[str, Assignment] = {}
         # How many of these are short.
         self.short_count = 0
         self.is_leaving = False
@@ -99,7 +99,7 @@
             return False
         return self._tokens + tokens <= self.model.batch_tokens
 
-    def occupy(self, place: Occupancy, now: float) -> None:
+    def occupy(self, place: Assignment, now: float) -> None:
         """Count a request as being here from now on."""
         self.release(place.ticket)
         self._prefill_until = (
@@ -110,7 +110,7 @@
         self._tokens += place.tokens
         self.short_count += place.is_short
 
-    def release(self, ticket: str) -> Occupancy | None:
+    def release(self, ticket: str) -> Assignment | None:
         """Count a request as gone; None if it was not here."""
         place = self.occupied.pop(ticket, None)
         if place is not None:
@@ -159,7 +159,7 @@
         )
 
     def note_finished(
-        self, place: Occupancy, message: wire.Finished, now: float
+        self, place: Assignment, message: wire.Finished, now: float
     ) -> None:
         """Learn from a request that ended."""
         if not message.is_good:
