--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -306,7 +306,7 @@
         for runner in usable:
             slots += runner.model.slots
             short += runner.short_count
-            total += len(runner.occupied)
+            total += len(runner.assigned)
         reserved = round(self.pool.short_part * slots)
         if waiting.is_short:
             return short < reserved
--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -57,7 +57,7 @@
         self.name = ids.Runner(model.name)
         self.model = model
         # What this scheduler has granted, by ticket.
-        self.occupied: dict[str, Assignment] = {}
+        self.assigned: dict[str, Assignment] = {}
         # How many of these are short.
         self.short_count = 0
         self.is_leaving = False
@@ -79,7 +79,7 @@
 
     def count_requests(self) -> int:
         """Return how many requests this scheduler has put here."""
-        return len(self.occupied)
+        return len(self.assigned)
 
     def count_tokens(self) -> int:
         """Return the tokens, prompt and output, of those requests."""
@@ -93,9 +93,9 @@
 
     def has_room(self, tokens: int) -> bool:
         """Tell whether its batch can hold so many tokens more."""
-        if not self.occupied:
+        if not self.assigned:
             return True
-        if len(self.occupied) >= self.model.slots:
+        if len(self.assigned) >= self.model.slots:
             return False
         return self._tokens + tokens <= self.model.batch_tokens
 
@@ -106,13 +106,13 @@
             max(self._prefill_until, now)
             + place.uncached_tokens * self.prefill_token_s
         )
-        self.occupied[place.ticket] = place
+        self.assigned[place.ticket] = place
         self._tokens += place.tokens
         self.short_count += place.is_short
 
     def release(self, ticket: str) -> Assignment | None:
         """Count a request as gone; None if it was not here."""
-        place = self.occupied.pop(ticket, None)
+        place = self.assigned.pop(ticket, None)
         if place is not None:
             self._tokens -= place.tokens
             self.short_count -= place.is_short
@@ -151,7 +151,7 @@
         A prefill holds up the whole batch, so what was sent before and is
         probably not prefilled yet comes first.
         """
-        crowd = 1.0 + 0.08 * len(self.occupied)
+        crowd = 1.0 + 0.08 * len(self.assigned)
         return (
             self.estimate_wait(now)
             + max(prefill_tokens, 0) * self.prefill_token_s
