--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -422,7 +422,7 @@
             return
         entry = waiting.entry
         cached = runner.count_cached(entry.prefix)
-        runner.occupy(
+        runner.assign(
             runnerstate.Assignment(
                 ticket=entry.ticket,
                 tokens=waiting.tokens,
--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -99,7 +99,7 @@
             return False
         return self._tokens + tokens <= self.model.batch_tokens
 
-    def occupy(self, place: Assignment, now: float) -> None:
+    def assign(self, place: Assignment, now: float) -> None:
         """Count a request as being here from now on."""
         self.release(place.ticket)
         self._prefill_until = (
