--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -169,9 +169,9 @@
         runner = self.runners.get(granted.runner)
         if runner is None:
             return
-        place = runner.release(message.ticket)
-        if place is not None:
-            runner.note_finished(place, message, now)
+        assignment = runner.release(message.ticket)
+        if assignment is not None:
+            runner.note_finished(assignment, message, now)
 
     def withdraw(self, ticket: str) -> None:
         """Forget a request that its daemon no longer wants to run."""
--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -99,24 +99,24 @@
             return False
         return self._tokens + tokens <= self.model.batch_tokens
 
-    def assign(self, place: Assignment, now: float) -> None:
+    def assign(self, assignment: Assignment, now: float) -> None:
         """Count a request as being here from now on."""
-        self.release(place.ticket)
+        self.release(assignment.ticket)
         self._prefill_until = (
             max(self._prefill_until, now)
-            + place.uncached_tokens * self.prefill_token_s
+            + assignment.uncached_tokens * self.prefill_token_s
         )
-        self.assigned[place.ticket] = place
-        self._tokens += place.tokens
-        self.short_count += place.is_short
+        self.assigned[assignment.ticket] = assignment
+        self._tokens += assignment.tokens
+        self.short_count += assignment.is_short
 
     def release(self, ticket: str) -> Assignment | None:
         """Count a request as gone; None if it was not here."""
-        place = self.assigned.pop(ticket, None)
-        if place is not None:
-            self._tokens -= place.tokens
-            self.short_count -= place.is_short
-        return place
+        assignment = self.assigned.pop(ticket, None)
+        if assignment is not None:
+            self._tokens -= assignment.tokens
+            self.short_count -= assignment.is_short
+        return assignment
 
     def count_cached(self, prefix: list[int]) -> int:
         """Return how many tokens of a prefix are expected in its cache."""
@@ -159,7 +159,7 @@
         )
 
     def note_finished(
-        self, place: Assignment, message: wire.Finished, now: float
+        self, assignment: Assignment, message: wire.Finished, now: float
     ) -> None:
         """Learn from a request that ended."""
         if not message.is_good:
@@ -170,8 +170,8 @@
         decode_s = (message.total_s - message.first_s) / (
             message.output_tokens - 1
         )
-        prefill_s = message.first_s - place.expected_wait_s
-        self._average_in(prefill_s, place.uncached_tokens, decode_s)
+        prefill_s = message.first_s - assignment.expected_wait_s
+        self._average_in(prefill_s, assignment.uncached_tokens, decode_s)
 
     def _average_in(
         self, prefill_s: float, uncached: int, decode_s: float
