--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -433,7 +433,7 @@
             ),
             now,
         )
-        runner.remember_blocks(entry.prefix)
+        runner.add_cached_blocks(entry.prefix)
 
     def _revoke_grant(self, granted: _Granted) -> None:
         del self._granted[granted.waiting.entry.ticket]
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -393,7 +393,7 @@
 ) -> None:
     block = int(event['block'])
     if event['kind'] == 'stored':
-        runner.remember_blocks([block])
+        runner.add_cached_blocks([block])
     elif event['kind'] == 'evicted':
         runner.forget_block(block)
 
--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -127,7 +127,7 @@
             count += 1
         return count * BLOCK_TOKENS
 
-    def remember_blocks(self, blocks: list[int]) -> None:
+    def add_cached_blocks(self, blocks: list[int]) -> None:
         """Expect these blocks in its cache."""
         for block in blocks:
             self._blocks[block] = None
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -138,7 +138,7 @@
         pool = make_pool().model_copy(update={'queue_requests': 100})
         self.queue = poolqueue.PoolQueue(pool)
         (self.runner,) = self.queue.runners.values()
-        self.runner.remember_blocks(self.cached)
+        self.runner.add_cached_blocks(self.cached)
         # One slot: one grant for each call of ``decide``.
         self.runner.model = self.runner.model.model_copy(update={'slots': 1})
 
