--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -395,7 +395,7 @@
     if event['kind'] == 'stored':
         runner.add_cached_blocks([block])
     elif event['kind'] == 'evicted':
-        runner.forget_block(block)
+        runner.remove_cached_block(block)
 
 
 def _parse_pool(shard: ids.Shard) -> ids.Pool:
--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -135,7 +135,7 @@
         while len(self._blocks) > _MAX_CACHED_BLOCKS:
             self._blocks.popitem(last=False)
 
-    def forget_block(self, block: int) -> None:
+    def remove_cached_block(self, block: int) -> None:
         """No longer expect a block in its cache."""
         self._blocks.pop(block, None)
 
