--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -73,7 +73,7 @@
         # When the prefill of all that was sent is expected to be done.
         self._prefill_until = float('-inf')
         self._tokens = 0
-        self._blocks: collections.OrderedDict[int, None] = (
+        self._cached_blocks: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
 
@@ -122,7 +122,7 @@
         """Return how many tokens of a prefix are expected in its cache."""
         count = 0
         for block in prefix:
-            if block not in self._blocks:
+            if block not in self._cached_blocks:
                 break
             count += 1
         return count * BLOCK_TOKENS
@@ -130,14 +130,14 @@
     def add_cached_blocks(self, blocks: list[int]) -> None:
         """Expect these blocks in its cache."""
         for block in blocks:
-            self._blocks[block] = None
-            self._blocks.move_to_end(block)
-        while len(self._blocks) > _MAX_CACHED_BLOCKS:
-            self._blocks.popitem(last=False)
+            self._cached_blocks[block] = None
+            self._cached_blocks.move_to_end(block)
+        while len(self._cached_blocks) > _MAX_CACHED_BLOCKS:
+            self._cached_blocks.popitem(last=False)
 
     def remove_cached_block(self, block: int) -> None:
         """No longer expect a block in its cache."""
-        self._blocks.pop(block, None)
+        self._cached_blocks.pop(block, None)
 
     def estimate_wait(self, now: float) -> float:
         """Return seconds until the prefill that was sent here is done."""
