--- a/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
@@ -133,7 +133,7 @@
     best: runnerstate.RunnerState | None = None
     best_s = float('inf')
     for runner in choice.candidates:
-        cached = runner.count_cached(choice.prefix)
+        cached = runner.count_cached_tokens(choice.prefix)
         expected_s = runner.estimate_seconds(
             choice.prompt_tokens - cached, choice.output_tokens, choice.now
         )
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -328,7 +328,7 @@
         ):
             return head
         best = 0
-        best_cached = runner.count_cached(head.entry.prefix)
+        best_cached = runner.count_cached_tokens(head.entry.prefix)
         for index, waiting in enumerate(options):
             if runner.name in waiting.entry.avoid:
                 continue
@@ -336,7 +336,7 @@
                 continue
             if not runner.has_room(waiting.tokens):
                 continue
-            cached = runner.count_cached(waiting.entry.prefix)
+            cached = runner.count_cached_tokens(waiting.entry.prefix)
             if cached > best_cached:
                 best = index
                 best_cached = cached
@@ -358,7 +358,7 @@
             return False
         entry = waiting.entry
         expected_s = runner.estimate_seconds(
-            entry.prompt_tokens - runner.count_cached(entry.prefix),
+            entry.prompt_tokens - runner.count_cached_tokens(entry.prefix),
             entry.output_tokens,
             now,
         )
@@ -421,7 +421,7 @@
         if runner is None:
             return
         entry = waiting.entry
-        cached = runner.count_cached(entry.prefix)
+        cached = runner.count_cached_tokens(entry.prefix)
         runner.assign(
             runnerstate.Assignment(
                 ticket=entry.ticket,
--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -118,7 +118,7 @@
             self.short_count -= assignment.is_short
         return assignment
 
-    def count_cached(self, prefix: list[int]) -> int:
+    def count_cached_tokens(self, prefix: list[int]) -> int:
         """Return how many tokens of a prefix are expected in its cache."""
         count = 0
         for block in prefix:
