--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -151,11 +151,11 @@
         A prefill holds up the whole batch, so what was sent before and is
         probably not prefilled yet comes first.
         """
-        crowd = 1.0 + 0.08 * len(self.assigned)
+        slowdown = 1.0 + 0.08 * len(self.assigned)
         return (
             self.estimate_wait(now)
             + max(prefill_tokens, 0) * self.prefill_token_s
-            + output_tokens * self.output_token_s * crowd
+            + output_tokens * self.output_token_s * slowdown
         )
 
     def note_finished(
