--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -171,9 +171,9 @@
             message.output_tokens - 1
         )
         prefill_s = message.first_s - assignment.expected_wait_s
-        self._average_in(prefill_s, assignment.uncached_tokens, decode_s)
+        self._update_averages(prefill_s, assignment.uncached_tokens, decode_s)
 
-    def _average_in(
+    def _update_averages(
         self, prefill_s: float, uncached: int, decode_s: float
     ) -> None:
         weight = _NEWEST_MEASUREMENT_WEIGHT if self.has_measurements else 1.0
