--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -171,7 +171,7 @@
             return
         assignment = runner.release(message.ticket)
         if assignment is not None:
-            runner.note_finished(assignment, message, now)
+            runner.record_result(assignment, message, now)
 
     def withdraw(self, ticket: str) -> None:
         """Forget a request that its daemon no longer wants to run."""
--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -158,7 +158,7 @@
             + output_tokens * self.output_token_s * slowdown
         )
 
-    def note_finished(
+    def record_result(
         self, assignment: Assignment, message: wire.Finished, now: float
     ) -> None:
         """Learn from a request that ended."""
