--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -11,13 +11,8 @@
 
 import anyio
 
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import supervisor
-from apricotlanding import wire
-from apricotlandingd.ownership import owners
-from apricotlandingd.ownership import shardview
+from apricotlanding import clocks, errors, ids, supervisor, wire
+from apricotlandingd.ownership import owners, shardview
 
 __all__ = ['PoolClient', 'Ticket']
 
@@ -34,7 +29,7 @@
 ]
 
 # Longest time between two looks at who owns a pool, in seconds.
-REGISTER_INTERVAL = 0.5
+REGISTER_INTERVAL_S = 0.5
 
 
 @ty.final
@@ -130,7 +125,7 @@
                     group.start_soon(
                         supervisor.run_guarded, self._register_all, pool, busy
                     )
-                await self._wait_for_change(REGISTER_INTERVAL)
+                await self._wait_for_change(REGISTER_INTERVAL_S)
 
     def list_tickets(self) -> list[Ticket]:
         """Return all tickets."""
