--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -60,11 +60,11 @@
     problem: errors.Problem | None = None
     # What to do when the runner that it runs on no longer answers.
     on_lost: collections.abc.Callable[[], None] = lambda: None
-    news: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    changed: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
     def wake(self) -> None:
         """Let the request's task look again."""
-        self.news.set()
+        self.changed.set()
 
     def describe(self, now: float) -> wire.Registration:
         """Return what the scheduler has to know."""
@@ -160,15 +160,15 @@
                     return self._use_grant(ticket)
                 ticket.granted = None
                 self._register(ticket)
-            ticket.news = anyio.Event()
+            ticket.changed = anyio.Event()
             with anyio.move_on_after(ticket.deadline_at - now):
-                await ticket.news.wait()
+                await ticket.changed.wait()
 
     async def wait_given_up(self, ticket: Ticket) -> None:
         """Wait until a ticket that is not ready has been shed."""
         while ticket.problem is None:
-            ticket.news = anyio.Event()
-            await ticket.news.wait()
+            ticket.changed = anyio.Event()
+            await ticket.changed.wait()
 
     def release(self, ticket: Ticket, message: wire.Finished) -> None:
         """Say that the ticket's request has left its runner."""
