--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -164,7 +164,7 @@
             with anyio.move_on_after(ticket.deadline_at - now):
                 await ticket.changed.wait()
 
-    async def wait_given_up(self, ticket: Ticket) -> None:
+    async def wait_until_shed(self, ticket: Ticket) -> None:
         """Wait until a ticket that is not ready has been shed."""
         while ticket.problem is None:
             ticket.changed = anyio.Event()
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -22,23 +22,21 @@
 import anyio
 import anyio.abc
 import eliot
-from opentelemetry import context
-from opentelemetry import trace
-
-from apricotlanding import bundle
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import metrics
-from apricotlanding import retrybudget
-from apricotlanding import tracing
-from apricotlanding import wire
+from opentelemetry import context, trace
+
+from apricotlanding import (
+    bundle,
+    clocks,
+    errors,
+    ids,
+    metrics,
+    retrybudget,
+    tracing,
+    wire,
+)
 from apricotlandingd.ownership import claims
 from apricotlandingd.pools import poolclient
-from apricotlandingd.requests import admission
-from apricotlandingd.requests import answers
-from apricotlandingd.requests import attaching
-from apricotlandingd.requests import relay
+from apricotlandingd.requests import admission, answers, attaching, relay
 
 __all__ = ['Run', 'RunState', 'Runs']
 
@@ -300,7 +298,7 @@
     ) -> None:
         await anyio.sleep(HOLD_AFTER)
         self._pools.add(ticket)
-        await self._pools.wait_given_up(ticket)
+        await self._pools.wait_until_shed(ticket)
         # Confirmed now, whatever the claim says: it will not run, and until
         # then the scheduler may shed nothing of a higher tier.
         self._pools.remove(ticket)
