--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -175,7 +175,7 @@
         ticket.runner = None
         self._tell(ticket.pool, message)
 
-    def wait_again(self, ticket: Ticket) -> None:
+    def requeue(self, ticket: Ticket) -> None:
         """Register a ticket whose runner did not take it."""
         self._register(ticket)
 
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -378,7 +378,7 @@
                 )
             self._metrics.count('retried')
             ticket.avoid = [*ticket.avoid, runner]
-            self._pools.wait_again(ticket)
+            self._pools.requeue(ticket)
 
     async def _call_runner(
         self, run: Run, ticket: poolclient.Ticket, runner: ids.Runner
