--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -185,7 +185,7 @@
         if tickets.pop(ticket.name, None) is not None:
             self._tell(ticket.pool, wire.Withdraw(ticket.pool, ticket.name))
 
-    def forget_connection(self, owner: ids.Incarnation) -> None:
+    def mark_unregistered(self, owner: ids.Incarnation) -> None:
         """Register again with an owner whose connection was lost.
 
         What was on its way may not have arrived.
