--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -211,7 +211,7 @@
             wire.Started: self.pool_desk.take_started,
             wire.Finished: self.pool_desk.take_finished,
             wire.Withdraw: self.pool_desk.take_withdraw,
-            wire.Grant: self.pool_client.take_grant,
+            wire.Grant: self.pool_client.handle_grant,
             wire.Shed: self.pool_client.take_shed,
             wire.Withdrawn: self.pool_client.take_withdrawn,
         }
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -196,7 +196,9 @@
 
     # Messages from schedulers.
 
-    def take_grant(self, message: wire.Grant, sender: ids.Incarnation) -> None:
+    def handle_grant(
+        self, message: wire.Grant, sender: ids.Incarnation
+    ) -> None:
         """A runner has room for a ticket."""
         ticket = self._find(message.pool, message.ticket)
         if ticket is None:
