--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -212,7 +212,7 @@
             wire.Finished: self.pool_desk.take_finished,
             wire.Withdraw: self.pool_desk.take_withdraw,
             wire.Grant: self.pool_client.handle_grant,
-            wire.Shed: self.pool_client.take_shed,
+            wire.Shed: self.pool_client.handle_shed,
             wire.Withdrawn: self.pool_client.take_withdrawn,
         }
 
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -211,7 +211,7 @@
         ticket.granted_until = clocks.read_monotonic() + message.expires_s
         ticket.wake()
 
-    def take_shed(self, message: wire.Shed, sender: ids.Incarnation) -> None:
+    def handle_shed(self, message: wire.Shed, sender: ids.Incarnation) -> None:
         """A ticket is given up."""
         ticket = self._find(message.pool, message.ticket)
         if ticket is None:
--- a/tests/test_claim_waits.py
+++ b/tests/test_claim_waits.py
@@ -3,21 +3,13 @@
 import typing as ty
 
 import anyio
-from opentelemetry import context
 import testtools
+from opentelemetry import context
 
-from apricotlanding import bundle
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import metrics
-from apricotlanding import tracing
-from apricotlanding import wire
+from apricotlanding import bundle, clocks, errors, ids, metrics, tracing, wire
 from apricotlandingd.ownership import shardview
 from apricotlandingd.pools import poolclient
-from apricotlandingd.requests import admission
-from apricotlandingd.requests import answers
-from apricotlandingd.requests import runs
+from apricotlandingd.requests import admission, answers, runs
 
 OWNER: ty.Final = ids.Incarnation('owner/1')
 EPOCH: ty.Final = ids.Epoch(7)
@@ -123,7 +115,7 @@
                 return
             for entry in message.entries:
                 shed = wire.Shed(POOL, EPOCH, entry.ticket, 1.5, False)
-                clients[0].take_shed(shed, OWNER)
+                clients[0].handle_shed(shed, OWNER)
 
         async def call(receiver: ids.Incarnation, message: object) -> object:
             return wire.Ack()
