--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -213,7 +213,7 @@
             wire.Withdraw: self.pool_desk.take_withdraw,
             wire.Grant: self.pool_client.handle_grant,
             wire.Shed: self.pool_client.handle_shed,
-            wire.Withdrawn: self.pool_client.take_withdrawn,
+            wire.Withdrawn: self.pool_client.handle_withdrawn,
         }
 
     # Running.
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -232,7 +232,7 @@
             )
         ticket.wake()
 
-    def take_withdrawn(
+    def handle_withdrawn(
         self, message: wire.Withdrawn, sender: ids.Incarnation
     ) -> None:
         """A grant is void if it was not used."""
