--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -207,7 +207,7 @@
         router.slow[wire.ClaimRequest] = self.claim_desk.answer_claim
         router.streaming[wire.Attach] = self.attacher.serve
         router.pushes |= {
-            wire.Register: self.pool_desk.take_register,
+            wire.Register: self.pool_desk.handle_register,
             wire.Started: self.pool_desk.take_started,
             wire.Finished: self.pool_desk.take_finished,
             wire.Withdraw: self.pool_desk.take_withdraw,
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -125,11 +125,11 @@
             # have: it asks again.
             return wire.Failed('', 'not the owner in this epoch')
         desk.queue.confirm_sheds(sender)
-        self.take_register(message, sender)
+        self.handle_register(message, sender)
         desk.complete.add(sender)
         return wire.Ack()
 
-    def take_register(
+    def handle_register(
         self, message: wire.Register, sender: ids.Incarnation
     ) -> None:
         """Add requests of a daemon."""
