--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -208,7 +208,7 @@
         router.streaming[wire.Attach] = self.attacher.serve
         router.pushes |= {
             wire.Register: self.pool_desk.handle_register,
-            wire.Started: self.pool_desk.take_started,
+            wire.Started: self.pool_desk.handle_started,
             wire.Finished: self.pool_desk.take_finished,
             wire.Withdraw: self.pool_desk.take_withdraw,
             wire.Grant: self.pool_client.handle_grant,
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -141,7 +141,7 @@
             desk.queue.register(entry, sender, now)
         desk.wake()
 
-    def take_started(
+    def handle_started(
         self, message: wire.Started, sender: ids.Incarnation
     ) -> None:
         """Note that a grant is used."""
