--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -209,7 +209,7 @@
         router.pushes |= {
             wire.Register: self.pool_desk.handle_register,
             wire.Started: self.pool_desk.handle_started,
-            wire.Finished: self.pool_desk.take_finished,
+            wire.Finished: self.pool_desk.handle_finished,
             wire.Withdraw: self.pool_desk.take_withdraw,
             wire.Grant: self.pool_client.handle_grant,
             wire.Shed: self.pool_client.handle_shed,
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -149,7 +149,7 @@
         if desk is not None:
             desk.queue.start(message, clocks.read_monotonic())
 
-    def take_finished(
+    def handle_finished(
         self, message: wire.Finished, sender: ids.Incarnation
     ) -> None:
         """Note that a request has left its runner."""
