--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -210,7 +210,7 @@
             wire.Register: self.pool_desk.handle_register,
             wire.Started: self.pool_desk.handle_started,
             wire.Finished: self.pool_desk.handle_finished,
-            wire.Withdraw: self.pool_desk.take_withdraw,
+            wire.Withdraw: self.pool_desk.handle_withdraw,
             wire.Grant: self.pool_client.handle_grant,
             wire.Shed: self.pool_client.handle_shed,
             wire.Withdrawn: self.pool_client.handle_withdrawn,
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -158,7 +158,7 @@
             desk.queue.finish(message, clocks.read_monotonic())
             desk.wake()
 
-    def take_withdraw(
+    def handle_withdraw(
         self, message: wire.Withdraw, sender: ids.Incarnation
     ) -> None:
         """Forget a request."""
