--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -173,7 +173,7 @@
     def release(self, ticket: Ticket, message: wire.Finished) -> None:
         """Say that the ticket's request has left its runner."""
         ticket.runner = None
-        self._tell(ticket.pool, message)
+        self._notify_owner(ticket.pool, message)
 
     def requeue(self, ticket: Ticket) -> None:
         """Register a ticket whose runner did not take it."""
@@ -183,7 +183,9 @@
         """Forget a ticket."""
         tickets = self._tickets.get(ticket.pool, {})
         if tickets.pop(ticket.name, None) is not None:
-            self._tell(ticket.pool, wire.Withdraw(ticket.pool, ticket.name))
+            self._notify_owner(
+                ticket.pool, wire.Withdraw(ticket.pool, ticket.name)
+            )
 
     def mark_unregistered(self, owner: ids.Incarnation) -> None:
         """Register again with an owner whose connection was lost.
@@ -257,7 +259,7 @@
 
     def _tell_started(self, ticket: Ticket) -> None:
         assert ticket.runner is not None
-        self._tell(
+        self._notify_owner(
             ticket.pool,
             wire.Started(ticket.pool, ticket.name, ticket.runner),
         )
@@ -302,7 +304,7 @@
         )
         self._send(entry.owner, message)
 
-    def _tell(self, pool: ids.Pool, message: object) -> None:
+    def _notify_owner(self, pool: ids.Pool, message: object) -> None:
         entry = self._find_owner(pool)
         if entry is not None:
             self._send(entry.owner, message)
