--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -207,7 +207,7 @@
             return
         if ticket.runner is not None:
             # A second grant, from a scheduler that did not know the first.
-            self._tell_started(ticket)
+            self._notify_started(ticket)
             return
         ticket.granted = message.runner
         ticket.granted_until = clocks.read_monotonic() + message.expires_s
@@ -220,7 +220,7 @@
             return
         if ticket.runner is not None:
             # It began on the grant of a scheduler before this one.
-            self._tell_started(ticket)
+            self._notify_started(ticket)
             return
         entry = self._find_owner(message.pool)
         if entry is None or entry.epoch != message.epoch:
@@ -245,7 +245,7 @@
             if message.is_lost and message.runner == ticket.runner:
                 ticket.on_lost()
             else:
-                self._tell_started(ticket)
+                self._notify_started(ticket)
             return
         ticket.granted = None
         self._register(ticket)
@@ -254,10 +254,10 @@
         assert ticket.granted is not None
         ticket.runner = ticket.granted
         ticket.granted = None
-        self._tell_started(ticket)
+        self._notify_started(ticket)
         return ticket.runner
 
-    def _tell_started(self, ticket: Ticket) -> None:
+    def _notify_started(self, ticket: Ticket) -> None:
         assert ticket.runner is not None
         self._notify_owner(
             ticket.pool,
