--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -116,14 +116,17 @@
     ) -> None:
         """Keep all tickets registered with the owners of their pools."""
         async with anyio.create_task_group() as group:
-            busy: set[ids.Pool] = set()
+            registering: set[ids.Pool] = set()
             while True:
                 for pool in list_pools():
-                    if pool in busy or self._is_registered(pool):
+                    if pool in registering or self._is_registered(pool):
                         continue
-                    busy.add(pool)
+                    registering.add(pool)
                     group.start_soon(
-                        supervisor.run_guarded, self._register_all, pool, busy
+                        supervisor.run_guarded,
+                        self._register_all,
+                        pool,
+                        registering,
                     )
                 await self._wait_for_change(REGISTER_INTERVAL_S)
 
@@ -270,7 +273,9 @@
             return True
         return self._registered.get(pool) == (entry.owner, entry.epoch)
 
-    async def _register_all(self, pool: ids.Pool, busy: set[ids.Pool]) -> None:
+    async def _register_all(
+        self, pool: ids.Pool, registering: set[ids.Pool]
+    ) -> None:
         try:
             entry = self._find_owner(pool)
             if entry is None:
@@ -291,7 +296,7 @@
                 if name not in tickets:
                     self._register(ticket)
         finally:
-            busy.discard(pool)
+            registering.discard(pool)
 
     def _register(self, ticket: Ticket) -> None:
         entry = self._find_owner(ticket.pool)
