--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -59,7 +59,7 @@
     # Set when the scheduler or this daemon has given it up.
     problem: errors.Problem | None = None
     # What to do when the runner that it runs on no longer answers.
-    on_lost: collections.abc.Callable[[], None] = lambda: None
+    on_runner_lost: collections.abc.Callable[[], None] = lambda: None
     changed: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
     def wake(self) -> None:
@@ -246,7 +246,7 @@
             return
         if ticket.runner is not None:
             if message.is_lost and message.runner == ticket.runner:
-                ticket.on_lost()
+                ticket.on_runner_lost()
             else:
                 self._notify_started(ticket)
             return
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -401,7 +401,7 @@
             run.state = RunState.SENT
             answer.runner = runner
             scope = anyio.CancelScope()
-            ticket.on_lost = functools.partial(_move_on, run, scope)
+            ticket.on_runner_lost = functools.partial(_move_on, run, scope)
             try:
                 with scope:
                     attempt = await self._relay.run(
