--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -133,7 +133,7 @@
             self.claim_desk,
             self.store,
         )
-        self.pool_desk = poolservice.PoolDesk(self.peers, self.metrics)
+        self.pool_desk = poolservice.PoolScheduler(self.peers, self.metrics)
         self.pool_client = poolclient.PoolClient(
             self.incarnation,
             self.view,
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -1,6 +1,6 @@
 """Pool schedulers: the owner's side of a pool's queue.
 
-``PoolDesk`` keeps a ``PoolQueue`` for each pool that this daemon owns and is
+``PoolScheduler`` keeps a ``PoolQueue`` for each pool that this daemon owns and is
 the ``owners.Role`` of pools. For each such pool it runs two tasks for every
 runner, which read its load and its cache events, and one that decides
 whenever something has changed.
@@ -32,7 +32,7 @@
 from apricotlandingd.peering import peerlink, peers
 from apricotlandingd.pools import engineorders, poolqueue, runnerstate
 
-__all__ = ['PoolDesk']
+__all__ = ['PoolScheduler']
 
 # Longest time between two decisions, in seconds.
 DECIDE_INTERVAL = 0.25
@@ -64,7 +64,7 @@
 
 
 @ty.final
-class PoolDesk:
+class PoolScheduler:
     """The owner's side of pools; a role of ``owners``."""
 
     def __init__(self, others: peers.Peers, counts: metrics.Metrics) -> None:
