--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -47,7 +47,7 @@
 
 
 @ty.final
-class _Desk:
+class _ServedPool:
     """One pool that this daemon schedules."""
 
     def __init__(self, pool: bundle.PoolModel, right: leases.Right) -> None:
@@ -71,7 +71,7 @@
         """Start without a pool."""
         self._peers = others
         self._metrics = counts
-        self._desks: dict[ids.Pool, _Desk] = {}
+        self._desks: dict[ids.Pool, _ServedPool] = {}
         self._group: anyio.abc.TaskGroup | None = None
         self.find_bundle: collections.abc.Callable[
             [], bundle.Bundle | None
@@ -97,7 +97,7 @@
         model = config.pools.get(name)
         if model is None:
             return
-        desk = _Desk(model, right)
+        desk = _ServedPool(model, right)
         self._desks[name] = desk
         assert self._group is not None
         self._group.start_soon(self._run_desk, name, desk)
@@ -201,7 +201,7 @@
 
     # Deciding.
 
-    async def _run_desk(self, name: ids.Pool, desk: _Desk) -> None:
+    async def _run_desk(self, name: ids.Pool, desk: _ServedPool) -> None:
         with desk.scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._follow_runners, desk)
@@ -211,7 +211,7 @@
                     with anyio.move_on_after(DECIDE_INTERVAL):
                         await desk.changed.wait()
 
-    def _decide(self, name: ids.Pool, desk: _Desk) -> None:
+    def _decide(self, name: ids.Pool, desk: _ServedPool) -> None:
         now = clocks.read_monotonic()
         self._mark_leaving(name, desk)
         for expired in desk.queue.expire_grants(now):
@@ -240,13 +240,13 @@
                 )
             self.deliver(receiver, message)
 
-    def _may_shed(self, desk: _Desk, now: float) -> bool:
+    def _may_shed(self, desk: _ServedPool, now: float) -> bool:
         if not desk.right.is_valid(now):
             return False
         hosts = {ids.parse_host(item) for item in desk.complete}
         return self._peers.list_live() <= hosts
 
-    def _mark_leaving(self, name: ids.Pool, desk: _Desk) -> None:
+    def _mark_leaving(self, name: ids.Pool, desk: _ServedPool) -> None:
         for runner in desk.queue.runners.values():
             listed = self._peers.listed.get(str(runner.name))
             is_leaving = (
@@ -262,7 +262,7 @@
     def _withdraw(
         self,
         name: ids.Pool,
-        desk: _Desk,
+        desk: _ServedPool,
         decision: poolqueue.GrantDecision,
     ) -> None:
         self.deliver(
@@ -277,7 +277,7 @@
 
     # Following the runners.
 
-    async def _follow_runners(self, desk: _Desk) -> None:
+    async def _follow_runners(self, desk: _ServedPool) -> None:
         followed: dict[ids.Runner, anyio.CancelScope] = {}
         async with anyio.create_task_group() as group:
             while True:
@@ -297,7 +297,7 @@
 
     async def _follow_runner(
         self,
-        desk: _Desk,
+        desk: _ServedPool,
         runner: runnerstate.RunnerState,
         scope: anyio.CancelScope,
     ) -> None:
@@ -319,7 +319,7 @@
 
     async def _follow_load(
         self,
-        desk: _Desk,
+        desk: _ServedPool,
         runner: runnerstate.RunnerState,
         client: webclient.WebClient,
     ) -> None:
@@ -351,7 +351,7 @@
                 desk.wake()
             await anyio.sleep(LOAD_INTERVAL)
 
-    def _report_lost(self, desk: _Desk, runner: ids.Runner) -> None:
+    def _report_lost(self, desk: _ServedPool, runner: ids.Runner) -> None:
         # Its requests would wait for their deadlines. Those that may run
         # twice and have shown nothing to their callers go elsewhere.
         for started in desk.queue.list_started(runner):
