--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -71,7 +71,7 @@
         """Start without a pool."""
         self._peers = others
         self._metrics = counts
-        self._desks: dict[ids.Pool, _ServedPool] = {}
+        self._served: dict[ids.Pool, _ServedPool] = {}
         self._group: anyio.abc.TaskGroup | None = None
         self.find_bundle: collections.abc.Callable[
             [], bundle.Bundle | None
@@ -98,13 +98,13 @@
         if model is None:
             return
         desk = _ServedPool(model, right)
-        self._desks[name] = desk
+        self._served[name] = desk
         assert self._group is not None
         self._group.start_soon(self._run_desk, name, desk)
 
     def end(self, shard: ids.Shard) -> None:
         """Stop deciding for a pool."""
-        desk = self._desks.pop(_parse_pool(shard), None)
+        desk = self._served.pop(_parse_pool(shard), None)
         if desk is not None:
             desk.scope.cancel()
 
@@ -119,7 +119,7 @@
         self, message: wire.Register, sender: ids.Incarnation
     ) -> wire.Ack | wire.Failed:
         """Add all requests of a daemon."""
-        desk = self._desks.get(message.pool)
+        desk = self._served.get(message.pool)
         if desk is None or desk.right.epoch != message.epoch:
             # The daemon may have read in the log that we serve before we
             # have: it asks again.
@@ -133,7 +133,7 @@
         self, message: wire.Register, sender: ids.Incarnation
     ) -> None:
         """Add requests of a daemon."""
-        desk = self._desks.get(message.pool)
+        desk = self._served.get(message.pool)
         if desk is None or desk.right.epoch != message.epoch:
             return
         now = clocks.read_monotonic()
@@ -145,7 +145,7 @@
         self, message: wire.Started, sender: ids.Incarnation
     ) -> None:
         """Note that a grant is used."""
-        desk = self._desks.get(message.pool)
+        desk = self._served.get(message.pool)
         if desk is not None:
             desk.queue.start(message, clocks.read_monotonic())
 
@@ -153,7 +153,7 @@
         self, message: wire.Finished, sender: ids.Incarnation
     ) -> None:
         """Note that a request has left its runner."""
-        desk = self._desks.get(message.pool)
+        desk = self._served.get(message.pool)
         if desk is not None:
             desk.queue.finish(message, clocks.read_monotonic())
             desk.wake()
@@ -162,21 +162,21 @@
         self, message: wire.Withdraw, sender: ids.Incarnation
     ) -> None:
         """Forget a request."""
-        desk = self._desks.get(message.pool)
+        desk = self._served.get(message.pool)
         if desk is not None:
             desk.queue.withdraw(message.ticket)
             desk.wake()
 
     def drop_sender(self, sender: ids.Incarnation) -> None:
         """Forget the requests of a daemon whose connections are gone."""
-        for desk in self._desks.values():
+        for desk in self._served.values():
             desk.complete.discard(sender)
             desk.queue.drop_sender(sender)
             desk.wake()
 
     def update_bundle(self, config: bundle.Bundle) -> None:
         """Follow a new bundle."""
-        for name, desk in self._desks.items():
+        for name, desk in self._served.items():
             model = config.pools.get(name)
             if model is not None:
                 desk.queue.update_pool(model)
@@ -196,7 +196,7 @@
                     for runner in desk.queue.runners.values()
                 },
             }
-            for name, desk in self._desks.items()
+            for name, desk in self._served.items()
         }
 
     # Deciding.
