--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -97,16 +97,16 @@
         model = config.pools.get(name)
         if model is None:
             return
-        desk = _ServedPool(model, right)
-        self._served[name] = desk
+        served = _ServedPool(model, right)
+        self._served[name] = served
         assert self._group is not None
-        self._group.start_soon(self._run_desk, name, desk)
+        self._group.start_soon(self._run_desk, name, served)
 
     def end(self, shard: ids.Shard) -> None:
         """Stop deciding for a pool."""
-        desk = self._served.pop(_parse_pool(shard), None)
-        if desk is not None:
-            desk.scope.cancel()
+        served = self._served.pop(_parse_pool(shard), None)
+        if served is not None:
+            served.scope.cancel()
 
     async def hand_over(
         self, shard: ids.Shard, successor: peerlink.Connection
@@ -119,106 +119,106 @@
         self, message: wire.Register, sender: ids.Incarnation
     ) -> wire.Ack | wire.Failed:
         """Add all requests of a daemon."""
-        desk = self._served.get(message.pool)
-        if desk is None or desk.right.epoch != message.epoch:
+        served = self._served.get(message.pool)
+        if served is None or served.right.epoch != message.epoch:
             # The daemon may have read in the log that we serve before we
             # have: it asks again.
             return wire.Failed('', 'not the owner in this epoch')
-        desk.queue.confirm_sheds(sender)
+        served.queue.confirm_sheds(sender)
         self.handle_register(message, sender)
-        desk.complete.add(sender)
+        served.complete.add(sender)
         return wire.Ack()
 
     def handle_register(
         self, message: wire.Register, sender: ids.Incarnation
     ) -> None:
         """Add requests of a daemon."""
-        desk = self._served.get(message.pool)
-        if desk is None or desk.right.epoch != message.epoch:
+        served = self._served.get(message.pool)
+        if served is None or served.right.epoch != message.epoch:
             return
         now = clocks.read_monotonic()
         for entry in message.entries:
-            desk.queue.register(entry, sender, now)
-        desk.wake()
+            served.queue.register(entry, sender, now)
+        served.wake()
 
     def handle_started(
         self, message: wire.Started, sender: ids.Incarnation
     ) -> None:
         """Note that a grant is used."""
-        desk = self._served.get(message.pool)
-        if desk is not None:
-            desk.queue.start(message, clocks.read_monotonic())
+        served = self._served.get(message.pool)
+        if served is not None:
+            served.queue.start(message, clocks.read_monotonic())
 
     def handle_finished(
         self, message: wire.Finished, sender: ids.Incarnation
     ) -> None:
         """Note that a request has left its runner."""
-        desk = self._served.get(message.pool)
-        if desk is not None:
-            desk.queue.finish(message, clocks.read_monotonic())
-            desk.wake()
+        served = self._served.get(message.pool)
+        if served is not None:
+            served.queue.finish(message, clocks.read_monotonic())
+            served.wake()
 
     def handle_withdraw(
         self, message: wire.Withdraw, sender: ids.Incarnation
     ) -> None:
         """Forget a request."""
-        desk = self._served.get(message.pool)
-        if desk is not None:
-            desk.queue.withdraw(message.ticket)
-            desk.wake()
+        served = self._served.get(message.pool)
+        if served is not None:
+            served.queue.withdraw(message.ticket)
+            served.wake()
 
     def drop_sender(self, sender: ids.Incarnation) -> None:
         """Forget the requests of a daemon whose connections are gone."""
-        for desk in self._served.values():
-            desk.complete.discard(sender)
-            desk.queue.drop_sender(sender)
-            desk.wake()
+        for served in self._served.values():
+            served.complete.discard(sender)
+            served.queue.drop_sender(sender)
+            served.wake()
 
     def update_bundle(self, config: bundle.Bundle) -> None:
         """Follow a new bundle."""
-        for name, desk in self._served.items():
+        for name, served in self._served.items():
             model = config.pools.get(name)
             if model is not None:
-                desk.queue.update_pool(model)
-                desk.wake()
+                served.queue.update_pool(model)
+                served.wake()
 
     def describe(self) -> dict[str, ty.Any]:
         """Return queues and runners for operators."""
         return {
             str(name): {
-                'waiting': desk.queue.count_by_tier(),
+                'waiting': served.queue.count_by_tier(),
                 'runners': {
                     str(runner.name): {
                         'running': runner.count_requests(),
                         'tokens': runner.count_tokens(),
                         'usable': runner.is_usable(clocks.read_monotonic()),
                     }
-                    for runner in desk.queue.runners.values()
+                    for runner in served.queue.runners.values()
                 },
             }
-            for name, desk in self._served.items()
+            for name, served in self._served.items()
         }
 
     # Deciding.
 
-    async def _run_desk(self, name: ids.Pool, desk: _ServedPool) -> None:
-        with desk.scope:
+    async def _run_desk(self, name: ids.Pool, served: _ServedPool) -> None:
+        with served.scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._follow_runners, desk)
+                group.start_soon(self._follow_runners, served)
                 while True:
-                    self._decide(name, desk)
-                    desk.changed = anyio.Event()
+                    self._decide(name, served)
+                    served.changed = anyio.Event()
                     with anyio.move_on_after(DECIDE_INTERVAL):
-                        await desk.changed.wait()
+                        await served.changed.wait()
 
-    def _decide(self, name: ids.Pool, desk: _ServedPool) -> None:
+    def _decide(self, name: ids.Pool, served: _ServedPool) -> None:
         now = clocks.read_monotonic()
-        self._mark_leaving(name, desk)
-        for expired in desk.queue.expire_grants(now):
-            self._withdraw(name, desk, expired)
-        may_shed = self._may_shed(desk, now)
-        epoch = desk.right.epoch
-        for decision in desk.queue.decide(now, may_shed):
+        self._mark_leaving(name, served)
+        for expired in served.queue.expire_grants(now):
+            self._withdraw(name, served, expired)
+        may_shed = self._may_shed(served, now)
+        epoch = served.right.epoch
+        for decision in served.queue.decide(now, may_shed):
             ticket = decision.waiting.entry.ticket
             receiver = decision.waiting.sender
             if isinstance(decision, poolqueue.GrantDecision):
@@ -240,14 +240,14 @@
                 )
             self.deliver(receiver, message)
 
-    def _may_shed(self, desk: _ServedPool, now: float) -> bool:
-        if not desk.right.is_valid(now):
+    def _may_shed(self, served: _ServedPool, now: float) -> bool:
+        if not served.right.is_valid(now):
             return False
-        hosts = {ids.parse_host(item) for item in desk.complete}
+        hosts = {ids.parse_host(item) for item in served.complete}
         return self._peers.list_live() <= hosts
 
-    def _mark_leaving(self, name: ids.Pool, desk: _ServedPool) -> None:
-        for runner in desk.queue.runners.values():
+    def _mark_leaving(self, name: ids.Pool, served: _ServedPool) -> None:
+        for runner in served.queue.runners.values():
             listed = self._peers.listed.get(str(runner.name))
             is_leaving = (
                 listed is not None
@@ -255,21 +255,21 @@
             )
             if is_leaving and not runner.is_leaving:
                 eliot.log_message('runner:leaving', runner=runner.name)
-                for granted in desk.queue.withdraw_grants(runner.name):
-                    self._withdraw(name, desk, granted)
+                for granted in served.queue.withdraw_grants(runner.name):
+                    self._withdraw(name, served, granted)
             runner.is_leaving = is_leaving
 
     def _withdraw(
         self,
         name: ids.Pool,
-        desk: _ServedPool,
+        served: _ServedPool,
         decision: poolqueue.GrantDecision,
     ) -> None:
         self.deliver(
             decision.waiting.sender,
             wire.Withdrawn(
                 name,
-                desk.right.epoch,
+                served.right.epoch,
                 decision.waiting.entry.ticket,
                 decision.runner,
             ),
@@ -277,11 +277,11 @@
 
     # Following the runners.
 
-    async def _follow_runners(self, desk: _ServedPool) -> None:
+    async def _follow_runners(self, served: _ServedPool) -> None:
         followed: dict[ids.Runner, anyio.CancelScope] = {}
         async with anyio.create_task_group() as group:
             while True:
-                present = desk.queue.runners
+                present = served.queue.runners
                 for name in list(followed):
                     if name not in present:
                         followed.pop(name).cancel()
@@ -292,12 +292,14 @@
                         continue
                     scope = anyio.CancelScope()
                     followed[name] = scope
-                    group.start_soon(self._follow_runner, desk, runner, scope)
+                    group.start_soon(
+                        self._follow_runner, served, runner, scope
+                    )
                 await anyio.sleep(LOAD_INTERVAL)
 
     async def _follow_runner(
         self,
-        desk: _ServedPool,
+        served: _ServedPool,
         runner: runnerstate.RunnerState,
         scope: anyio.CancelScope,
     ) -> None:
@@ -305,12 +307,12 @@
         with scope:
             try:
                 async with anyio.create_task_group() as group:
-                    group.start_soon(self._follow_load, desk, runner, client)
+                    group.start_soon(self._follow_load, served, runner, client)
                     group.start_soon(_follow_events, runner, client)
                     group.start_soon(
                         engineorders.reconcile_runner,
                         runner,
-                        desk.right,
+                        served.right,
                         client,
                     )
             finally:
@@ -319,7 +321,7 @@
 
     async def _follow_load(
         self,
-        desk: _ServedPool,
+        served: _ServedPool,
         runner: runnerstate.RunnerState,
         client: webclient.WebClient,
     ) -> None:
@@ -347,19 +349,19 @@
                 )
                 runner.is_reporting = is_reporting
                 if not is_reporting:
-                    self._report_lost(desk, runner.name)
-                desk.wake()
+                    self._report_lost(served, runner.name)
+                served.wake()
             await anyio.sleep(LOAD_INTERVAL)
 
-    def _report_lost(self, desk: _ServedPool, runner: ids.Runner) -> None:
+    def _report_lost(self, served: _ServedPool, runner: ids.Runner) -> None:
         # Its requests would wait for their deadlines. Those that may run
         # twice and have shown nothing to their callers go elsewhere.
-        for started in desk.queue.list_started(runner):
+        for started in served.queue.list_started(runner):
             self.deliver(
                 started.waiting.sender,
                 wire.Withdrawn(
-                    ids.Pool(desk.queue.pool.name),
-                    desk.right.epoch,
+                    ids.Pool(served.queue.pool.name),
+                    served.right.epoch,
                     started.waiting.entry.ticket,
                     runner,
                     is_lost=True,
