--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -100,7 +100,7 @@
         served = _ServedPool(model, right)
         self._served[name] = served
         assert self._group is not None
-        self._group.start_soon(self._run_desk, name, served)
+        self._group.start_soon(self._run_pool, name, served)
 
     def end(self, shard: ids.Shard) -> None:
         """Stop deciding for a pool."""
@@ -201,7 +201,7 @@
 
     # Deciding.
 
-    async def _run_desk(self, name: ids.Pool, served: _ServedPool) -> None:
+    async def _run_pool(self, name: ids.Pool, served: _ServedPool) -> None:
         with served.scope:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._follow_runners, served)
