--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -35,7 +35,7 @@
 __all__ = ['PoolScheduler']
 
 # Longest time between two decisions, in seconds.
-DECIDE_INTERVAL = 0.25
+DECIDE_INTERVAL_S = 0.25
 LOAD_INTERVAL = 0.5
 LOAD_TIMEOUT = 0.75
 # A runner whose load report has failed for so long gets no work. With the
@@ -208,7 +208,7 @@
                 while True:
                     self._decide(name, served)
                     served.changed = anyio.Event()
-                    with anyio.move_on_after(DECIDE_INTERVAL):
+                    with anyio.move_on_after(DECIDE_INTERVAL_S):
                         await served.changed.wait()
 
     def _decide(self, name: ids.Pool, served: _ServedPool) -> None:
