--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -36,7 +36,7 @@
 
 # Longest time between two decisions, in seconds.
 DECIDE_INTERVAL_S = 0.25
-LOAD_INTERVAL = 0.5
+LOAD_INTERVAL_S = 0.5
 LOAD_TIMEOUT = 0.75
 # A runner whose load report has failed for so long gets no work. With the
 # interval and the timeout this is noticed within 3 seconds.
@@ -295,7 +295,7 @@
                     group.start_soon(
                         self._follow_runner, served, runner, scope
                     )
-                await anyio.sleep(LOAD_INTERVAL)
+                await anyio.sleep(LOAD_INTERVAL_S)
 
     async def _follow_runner(
         self,
@@ -351,7 +351,7 @@
                 if not is_reporting:
                     self._report_lost(served, runner.name)
                 served.wake()
-            await anyio.sleep(LOAD_INTERVAL)
+            await anyio.sleep(LOAD_INTERVAL_S)
 
     def _report_lost(self, served: _ServedPool, runner: ids.Runner) -> None:
         # Its requests would wait for their deadlines. Those that may run
