--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -37,7 +37,7 @@
 # Longest time between two decisions, in seconds.
 DECIDE_INTERVAL_S = 0.25
 LOAD_INTERVAL_S = 0.5
-LOAD_TIMEOUT = 0.75
+LOAD_TIMEOUT_S = 0.75
 # A runner whose load report has failed for so long gets no work. With the
 # interval and the timeout this is noticed within 3 seconds.
 SILENT_LIMIT = 1.75
@@ -330,7 +330,7 @@
             now = clocks.read_monotonic()
             try:
                 status, report = await client.call_json(
-                    'GET', '/v1/load', read_timeout=LOAD_TIMEOUT
+                    'GET', '/v1/load', read_timeout=LOAD_TIMEOUT_S
                 )
                 if status == 200:
                     answered_at = now
@@ -378,7 +378,7 @@
             status, reply = await client.call_json(
                 'GET',
                 f'/v1/cache-events?from={position}',
-                read_timeout=LOAD_TIMEOUT,
+                read_timeout=LOAD_TIMEOUT_S,
             )
             if status == 200:
                 position = int(reply['next'])
