--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -40,7 +40,7 @@
 LOAD_TIMEOUT_S = 0.75
 # A runner whose load report has failed for so long gets no work. With the
 # interval and the timeout this is noticed within 3 seconds.
-SILENT_LIMIT = 1.75
+LOAD_SILENCE_LIMIT_S = 1.75
 EVENT_INTERVAL = 1.0
 
 Deliver = collections.abc.Callable[[ids.Incarnation, object], None]
@@ -342,7 +342,7 @@
                 # lost report says nothing.
                 pass
             silent_s = clocks.read_monotonic() - answered_at
-            is_reporting = silent_s < SILENT_LIMIT
+            is_reporting = silent_s < LOAD_SILENCE_LIMIT_S
             if is_reporting != runner.is_reporting:
                 eliot.log_message(
                     'runner:reporting', runner=runner.name, is_on=is_reporting
