--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -41,7 +41,7 @@
 # A runner whose load report has failed for so long gets no work. With the
 # interval and the timeout this is noticed within 3 seconds.
 LOAD_SILENCE_LIMIT_S = 1.75
-EVENT_INTERVAL = 1.0
+EVENT_INTERVAL_S = 1.0
 
 Deliver = collections.abc.Callable[[ids.Incarnation, object], None]
 
@@ -387,7 +387,7 @@
         except (webclient.WebError, KeyError, TypeError, ValueError):
             # Late or lost events cost prefix hits and nothing else.
             pass
-        await anyio.sleep(EVENT_INTERVAL)
+        await anyio.sleep(EVENT_INTERVAL_S)
 
 
 def _apply_event(
