--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -54,7 +54,7 @@
         self.queue = poolqueue.PoolQueue(pool)
         self.right = right
         # Incarnations that have registered all that they have.
-        self.complete: set[ids.Incarnation] = set()
+        self.registered: set[ids.Incarnation] = set()
         self.changed = anyio.Event()
         self.scope = anyio.CancelScope()
 
@@ -126,7 +126,7 @@
             return wire.Failed('', 'not the owner in this epoch')
         served.queue.confirm_sheds(sender)
         self.handle_register(message, sender)
-        served.complete.add(sender)
+        served.registered.add(sender)
         return wire.Ack()
 
     def handle_register(
@@ -170,7 +170,7 @@
     def drop_sender(self, sender: ids.Incarnation) -> None:
         """Forget the requests of a daemon whose connections are gone."""
         for served in self._served.values():
-            served.complete.discard(sender)
+            served.registered.discard(sender)
             served.queue.drop_sender(sender)
             served.wake()
 
@@ -243,7 +243,7 @@
     def _may_shed(self, served: _ServedPool, now: float) -> bool:
         if not served.right.is_valid(now):
             return False
-        hosts = {ids.parse_host(item) for item in served.complete}
+        hosts = {ids.parse_host(item) for item in served.registered}
         return self._peers.list_live() <= hosts
 
     def _mark_leaving(self, name: ids.Pool, served: _ServedPool) -> None:
