--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -307,7 +307,7 @@
         with scope:
             try:
                 async with anyio.create_task_group() as group:
-                    group.start_soon(self._follow_load, served, runner, client)
+                    group.start_soon(self._poll_load, served, runner, client)
                     group.start_soon(_follow_events, runner, client)
                     group.start_soon(
                         engineorders.reconcile_runner,
@@ -319,7 +319,7 @@
                 with anyio.CancelScope(shield=True):
                     await client.close()
 
-    async def _follow_load(
+    async def _poll_load(
         self,
         served: _ServedPool,
         runner: runnerstate.RunnerState,
