--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -308,7 +308,7 @@
             try:
                 async with anyio.create_task_group() as group:
                     group.start_soon(self._poll_load, served, runner, client)
-                    group.start_soon(_follow_events, runner, client)
+                    group.start_soon(_poll_cache_events, runner, client)
                     group.start_soon(
                         engineorders.reconcile_runner,
                         runner,
@@ -369,7 +369,7 @@
             )
 
 
-async def _follow_events(
+async def _poll_cache_events(
     runner: runnerstate.RunnerState, client: webclient.WebClient
 ) -> None:
     position = 0
