--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -204,7 +204,7 @@
     async def _run_pool(self, name: ids.Pool, served: _ServedPool) -> None:
         with served.scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._follow_runners, served)
+                group.start_soon(self._monitor_runners, served)
                 while True:
                     self._decide(name, served)
                     served.changed = anyio.Event()
@@ -277,7 +277,7 @@
 
     # Following the runners.
 
-    async def _follow_runners(self, served: _ServedPool) -> None:
+    async def _monitor_runners(self, served: _ServedPool) -> None:
         followed: dict[ids.Runner, anyio.CancelScope] = {}
         async with anyio.create_task_group() as group:
             while True:
