--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -293,11 +293,11 @@
                     scope = anyio.CancelScope()
                     followed[name] = scope
                     group.start_soon(
-                        self._follow_runner, served, runner, scope
+                        self._monitor_runner, served, runner, scope
                     )
                 await anyio.sleep(LOAD_INTERVAL_S)
 
-    async def _follow_runner(
+    async def _monitor_runner(
         self,
         served: _ServedPool,
         runner: runnerstate.RunnerState,
