--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -278,20 +278,20 @@
     # Following the runners.
 
     async def _monitor_runners(self, served: _ServedPool) -> None:
-        followed: dict[ids.Runner, anyio.CancelScope] = {}
+        monitored: dict[ids.Runner, anyio.CancelScope] = {}
         async with anyio.create_task_group() as group:
             while True:
                 present = served.queue.runners
-                for name in list(followed):
+                for name in list(monitored):
                     if name not in present:
-                        followed.pop(name).cancel()
+                        monitored.pop(name).cancel()
                 for name, runner in present.items():
-                    if name in followed:
+                    if name in monitored:
                         continue
                     if runner.model.kind is bundle.RunnerKind.SERVICE:
                         continue
                     scope = anyio.CancelScope()
-                    followed[name] = scope
+                    monitored[name] = scope
                     group.start_soon(
                         self._monitor_runner, served, runner, scope
                     )
