--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -349,11 +349,13 @@
                 )
                 runner.is_reporting = is_reporting
                 if not is_reporting:
-                    self._report_lost(served, runner.name)
+                    self._withdraw_started(served, runner.name)
                 served.wake()
             await anyio.sleep(LOAD_INTERVAL_S)
 
-    def _report_lost(self, served: _ServedPool, runner: ids.Runner) -> None:
+    def _withdraw_started(
+        self, served: _ServedPool, runner: ids.Runner
+    ) -> None:
         # Its requests would wait for their deadlines. Those that may run
         # twice and have shown nothing to their callers go elsewhere.
         for started in served.queue.list_started(runner):
