--- a/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
@@ -25,15 +25,14 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import ids
-from apricotlanding import records
+from apricotlanding import ids, records
 
-__all__ = ['ShardEntry', 'ShardView', 'Unsettled']
+__all__ = ['ShardEntry', 'ShardView', 'UnsettledEpoch']
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unsettled:
+class UnsettledEpoch:
     """A replaced owner that may still grant."""
 
     past: records.PastEpoch
@@ -63,7 +62,7 @@
     is_released: bool = False
     # When this reader learned that the owner's process has ended.
     ended_at: float | None = None
-    unsettled: list[Unsettled] = dataclasses.field(default_factory=list)
+    unsettled: list[UnsettledEpoch] = dataclasses.field(default_factory=list)
 
     def describe(self, shard: ids.Shard) -> records.ShardState:
         """Return the state as a record carries it."""
@@ -91,7 +90,7 @@
         successor_since=now,
         is_serving=state.is_serving,
         is_released=state.is_released,
-        unsettled=[Unsettled(past, now) for past in state.unsettled],
+        unsettled=[UnsettledEpoch(past, now) for past in state.unsettled],
     )
 
 
@@ -195,7 +194,7 @@
         expected = 1 if entry is None else entry.epoch + 1
         if take.epoch != expected:
             return
-        unsettled: list[Unsettled] = []
+        unsettled: list[UnsettledEpoch] = []
         if entry is not None:
             unsettled = list(entry.unsettled)
             if entry.is_serving and not entry.is_released:
@@ -206,7 +205,7 @@
                     entry.lease_s,
                     entry.outage_limit_s,
                 )
-                unsettled.append(Unsettled(past, now, entry.ended_at))
+                unsettled.append(UnsettledEpoch(past, now, entry.ended_at))
         self.entries[take.shard] = ShardEntry(
             epoch=take.epoch,
             owner=sender,
