--- a/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
@@ -109,7 +109,7 @@
         self._first = ids.Offset(0)
         # Records read while the view is partial, to be applied once a
         # restatement tells what came before them.
-        self._held: list[tuple[ids.Offset, records.Envelope, float]] = []
+        self._buffered: list[tuple[ids.Offset, records.Envelope, float]] = []
 
     def get(self, shard: ids.Shard) -> ShardEntry | None:
         """Return the state of a shard; None if it never had an owner."""
@@ -122,7 +122,7 @@
     def begin(self, first: ids.Offset) -> None:
         """Start over at ``first``, with a partial view."""
         self.entries.clear()
-        self._held.clear()
+        self._buffered.clear()
         self._first = first
         self.is_partial = True
         self.is_trimmed = True
@@ -141,13 +141,13 @@
             if body.as_of >= self._first:
                 self._resume(body, now)
             return
-        self._held.append((offset, envelope, now))
+        self._buffered.append((offset, envelope, now))
 
     def _resume(self, restated: records.OwnersRestated, now: float) -> None:
         for state in restated.shards:
             self.entries[state.shard] = _restore(state, now)
         self.is_partial = False
-        held, self._held = self._held, []
+        held, self._buffered = self._buffered, []
         for offset, envelope, seen_at in held:
             if offset < restated.as_of:
                 continue
