--- a/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
@@ -147,8 +147,8 @@
         for state in restated.shards:
             self.entries[state.shard] = _restore(state, now)
         self.is_partial = False
-        held, self._buffered = self._buffered, []
-        for offset, envelope, seen_at in held:
+        buffered, self._buffered = self._buffered, []
+        for offset, envelope, seen_at in buffered:
             if offset < restated.as_of:
                 continue
             self._apply(envelope, seen_at)
