--- a/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
@@ -139,11 +139,13 @@
             # A restatement made before the first record that we have
             # leaves a gap between the two, in which anything may stand.
             if body.as_of >= self._first:
-                self._resume(body, now)
+                self._apply_restatement(body, now)
             return
         self._buffered.append((offset, envelope, now))
 
-    def _resume(self, restated: records.OwnersRestated, now: float) -> None:
+    def _apply_restatement(
+        self, restated: records.OwnersRestated, now: float
+    ) -> None:
         for state in restated.shards:
             self.entries[state.shard] = _restore(state, now)
         self.is_partial = False
