--- a/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
@@ -158,7 +158,7 @@
     def _apply(self, envelope: records.Envelope, now: float) -> None:
         body = envelope.body
         sender = envelope.sender
-        self._note_ended(sender, now)
+        self._record_ended(sender, now)
         if isinstance(body, records.Take):
             self._apply_take(body, sender, now)
         elif isinstance(body, records.Serving):
@@ -174,7 +174,7 @@
         elif isinstance(body, records.Release):
             self._apply_release(body, sender)
 
-    def _note_ended(self, sender: ids.Incarnation, now: float) -> None:
+    def _record_ended(self, sender: ids.Incarnation, now: float) -> None:
         # A daemon that was restarted proves that the process before it has
         # ended. Without this, an owner and a successor that die together
         # would be waited for as if they could live on behind a cut.
