--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -25,17 +25,10 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import bundle
-from apricotlanding import clocks
-from apricotlanding import ids
-from apricotlanding import records
-from apricotlanding import supervisor
-from apricotlanding import wire
+from apricotlanding import bundle, clocks, ids, records, supervisor, wire
 from apricotlandingd.configuration import logfollower
-from apricotlandingd.ownership import leases
-from apricotlandingd.ownership import shardview
-from apricotlandingd.peering import peerlink
-from apricotlandingd.peering import peers
+from apricotlandingd.ownership import leases, shardview
+from apricotlandingd.peering import peerlink, peers
 
 __all__ = ['Owners', 'Role', 'Start', 'list_shards', 'parse_shard']
 
@@ -518,11 +511,11 @@
             asked: dict[
                 ids.Incarnation, list[tuple[ids.Shard, ids.Epoch]]
             ] = {}
-            lease = 1.0
+            shortest_lease_s = 1.0
             for shard, held in self._held.items():
                 if held.right.is_given_up:
                     continue
-                lease = min(lease, held.right.lease_s)
+                shortest_lease_s = min(shortest_lease_s, held.right.lease_s)
                 for giver in held.right.required:
                     place = (shard, held.right.epoch)
                     asked.setdefault(giver, []).append(place)
@@ -534,7 +527,7 @@
                     supervisor.run_guarded, self._renew, giver, shards
                 )
             self._renew_now = anyio.Event()
-            with anyio.move_on_after(lease / PROMISES_A_LEASE):
+            with anyio.move_on_after(shortest_lease_s / PROMISES_A_LEASE):
                 await self._renew_now.wait()
 
     async def _renew(
@@ -546,14 +539,14 @@
             connection = self._peers.find(giver)
             if connection is None:
                 return
-            lease = min(
+            shortest_lease_s = min(
                 held.right.lease_s
                 for shard, _ in shards
                 if (held := self._held.get(shard)) is not None
             )
             sent_at = clocks.read_monotonic()
             reply = await connection.call(
-                wire.PromiseRequest(shards, lease), lease
+                wire.PromiseRequest(shards, shortest_lease_s), shortest_lease_s
             )
             if not isinstance(reply, wire.Promise):
                 return
@@ -562,7 +555,7 @@
                 if held is None or held.right.epoch != epoch:
                     continue
                 held.right.note_promise(
-                    giver, sent_at, lease, reply.confirmed_age_s
+                    giver, sent_at, shortest_lease_s, reply.confirmed_age_s
                 )
         except (peerlink.PeerLost, ValueError):
             return
