--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -14,18 +14,9 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import bundle
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import supervisor
-from apricotlanding import wire
-from apricotlandingd.ownership import claimtable
-from apricotlandingd.ownership import leases
-from apricotlandingd.ownership import owners
-from apricotlandingd.ownership import shardview
-from apricotlandingd.peering import peerlink
-from apricotlandingd.peering import peers
+from apricotlanding import bundle, clocks, errors, ids, supervisor, wire
+from apricotlandingd.ownership import claimtable, leases, owners, shardview
+from apricotlandingd.peering import peerlink, peers
 from apricotlandingd.requests import answers
 
 __all__ = ['ClaimClient', 'ClaimDesk']
@@ -48,7 +39,7 @@
 @dataclasses.dataclass(slots=True)
 class _Desk:
     # What this daemon keeps for one shard that it owns.
-    right: leases.Right
+    right: leases.Lease
     table: claimtable.ClaimTable
     reported: set[ids.Host]
     changed: anyio.Event
@@ -88,7 +79,7 @@
     # The role.
 
     def begin(
-        self, shard: ids.Shard, right: leases.Right, start: owners.Start
+        self, shard: ids.Shard, right: leases.Lease, start: owners.Start
     ) -> None:
         """Open a table for a shard."""
         config = self.find_bundle()
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -18,11 +18,10 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import ids
-from apricotlanding import wire
+from apricotlanding import ids, wire
 from apricotlandingd.ownership import shardview
 
-__all__ = ['PromiseBook', 'Right', 'find_serve_time']
+__all__ = ['PromiseBook', 'Lease', 'find_serve_time']
 
 # Clocks of two hosts run at rates that differ by less than this.
 DRIFT = 1.01
@@ -32,7 +31,7 @@
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class Right:
+class Lease:
     """One owner's right to grant in one epoch."""
 
     epoch: ids.Epoch
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -89,7 +89,7 @@
     """What the owner of a kind of shard does."""
 
     def begin(
-        self, shard: ids.Shard, right: leases.Right, start: Start
+        self, shard: ids.Shard, right: leases.Lease, start: Start
     ) -> None:
         """Serve from now on, while the right is valid."""
 
@@ -105,7 +105,7 @@
 @dataclasses.dataclass(slots=True)
 class _Held:
     # A shard that this daemon owns.
-    right: leases.Right
+    right: leases.Lease
     is_serving: bool = False
     # A task appends a record for it now.
     is_busy: bool = False
@@ -381,7 +381,7 @@
     def _begin_holding(
         self, shard: ids.Shard, entry: shardview.ShardEntry, now: float
     ) -> _Held:
-        right = leases.Right(entry.epoch, entry.lease_s, entry.outage_limit_s)
+        right = leases.Lease(entry.epoch, entry.lease_s, entry.outage_limit_s)
         if entry.successor is not None:
             right.require(entry.successor, now)
         held = _Held(right)
--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -38,7 +38,7 @@
 
 
 async def reconcile_runner(
-    runner: ConfiguredRunner, right: leases.Right, client: webclient.WebClient
+    runner: ConfiguredRunner, right: leases.Lease, client: webclient.WebClient
 ) -> None:
     """Order a runner to its declared state, until cancelled."""
     applied: DeclaredState | None = None
@@ -59,7 +59,7 @@
 
 async def _send_order(
     model: bundle.RunnerModel,
-    right: leases.Right,
+    right: leases.Lease,
     client: webclient.WebClient,
 ) -> bool:
     order = {'epoch': right.epoch, 'load': model.load, 'role': model.role}
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -50,7 +50,7 @@
 class _ServedPool:
     """One pool that this daemon schedules."""
 
-    def __init__(self, pool: bundle.PoolModel, right: leases.Right) -> None:
+    def __init__(self, pool: bundle.PoolModel, right: leases.Lease) -> None:
         self.queue = poolqueue.PoolQueue(pool)
         self.right = right
         # Incarnations that have registered all that they have.
@@ -88,7 +88,7 @@
     # The role.
 
     def begin(
-        self, shard: ids.Shard, right: leases.Right, start: owners.Start
+        self, shard: ids.Shard, right: leases.Lease, start: owners.Start
     ) -> None:
         """Open a queue for a pool."""
         config = self.find_bundle()
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -1,7 +1,7 @@
 """A world of a few daemons, one shard and a log, in which time is a number.
 
 The rules under test are the real ones: ``LogFollower.take_batch``,
-``ShardView``, ``PromiseBook``, ``Right``, ``find_serve_time`` and
+``ShardView``, ``PromiseBook``, ``Lease``, ``find_serve_time`` and
 ``ClaimTable``. The world only decides what happens when: which appends land,
 late or never; who reads how far; which messages arrive, and when.
 
@@ -12,15 +12,9 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import bundle
-from apricotlanding import ids
-from apricotlanding import platformlog
-from apricotlanding import records
-from apricotlanding import wire
+from apricotlanding import bundle, ids, platformlog, records, wire
 from apricotlandingd.configuration import logfollower
-from apricotlandingd.ownership import claimtable
-from apricotlandingd.ownership import leases
-from apricotlandingd.ownership import shardview
+from apricotlandingd.ownership import claimtable, leases, shardview
 from apricotstandins import callers
 
 SHARD = ids.Shard('claims/0')
@@ -74,7 +68,7 @@
         self.view = shardview.ShardView()
         self.follower.add_observer(self.view)
         self.book = leases.PromiseBook()
-        self.right: leases.Right | None = None
+        self.right: leases.Lease | None = None
         self.table: claimtable.ClaimTable | None = None
         self.is_serving = False
         self.ended_at = 0.0
@@ -165,13 +159,13 @@
             if was_serving and entry.owner != node.incarnation:
                 self.send(node, records.Release(SHARD, epoch))
         if is_mine:
-            node.right = leases.Right(
+            node.right = leases.Lease(
                 entry.epoch, entry.lease_s, entry.outage_limit_s
             )
             if entry.successor is not None:
                 node.right.require(entry.successor, self.now)
 
-    def _begin(self, node: Node, right: leases.Right) -> None:
+    def _begin(self, node: Node, right: leases.Lease) -> None:
         node.is_serving = True
         line = None
         if right.epoch > 1:
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -12,14 +12,10 @@
 
 import testtools
 
-from apricotlanding import ids
-from apricotlanding import records
-from apricotlanding import wire
-from apricotlandingd.configuration import logfollower
-from apricotlandingd.ownership import claimtable
-from apricotlandingd.ownership import leases
-from apricotlandingd.ownership import shardview
 import ownershipmodel as model
+from apricotlanding import ids, records, wire
+from apricotlandingd.configuration import logfollower
+from apricotlandingd.ownership import claimtable, leases, shardview
 
 Story = collections.abc.Callable[[model.World], None]
 Removal = collections.abc.Callable[[testtools.TestCase], None]
@@ -81,13 +77,13 @@
 
 
 def ignore_outage_limit(test: testtools.TestCase) -> None:
-    find_end = leases.Right.find_end
+    find_end = leases.Lease.find_end
 
-    def find_unlimited(right: leases.Right) -> float:
+    def find_unlimited(right: leases.Lease) -> float:
         right.outage_limit_s = float('inf')
         return find_end(right)
 
-    test.patch(leases.Right, 'find_end', find_unlimited)
+    test.patch(leases.Lease, 'find_end', find_unlimited)
 
 
 def wait_short_as_outsider(test: testtools.TestCase) -> None:
@@ -101,12 +97,12 @@
 
 
 def need_only_new_successor(test: testtools.TestCase) -> None:
-    def require(right: leases.Right, giver: ty.Any, now: float) -> None:
+    def require(right: leases.Lease, giver: ty.Any, now: float) -> None:
         # As if the change of successor had been decided by sending it.
         if not right.required:
             right.required.add(giver)
 
-    test.patch(leases.Right, 'require', require)
+    test.patch(leases.Lease, 'require', require)
 
 
 def accept_late_records(test: testtools.TestCase) -> None:
