--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -39,7 +39,7 @@
 @dataclasses.dataclass(slots=True)
 class _Desk:
     # What this daemon keeps for one shard that it owns.
-    right: leases.Lease
+    lease: leases.Lease
     table: claimtable.ClaimTable
     reported: set[ids.Host]
     changed: anyio.Event
@@ -79,13 +79,13 @@
     # The role.
 
     def begin(
-        self, shard: ids.Shard, right: leases.Lease, start: owners.Start
+        self, shard: ids.Shard, lease: leases.Lease, start: owners.Start
     ) -> None:
         """Open a table for a shard."""
         config = self.find_bundle()
         assert config is not None
         limits = config.limits
-        before = ids.Epoch(right.epoch - 1)
+        before = ids.Epoch(lease.epoch - 1)
         handed = self._handed.pop((shard, before), None)
         is_whole = handed is not None and handed[-1].is_last
         wall = clocks.read_wall()
@@ -93,10 +93,10 @@
         line: float | None = ended_at + LINE_SKEWS * limits.clock_skew_s
         if start.is_first or is_whole:
             line = None
-        table = claimtable.ClaimTable(right.epoch, limits, line)
+        table = claimtable.ClaimTable(lease.epoch, limits, line)
         for report in handed or []:
             table.add_report(report, wall)
-        self._desks[shard] = _Desk(right, table, set(), anyio.Event())
+        self._desks[shard] = _Desk(lease, table, set(), anyio.Event())
         if not table.has_reports:
             assert self._group is not None
             self._group.start_soon(self._end_report_wait, shard, table)
@@ -125,7 +125,7 @@
         """Grant a key, or say why not."""
         while True:
             desk = self._desks.get(request.shard)
-            if desk is None or not desk.right.is_valid(
+            if desk is None or not desk.lease.is_valid(
                 clocks.read_monotonic()
             ):
                 return _NOT_OWNER
@@ -138,7 +138,7 @@
                 break
             with anyio.move_on_after(reply.seconds):
                 await desk.changed.wait()
-        if not desk.right.is_valid(clocks.read_monotonic()):
+        if not desk.lease.is_valid(clocks.read_monotonic()):
             # The process was stopped between the first check and here. The
             # claim stays in a table that nobody will serve from again.
             return _NOT_OWNER
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -89,7 +89,7 @@
     """What the owner of a kind of shard does."""
 
     def begin(
-        self, shard: ids.Shard, right: leases.Lease, start: Start
+        self, shard: ids.Shard, lease: leases.Lease, start: Start
     ) -> None:
         """Serve from now on, while the right is valid."""
 
@@ -105,7 +105,7 @@
 @dataclasses.dataclass(slots=True)
 class _Held:
     # A shard that this daemon owns.
-    right: leases.Lease
+    lease: leases.Lease
     is_serving: bool = False
     # A task appends a record for it now.
     is_busy: bool = False
@@ -230,20 +230,20 @@
         if entry is None:
             return True
         return (
-            entry.epoch != held.right.epoch or entry.owner != self.incarnation
+            entry.epoch != held.lease.epoch or entry.owner != self.incarnation
         )
 
     def _let_go(self, shard: ids.Shard, held: _Held) -> None:
         # Somebody took the shard over. We stop first and say so second:
         # the taker serves as soon as it reads the release.
-        held.right.is_given_up = True
+        held.lease.is_given_up = True
         del self._held[shard]
         if not held.is_serving:
             return
-        eliot.log_message('shard:lost', shard=shard, epoch=held.right.epoch)
+        eliot.log_message('shard:lost', shard=shard, epoch=held.lease.epoch)
         self._end_role(shard)
         assert self._group is not None
-        release = records.Release(shard, held.right.epoch)
+        release = records.Release(shard, held.lease.epoch)
         self._group.start_soon(
             supervisor.run_guarded, self._follower.append, release
         )
@@ -363,10 +363,10 @@
     ) -> None:
         if held is None:
             held = self._begin_holding(shard, entry, now)
-        if held.is_busy or held.right.is_given_up:
+        if held.is_busy or held.lease.is_given_up:
             return
         if self._follower.confirmed_at is not None:
-            held.right.note_confirmed(self._follower.confirmed_at)
+            held.lease.note_confirmed(self._follower.confirmed_at)
         if not held.is_serving:
             at = leases.find_serve_time(
                 shard, entry, self.incarnation, self.book
@@ -381,10 +381,10 @@
     def _begin_holding(
         self, shard: ids.Shard, entry: shardview.ShardEntry, now: float
     ) -> _Held:
-        right = leases.Lease(entry.epoch, entry.lease_s, entry.outage_limit_s)
+        lease = leases.Lease(entry.epoch, entry.lease_s, entry.outage_limit_s)
         if entry.successor is not None:
-            right.require(entry.successor, now)
-        held = _Held(right)
+            lease.require(entry.successor, now)
+        held = _Held(lease)
         self._held[shard] = held
         self._renew_now.set()
         return held
@@ -417,18 +417,18 @@
             held.is_busy = False
 
     async def _begin_serving(self, shard: ids.Shard, held: _Held) -> None:
-        epoch = held.right.epoch
+        epoch = held.lease.epoch
         await self._follower.append(records.Serving(shard, epoch))
         entry = self.view.get(shard)
         if entry is None or self._has_lost(held, entry):
             return
-        if not entry.is_serving or held.right.is_given_up:
+        if not entry.is_serving or held.lease.is_given_up:
             return
         self.book.forget_before(shard, epoch)
         start = Start(epoch == 1 and not self.view.is_trimmed, held.ended_at)
         held.is_serving = True
         eliot.log_message('shard:serving', shard=shard, epoch=epoch)
-        self.roles[parse_shard(shard)[0]].begin(shard, held.right, start)
+        self.roles[parse_shard(shard)[0]].begin(shard, held.lease, start)
 
     def _is_successor_lost(
         self,
@@ -443,8 +443,8 @@
             return False
         if entry.successor is None:
             return self._choose_successor(shard, set()) is not None
-        end = held.right.find_promise_end(entry.successor)
-        return now > end - 0.5 * held.right.lease_s
+        end = held.lease.find_promise_end(entry.successor)
+        return now > end - 0.5 * held.lease.lease_s
 
     async def _name_successor(self, shard: ids.Shard, held: _Held) -> None:
         entry = self.view.get(shard)
@@ -455,9 +455,9 @@
         if chosen == entry.successor:
             return
         if chosen is not None:
-            held.right.require(chosen, clocks.read_monotonic())
+            held.lease.require(chosen, clocks.read_monotonic())
             self._renew_now.set()
-        epoch = held.right.epoch
+        epoch = held.lease.epoch
         eliot.log_message(
             'shard:successor', shard=shard, epoch=epoch, successor=chosen
         )
@@ -467,7 +467,7 @@
         entry = self.view.get(shard)
         if entry is None or self._has_lost(held, entry):
             return
-        held.right.require_only(entry.successor)
+        held.lease.require_only(entry.successor)
 
     async def _hand_over(self, shard: ids.Shard) -> None:
         held = self._held.get(shard)
@@ -476,11 +476,11 @@
             return
         # From here on nothing is granted: what the successor is given must
         # be all that there is.
-        held.right.is_given_up = True
+        held.lease.is_given_up = True
         if held.is_serving:
             await self._give_to_successor(shard, entry)
             self._end_role(shard)
-        await self._follower.append(records.Release(shard, held.right.epoch))
+        await self._follower.append(records.Release(shard, held.lease.epoch))
         self._held.pop(shard, None)
 
     async def _give_to_successor(
@@ -513,11 +513,11 @@
             ] = {}
             shortest_lease_s = 1.0
             for shard, held in self._held.items():
-                if held.right.is_given_up:
+                if held.lease.is_given_up:
                     continue
-                shortest_lease_s = min(shortest_lease_s, held.right.lease_s)
-                for giver in held.right.required:
-                    place = (shard, held.right.epoch)
+                shortest_lease_s = min(shortest_lease_s, held.lease.lease_s)
+                for giver in held.lease.required:
+                    place = (shard, held.lease.epoch)
                     asked.setdefault(giver, []).append(place)
             for giver, shards in asked.items():
                 if giver in self._renewing:
@@ -540,7 +540,7 @@
             if connection is None:
                 return
             shortest_lease_s = min(
-                held.right.lease_s
+                held.lease.lease_s
                 for shard, _ in shards
                 if (held := self._held.get(shard)) is not None
             )
@@ -552,9 +552,9 @@
                 return
             for shard, epoch in reply.shards:
                 held = self._held.get(shard)
-                if held is None or held.right.epoch != epoch:
+                if held is None or held.lease.epoch != epoch:
                     continue
-                held.right.note_promise(
+                held.lease.note_promise(
                     giver, sent_at, shortest_lease_s, reply.confirmed_age_s
                 )
         except (peerlink.PeerLost, ValueError):
--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -38,7 +38,7 @@
 
 
 async def reconcile_runner(
-    runner: ConfiguredRunner, right: leases.Lease, client: webclient.WebClient
+    runner: ConfiguredRunner, lease: leases.Lease, client: webclient.WebClient
 ) -> None:
     """Order a runner to its declared state, until cancelled."""
     applied: DeclaredState | None = None
@@ -51,7 +51,7 @@
             applied_at + ORDER_REPEAT_INTERVAL_S
         )
         if declared != (None, None) and (declared != applied or is_due):
-            if right.is_valid(now) and await _send_order(model, right, client):
+            if lease.is_valid(now) and await _send_order(model, lease, client):
                 applied = declared
                 applied_at = now
         await anyio.sleep(ORDER_CHECK_INTERVAL_S)
@@ -59,10 +59,10 @@
 
 async def _send_order(
     model: bundle.RunnerModel,
-    right: leases.Lease,
+    lease: leases.Lease,
     client: webclient.WebClient,
 ) -> bool:
-    order = {'epoch': right.epoch, 'load': model.load, 'role': model.role}
+    order = {'epoch': lease.epoch, 'load': model.load, 'role': model.role}
     try:
         status, _ = await client.call_json(
             'POST', '/v1/orders', order, read_timeout=_ORDER_TIMEOUT_S
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -50,9 +50,9 @@
 class _ServedPool:
     """One pool that this daemon schedules."""
 
-    def __init__(self, pool: bundle.PoolModel, right: leases.Lease) -> None:
+    def __init__(self, pool: bundle.PoolModel, lease: leases.Lease) -> None:
         self.queue = poolqueue.PoolQueue(pool)
-        self.right = right
+        self.lease = lease
         # Incarnations that have registered all that they have.
         self.registered: set[ids.Incarnation] = set()
         self.changed = anyio.Event()
@@ -88,7 +88,7 @@
     # The role.
 
     def begin(
-        self, shard: ids.Shard, right: leases.Lease, start: owners.Start
+        self, shard: ids.Shard, lease: leases.Lease, start: owners.Start
     ) -> None:
         """Open a queue for a pool."""
         config = self.find_bundle()
@@ -97,7 +97,7 @@
         model = config.pools.get(name)
         if model is None:
             return
-        served = _ServedPool(model, right)
+        served = _ServedPool(model, lease)
         self._served[name] = served
         assert self._group is not None
         self._group.start_soon(self._run_pool, name, served)
@@ -120,7 +120,7 @@
     ) -> wire.Ack | wire.Failed:
         """Add all requests of a daemon."""
         served = self._served.get(message.pool)
-        if served is None or served.right.epoch != message.epoch:
+        if served is None or served.lease.epoch != message.epoch:
             # The daemon may have read in the log that we serve before we
             # have: it asks again.
             return wire.Failed('', 'not the owner in this epoch')
@@ -134,7 +134,7 @@
     ) -> None:
         """Add requests of a daemon."""
         served = self._served.get(message.pool)
-        if served is None or served.right.epoch != message.epoch:
+        if served is None or served.lease.epoch != message.epoch:
             return
         now = clocks.read_monotonic()
         for entry in message.entries:
@@ -217,7 +217,7 @@
         for expired in served.queue.expire_grants(now):
             self._withdraw(name, served, expired)
         may_shed = self._may_shed(served, now)
-        epoch = served.right.epoch
+        epoch = served.lease.epoch
         for decision in served.queue.decide(now, may_shed):
             ticket = decision.waiting.entry.ticket
             receiver = decision.waiting.sender
@@ -241,7 +241,7 @@
             self.deliver(receiver, message)
 
     def _may_shed(self, served: _ServedPool, now: float) -> bool:
-        if not served.right.is_valid(now):
+        if not served.lease.is_valid(now):
             return False
         hosts = {ids.parse_host(item) for item in served.registered}
         return self._peers.list_live() <= hosts
@@ -269,7 +269,7 @@
             decision.waiting.sender,
             wire.Withdrawn(
                 name,
-                served.right.epoch,
+                served.lease.epoch,
                 decision.waiting.entry.ticket,
                 decision.runner,
             ),
@@ -312,7 +312,7 @@
                     group.start_soon(
                         engineorders.reconcile_runner,
                         runner,
-                        served.right,
+                        served.lease,
                         client,
                     )
             finally:
@@ -363,7 +363,7 @@
                 started.waiting.sender,
                 wire.Withdrawn(
                     ids.Pool(served.queue.pool.name),
-                    served.right.epoch,
+                    served.lease.epoch,
                     started.waiting.entry.ticket,
                     runner,
                     is_lost=True,
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -68,7 +68,7 @@
         self.view = shardview.ShardView()
         self.follower.add_observer(self.view)
         self.book = leases.PromiseBook()
-        self.right: leases.Lease | None = None
+        self.lease: leases.Lease | None = None
         self.table: claimtable.ClaimTable | None = None
         self.is_serving = False
         self.ended_at = 0.0
@@ -135,49 +135,49 @@
         for doubt, number in list(node.doubts.items()):
             if number <= sequence:
                 del node.doubts[doubt]
-        if 'name' not in node.doubts and node.right is not None:
+        if 'name' not in node.doubts and node.lease is not None:
             entry = node.view.get(SHARD)
             if entry is not None and entry.owner == node.incarnation:
-                node.right.require_only(entry.successor)
+                node.lease.require_only(entry.successor)
 
     def _look(self, node: Node) -> None:
         entry = node.view.get(SHARD)
-        assert entry is not None or not self.log or node.right is None
+        assert entry is not None or not self.log or node.lease is None
         if entry is None:
             return
         is_mine = entry.owner == node.incarnation and not entry.is_released
-        if node.right is not None:
-            if is_mine and entry.epoch == node.right.epoch:
+        if node.lease is not None:
+            if is_mine and entry.epoch == node.lease.epoch:
                 if entry.is_serving and not node.is_serving:
-                    self._begin(node, node.right)
+                    self._begin(node, node.lease)
                 return
             was_serving = node.is_serving
-            epoch = node.right.epoch
-            node.right = None
+            epoch = node.lease.epoch
+            node.lease = None
             node.table = None
             node.is_serving = False
             if was_serving and entry.owner != node.incarnation:
                 self.send(node, records.Release(SHARD, epoch))
         if is_mine:
-            node.right = leases.Lease(
+            node.lease = leases.Lease(
                 entry.epoch, entry.lease_s, entry.outage_limit_s
             )
             if entry.successor is not None:
-                node.right.require(entry.successor, self.now)
+                node.lease.require(entry.successor, self.now)
 
-    def _begin(self, node: Node, right: leases.Lease) -> None:
+    def _begin(self, node: Node, lease: leases.Lease) -> None:
         node.is_serving = True
         line = None
-        if right.epoch > 1:
+        if lease.epoch > 1:
             ended = node.wall(self.now) - (self.now - node.ended_at)
             line = ended + 2 * SKEW
-        node.table = claimtable.ClaimTable(right.epoch, LIMITS, line)
+        node.table = claimtable.ClaimTable(lease.epoch, LIMITS, line)
 
     # What a daemon may do at any time.
 
     def take(self, node: Node, successor: Node | None) -> Append | None:
         entry = node.view.get(SHARD)
-        if 'take' in node.doubts or node.right is not None:
+        if 'take' in node.doubts or node.lease is not None:
             return None
         epoch = ids.Epoch(1 if entry is None else entry.epoch + 1)
         name = None if successor is None else successor.incarnation
@@ -186,29 +186,29 @@
 
     def serve(self, node: Node) -> Append | None:
         entry = node.view.get(SHARD)
-        if node.right is None or entry is None or node.is_serving:
+        if node.lease is None or entry is None or node.is_serving:
             return None
         at = leases.find_serve_time(SHARD, entry, node.incarnation, node.book)
         if self.now < at:
             return None
         node.ended_at = at
-        return self.send(node, records.Serving(SHARD, node.right.epoch))
+        return self.send(node, records.Serving(SHARD, node.lease.epoch))
 
     def name(self, node: Node, successor: Node | None) -> Append | None:
-        if node.right is None or not node.is_serving:
+        if node.lease is None or not node.is_serving:
             return None
         if 'name' in node.doubts:
             return None
         name = None if successor is None else successor.incarnation
         if name is not None:
-            node.right.require(name, self.now)
-        change = records.NameSuccessor(SHARD, node.right.epoch, name)
+            node.lease.require(name, self.now)
+        change = records.NameSuccessor(SHARD, node.lease.epoch, name)
         return self.send(node, change, 'name')
 
     def ask(self, owner: Node, giver: Node) -> Letter | None:
-        if owner.right is None or owner is giver:
+        if owner.lease is None or owner is giver:
             return None
-        place = (SHARD, owner.right.epoch)
+        place = (SHARD, owner.lease.epoch)
         letter = Letter(
             owner, giver, wire.PromiseRequest([place], LEASE), self.now
         )
@@ -228,11 +228,11 @@
             letter.given = wire.Promise(given, age)
             return
         self.letters.remove(letter)
-        right = letter.owner.right
+        lease = letter.owner.lease
         for _, epoch in letter.given.shards:
-            if right is None or right.epoch != epoch:
+            if lease is None or lease.epoch != epoch:
                 continue
-            right.note_promise(
+            lease.note_promise(
                 giver.incarnation,
                 letter.sent_at,
                 LEASE,
@@ -294,18 +294,18 @@
     def restart(self, node: Node) -> Node:
         """Kill a daemon and start another on its host."""
         node.is_dead = True
-        node.right = None
+        node.lease = None
         node.table = None
         fresh = Node(node.host, self._count_run(), node.wall_offset)
         self.nodes[self.nodes.index(node)] = fresh
         return fresh
 
     def has_right(self, node: Node) -> bool:
-        if node.right is None or not node.is_serving:
+        if node.lease is None or not node.is_serving:
             return False
         if node.follower.confirmed_at is not None:
-            node.right.note_confirmed(node.follower.confirmed_at)
-        return node.right.is_valid(self.now)
+            node.lease.note_confirmed(node.follower.confirmed_at)
+        return node.lease.is_valid(self.now)
 
     def check(self) -> None:
         """Raise Violation if a promise is broken."""
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -79,9 +79,9 @@
 def ignore_outage_limit(test: testtools.TestCase) -> None:
     find_end = leases.Lease.find_end
 
-    def find_unlimited(right: leases.Lease) -> float:
-        right.outage_limit_s = float('inf')
-        return find_end(right)
+    def find_unlimited(lease: leases.Lease) -> float:
+        lease.outage_limit_s = float('inf')
+        return find_end(lease)
 
     test.patch(leases.Lease, 'find_end', find_unlimited)
 
@@ -97,10 +97,10 @@
 
 
 def need_only_new_successor(test: testtools.TestCase) -> None:
-    def require(right: leases.Lease, giver: ty.Any, now: float) -> None:
+    def require(lease: leases.Lease, giver: ty.Any, now: float) -> None:
         # As if the change of successor had been decided by sending it.
-        if not right.required:
-            right.required.add(giver)
+        if not lease.required:
+            lease.required.add(giver)
 
     test.patch(leases.Lease, 'require', require)
 
