--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -55,38 +55,38 @@
     # Set when the owner lets go, for good.
     is_given_up: bool = False
 
-    def require(self, giver: ids.Incarnation, now: float) -> None:
+    def require(self, promiser: ids.Incarnation, now: float) -> None:
         """Need this one's promises as well from now on."""
-        self.required.add(giver)
-        self.asked_since.setdefault(giver, now)
+        self.required.add(promiser)
+        self.asked_since.setdefault(promiser, now)
 
-    def require_only(self, giver: ids.Incarnation | None) -> None:
+    def require_only(self, promiser: ids.Incarnation | None) -> None:
         """Need nobody else's promises any more."""
-        self.required &= {giver}
+        self.required &= {promiser}
         for other in list(self.asked_since):
-            if other != giver:
+            if other != promiser:
                 del self.asked_since[other]
 
-    def find_promise_end(self, giver: ids.Incarnation) -> float:
+    def find_promise_end(self, promiser: ids.Incarnation) -> float:
         """Return when this one's promise ends.
 
         One that has not promised yet counts as if it had when it was first
         asked: it gets that long before another is named in its place.
         """
-        since = self.asked_since.get(giver, float('-inf'))
-        end = self.promised.get(giver, float('-inf'))
+        since = self.asked_since.get(promiser, float('-inf'))
+        end = self.promised.get(promiser, float('-inf'))
         return max(end, since + self.lease_s)
 
     def note_promise(
         self,
-        giver: ids.Incarnation,
+        promiser: ids.Incarnation,
         sent_at: float,
         lease_s: float,
         confirmed_age_s: float | None,
     ) -> None:
         """Count a promise from the time when it was asked for."""
         end = sent_at + lease_s
-        self.promised[giver] = max(end, self.promised.get(giver, end))
+        self.promised[promiser] = max(end, self.promised.get(promiser, end))
         if confirmed_age_s is not None:
             self.note_confirmed(sent_at - confirmed_age_s)
 
@@ -99,8 +99,8 @@
         if self.is_given_up:
             return float('-inf')
         end = self.confirmed_at + self.outage_limit_s
-        for giver in self.required:
-            end = min(end, self.promised.get(giver, float('-inf')))
+        for promiser in self.required:
+            end = min(end, self.promised.get(promiser, float('-inf')))
         return end
 
     def is_valid(self, now: float) -> bool:
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -516,15 +516,15 @@
                 if held.lease.is_given_up:
                     continue
                 shortest_lease_s = min(shortest_lease_s, held.lease.lease_s)
-                for giver in held.lease.required:
+                for promiser in held.lease.required:
                     place = (shard, held.lease.epoch)
-                    asked.setdefault(giver, []).append(place)
-            for giver, shards in asked.items():
-                if giver in self._renewing:
+                    asked.setdefault(promiser, []).append(place)
+            for promiser, shards in asked.items():
+                if promiser in self._renewing:
                     continue
-                self._renewing.add(giver)
+                self._renewing.add(promiser)
                 self._group.start_soon(
-                    supervisor.run_guarded, self._renew, giver, shards
+                    supervisor.run_guarded, self._renew, promiser, shards
                 )
             self._renew_now = anyio.Event()
             with anyio.move_on_after(shortest_lease_s / PROMISES_A_LEASE):
@@ -532,11 +532,11 @@
 
     async def _renew(
         self,
-        giver: ids.Incarnation,
+        promiser: ids.Incarnation,
         shards: list[tuple[ids.Shard, ids.Epoch]],
     ) -> None:
         try:
-            connection = self._peers.find(giver)
+            connection = self._peers.find(promiser)
             if connection is None:
                 return
             shortest_lease_s = min(
@@ -555,12 +555,12 @@
                 if held is None or held.lease.epoch != epoch:
                     continue
                 held.lease.note_promise(
-                    giver, sent_at, shortest_lease_s, reply.confirmed_age_s
+                    promiser, sent_at, shortest_lease_s, reply.confirmed_age_s
                 )
         except (peerlink.PeerLost, ValueError):
             return
         finally:
-            self._renewing.discard(giver)
+            self._renewing.discard(promiser)
 
     async def _confirm_forever(self) -> None:
         # Owners and successors prove now and then that they have read the
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -42,7 +42,7 @@
     """A promise on its way: asked for, or given as well."""
 
     owner: 'Node'
-    giver: 'Node'
+    promiser: 'Node'
     request: wire.PromiseRequest
     sent_at: float
     given: wire.Promise | None = None
@@ -205,25 +205,25 @@
         change = records.NameSuccessor(SHARD, node.lease.epoch, name)
         return self.send(node, change, 'name')
 
-    def ask(self, owner: Node, giver: Node) -> Letter | None:
-        if owner.lease is None or owner is giver:
+    def ask(self, owner: Node, promiser: Node) -> Letter | None:
+        if owner.lease is None or owner is promiser:
             return None
         place = (SHARD, owner.lease.epoch)
         letter = Letter(
-            owner, giver, wire.PromiseRequest([place], LEASE), self.now
+            owner, promiser, wire.PromiseRequest([place], LEASE), self.now
         )
         self.letters.append(letter)
         return letter
 
     def carry(self, letter: Letter) -> None:
         """Bring a letter to its next reader."""
-        giver = letter.giver
+        promiser = letter.promiser
         if letter.given is None:
-            if giver.is_dead:
+            if promiser.is_dead:
                 self.letters.remove(letter)
                 return
-            given = giver.book.give(letter.request, giver.view, self.now)
-            confirmed = giver.follower.confirmed_at
+            given = promiser.book.give(letter.request, promiser.view, self.now)
+            confirmed = promiser.follower.confirmed_at
             age = None if confirmed is None else self.now - confirmed
             letter.given = wire.Promise(given, age)
             return
@@ -233,7 +233,7 @@
             if lease is None or lease.epoch != epoch:
                 continue
             lease.note_promise(
-                giver.incarnation,
+                promiser.incarnation,
                 letter.sent_at,
                 LEASE,
                 letter.given.confirmed_age_s,
@@ -345,9 +345,9 @@
         world.read(node)
 
 
-def exchange(world: World, owner: Node, giver: Node) -> None:
+def exchange(world: World, owner: Node, promiser: Node) -> None:
     """Ask for a promise and get it, all at once."""
-    letter = world.ask(owner, giver)
+    letter = world.ask(owner, promiser)
     if letter is not None:
         world.carry(letter)
         if letter in world.letters:
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -39,13 +39,13 @@
 
 
 def renew_for(
-    world: model.World, owner: model.Node, giver: model.Node, seconds: float
+    world: model.World, owner: model.Node, promiser: model.Node, seconds: float
 ) -> None:
     """Let a pair go on while the log is out for both."""
     end = world.now + seconds
     while world.now < end:
         world.now += 0.2
-        model.exchange(world, owner, giver)
+        model.exchange(world, owner, promiser)
         world.check()
 
 
@@ -97,10 +97,10 @@
 
 
 def need_only_new_successor(test: testtools.TestCase) -> None:
-    def require(lease: leases.Lease, giver: ty.Any, now: float) -> None:
+    def require(lease: leases.Lease, promiser: ty.Any, now: float) -> None:
         # As if the change of successor had been decided by sending it.
         if not lease.required:
-            lease.required.add(giver)
+            lease.required.add(promiser)
 
     test.patch(leases.Lease, 'require', require)
 
