--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -45,7 +45,7 @@
     # to the log, both the old and the new one: the record may have landed
     # although its reply was lost, and then the new one could take over
     # while the old one goes on promising.
-    required: set[ids.Incarnation] = dataclasses.field(default_factory=set)
+    promisers: set[ids.Incarnation] = dataclasses.field(default_factory=set)
     # Since when each was asked, for patience with those that are new.
     asked_since: dict[ids.Incarnation, float] = dataclasses.field(
         default_factory=dict
@@ -57,12 +57,12 @@
 
     def require(self, promiser: ids.Incarnation, now: float) -> None:
         """Need this one's promises as well from now on."""
-        self.required.add(promiser)
+        self.promisers.add(promiser)
         self.asked_since.setdefault(promiser, now)
 
     def require_only(self, promiser: ids.Incarnation | None) -> None:
         """Need nobody else's promises any more."""
-        self.required &= {promiser}
+        self.promisers &= {promiser}
         for other in list(self.asked_since):
             if other != promiser:
                 del self.asked_since[other]
@@ -99,7 +99,7 @@
         if self.is_given_up:
             return float('-inf')
         end = self.confirmed_at + self.outage_limit_s
-        for promiser in self.required:
+        for promiser in self.promisers:
             end = min(end, self.promised.get(promiser, float('-inf')))
         return end
 
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -516,7 +516,7 @@
                 if held.lease.is_given_up:
                     continue
                 shortest_lease_s = min(shortest_lease_s, held.lease.lease_s)
-                for promiser in held.lease.required:
+                for promiser in held.lease.promisers:
                     place = (shard, held.lease.epoch)
                     asked.setdefault(promiser, []).append(place)
             for promiser, shards in asked.items():
