--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -38,7 +38,7 @@
     lease_s: float
     outage_limit_s: float
     # Ends of the promises that were given, by who gave them.
-    promised: dict[ids.Incarnation, float] = dataclasses.field(
+    promise_ends: dict[ids.Incarnation, float] = dataclasses.field(
         default_factory=dict
     )
     # Whose promises are needed. While a change of successor is on its way
@@ -74,7 +74,7 @@
         asked: it gets that long before another is named in its place.
         """
         since = self.asked_since.get(promiser, float('-inf'))
-        end = self.promised.get(promiser, float('-inf'))
+        end = self.promise_ends.get(promiser, float('-inf'))
         return max(end, since + self.lease_s)
 
     def note_promise(
@@ -86,7 +86,9 @@
     ) -> None:
         """Count a promise from the time when it was asked for."""
         end = sent_at + lease_s
-        self.promised[promiser] = max(end, self.promised.get(promiser, end))
+        self.promise_ends[promiser] = max(
+            end, self.promise_ends.get(promiser, end)
+        )
         if confirmed_age_s is not None:
             self.note_confirmed(sent_at - confirmed_age_s)
 
@@ -100,7 +102,7 @@
             return float('-inf')
         end = self.confirmed_at + self.outage_limit_s
         for promiser in self.promisers:
-            end = min(end, self.promised.get(promiser, float('-inf')))
+            end = min(end, self.promise_ends.get(promiser, float('-inf')))
         return end
 
     def is_valid(self, now: float) -> bool:
