--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -47,7 +47,7 @@
     # while the old one goes on promising.
     promisers: set[ids.Incarnation] = dataclasses.field(default_factory=set)
     # Since when each was asked, for patience with those that are new.
-    asked_since: dict[ids.Incarnation, float] = dataclasses.field(
+    first_requested_at: dict[ids.Incarnation, float] = dataclasses.field(
         default_factory=dict
     )
     # Latest proof, by any of the pair, of having read the log to its end.
@@ -58,14 +58,14 @@
     def require(self, promiser: ids.Incarnation, now: float) -> None:
         """Need this one's promises as well from now on."""
         self.promisers.add(promiser)
-        self.asked_since.setdefault(promiser, now)
+        self.first_requested_at.setdefault(promiser, now)
 
     def require_only(self, promiser: ids.Incarnation | None) -> None:
         """Need nobody else's promises any more."""
         self.promisers &= {promiser}
-        for other in list(self.asked_since):
+        for other in list(self.first_requested_at):
             if other != promiser:
-                del self.asked_since[other]
+                del self.first_requested_at[other]
 
     def find_promise_end(self, promiser: ids.Incarnation) -> float:
         """Return when this one's promise ends.
@@ -73,7 +73,7 @@
         One that has not promised yet counts as if it had when it was first
         asked: it gets that long before another is named in its place.
         """
-        since = self.asked_since.get(promiser, float('-inf'))
+        since = self.first_requested_at.get(promiser, float('-inf'))
         end = self.promise_ends.get(promiser, float('-inf'))
         return max(end, since + self.lease_s)
 
