--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -122,7 +122,7 @@
         """Start without a promise."""
         self._ends: dict[tuple[ids.Shard, ids.Epoch], float] = {}
         # When each owner last asked.
-        self.asked_at: dict[tuple[ids.Shard, ids.Epoch], float] = {}
+        self.last_requested_at: dict[tuple[ids.Shard, ids.Epoch], float] = {}
 
     def give(
         self,
@@ -142,7 +142,7 @@
             place = (shard, epoch)
             end = now + request.lease_s * DRIFT
             self._ends[place] = max(end, self._ends.get(place, end))
-            self.asked_at[place] = now
+            self.last_requested_at[place] = now
             given.append(place)
         return given
 
@@ -155,7 +155,7 @@
         for place in list(self._ends):
             if place[0] == shard and place[1] < epoch:
                 del self._ends[place]
-                self.asked_at.pop(place, None)
+                self.last_requested_at.pop(place, None)
 
 
 def find_serve_time(
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -280,13 +280,15 @@
     ) -> bool:
         config = self.find_bundle()
         assert config is not None
-        asked_at = max(
-            self.book.asked_at.get((shard, entry.epoch), float('-inf')),
+        last_requested_at = max(
+            self.book.last_requested_at.get(
+                (shard, entry.epoch), float('-inf')
+            ),
             # One that was named just now has not been asked yet.
             entry.successor_since,
             self._awake_since,
         )
-        if now < asked_at + config.ownership.takeover_after_s:
+        if now < last_requested_at + config.ownership.takeover_after_s:
             return False
         return now > self.book.find_end(shard, entry.epoch)
 
