--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -53,7 +53,7 @@
     # Latest proof, by any of the pair, of having read the log to its end.
     confirmed_at: float = float('-inf')
     # Set when the owner lets go, for good.
-    is_given_up: bool = False
+    is_relinquished: bool = False
 
     def require(self, promiser: ids.Incarnation, now: float) -> None:
         """Need this one's promises as well from now on."""
@@ -98,7 +98,7 @@
 
     def find_end(self) -> float:
         """Return when the right ends if nothing more is heard."""
-        if self.is_given_up:
+        if self.is_relinquished:
             return float('-inf')
         end = self.confirmed_at + self.outage_limit_s
         for promiser in self.promisers:
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -236,7 +236,7 @@
     def _let_go(self, shard: ids.Shard, held: _Held) -> None:
         # Somebody took the shard over. We stop first and say so second:
         # the taker serves as soon as it reads the release.
-        held.lease.is_given_up = True
+        held.lease.is_relinquished = True
         del self._held[shard]
         if not held.is_serving:
             return
@@ -365,7 +365,7 @@
     ) -> None:
         if held is None:
             held = self._begin_holding(shard, entry, now)
-        if held.is_busy or held.lease.is_given_up:
+        if held.is_busy or held.lease.is_relinquished:
             return
         if self._follower.confirmed_at is not None:
             held.lease.note_confirmed(self._follower.confirmed_at)
@@ -424,7 +424,7 @@
         entry = self.view.get(shard)
         if entry is None or self._has_lost(held, entry):
             return
-        if not entry.is_serving or held.lease.is_given_up:
+        if not entry.is_serving or held.lease.is_relinquished:
             return
         self.book.forget_before(shard, epoch)
         start = Start(epoch == 1 and not self.view.is_trimmed, held.ended_at)
@@ -478,7 +478,7 @@
             return
         # From here on nothing is granted: what the successor is given must
         # be all that there is.
-        held.lease.is_given_up = True
+        held.lease.is_relinquished = True
         if held.is_serving:
             await self._give_to_successor(shard, entry)
             self._end_role(shard)
@@ -515,7 +515,7 @@
             ] = {}
             shortest_lease_s = 1.0
             for shard, held in self._held.items():
-                if held.lease.is_given_up:
+                if held.lease.is_relinquished:
                     continue
                 shortest_lease_s = min(shortest_lease_s, held.lease.lease_s)
                 for promiser in held.lease.promisers:
