--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -55,7 +55,7 @@
     # Set when the owner lets go, for good.
     is_relinquished: bool = False
 
-    def require(self, promiser: ids.Incarnation, now: float) -> None:
+    def add_promiser(self, promiser: ids.Incarnation, now: float) -> None:
         """Need this one's promises as well from now on."""
         self.promisers.add(promiser)
         self.first_requested_at.setdefault(promiser, now)
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -385,7 +385,7 @@
     ) -> _Held:
         lease = leases.Lease(entry.epoch, entry.lease_s, entry.outage_limit_s)
         if entry.successor is not None:
-            lease.require(entry.successor, now)
+            lease.add_promiser(entry.successor, now)
         held = _Held(lease)
         self._held[shard] = held
         self._renew_now.set()
@@ -457,7 +457,7 @@
         if chosen == entry.successor:
             return
         if chosen is not None:
-            held.lease.require(chosen, clocks.read_monotonic())
+            held.lease.add_promiser(chosen, clocks.read_monotonic())
             self._renew_now.set()
         epoch = held.lease.epoch
         eliot.log_message(
