--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -60,7 +60,7 @@
         self.promisers.add(promiser)
         self.first_requested_at.setdefault(promiser, now)
 
-    def require_only(self, promiser: ids.Incarnation | None) -> None:
+    def remove_other_promisers(self, promiser: ids.Incarnation | None) -> None:
         """Need nobody else's promises any more."""
         self.promisers &= {promiser}
         for other in list(self.first_requested_at):
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -469,7 +469,7 @@
         entry = self.view.get(shard)
         if entry is None or self._has_lost(held, entry):
             return
-        held.lease.require_only(entry.successor)
+        held.lease.remove_other_promisers(entry.successor)
 
     async def _hand_over(self, shard: ids.Shard) -> None:
         held = self._held.get(shard)
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -138,7 +138,7 @@
         if 'name' not in node.doubts and node.lease is not None:
             entry = node.view.get(SHARD)
             if entry is not None and entry.owner == node.incarnation:
-                node.lease.require_only(entry.successor)
+                node.lease.remove_other_promisers(entry.successor)
 
     def _look(self, node: Node) -> None:
         entry = node.view.get(SHARD)
