--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -77,7 +77,7 @@
         end = self.promise_ends.get(promiser, float('-inf'))
         return max(end, since + self.lease_s)
 
-    def note_promise(
+    def record_promise(
         self,
         promiser: ids.Incarnation,
         sent_at: float,
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -556,7 +556,7 @@
                 held = self._held.get(shard)
                 if held is None or held.lease.epoch != epoch:
                     continue
-                held.lease.note_promise(
+                held.lease.record_promise(
                     promiser, sent_at, shortest_lease_s, reply.confirmed_age_s
                 )
         except (peerlink.PeerLost, ValueError):
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -232,7 +232,7 @@
         for _, epoch in letter.given.shards:
             if lease is None or lease.epoch != epoch:
                 continue
-            lease.note_promise(
+            lease.record_promise(
                 promiser.incarnation,
                 letter.sent_at,
                 LEASE,
