--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -90,9 +90,9 @@
             end, self.promise_ends.get(promiser, end)
         )
         if confirmed_age_s is not None:
-            self.note_confirmed(sent_at - confirmed_age_s)
+            self.record_confirmation(sent_at - confirmed_age_s)
 
-    def note_confirmed(self, at: float) -> None:
+    def record_confirmation(self, at: float) -> None:
         """Count a proof of having read the log to its end."""
         self.confirmed_at = max(self.confirmed_at, at)
 
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -368,7 +368,7 @@
         if held.is_busy or held.lease.is_relinquished:
             return
         if self._follower.confirmed_at is not None:
-            held.lease.note_confirmed(self._follower.confirmed_at)
+            held.lease.record_confirmation(self._follower.confirmed_at)
         if not held.is_serving:
             at = leases.find_serve_time(
                 shard, entry, self.incarnation, self.book
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -304,7 +304,7 @@
         if node.lease is None or not node.is_serving:
             return False
         if node.follower.confirmed_at is not None:
-            node.lease.note_confirmed(node.follower.confirmed_at)
+            node.lease.record_confirmation(node.follower.confirmed_at)
         return node.lease.is_valid(self.now)
 
     def check(self) -> None:
