--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -96,7 +96,7 @@
         """Count a proof of having read the log to its end."""
         self.confirmed_at = max(self.confirmed_at, at)
 
-    def find_end(self) -> float:
+    def find_expiry(self) -> float:
         """Return when the right ends if nothing more is heard."""
         if self.is_relinquished:
             return float('-inf')
@@ -107,7 +107,7 @@
 
     def is_valid(self, now: float) -> bool:
         """Tell whether the owner may grant now."""
-        return now < self.find_end()
+        return now < self.find_expiry()
 
 
 @ty.final
@@ -146,7 +146,7 @@
             given.append(place)
         return given
 
-    def find_end(self, shard: ids.Shard, epoch: ids.Epoch) -> float:
+    def find_expiry(self, shard: ids.Shard, epoch: ids.Epoch) -> float:
         """Return when the last promise ends; -inf if there was none."""
         return self._ends.get((shard, epoch), float('-inf'))
 
@@ -180,7 +180,7 @@
     for item in entry.unsettled:
         past = item.past
         if past.successor == me:
-            end = book.find_end(shard, past.epoch)
+            end = book.find_expiry(shard, past.epoch)
             if end == float('-inf'):
                 # It never had our promise, so its right had ended before
                 # we were named; that was before it was replaced.
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -290,7 +290,7 @@
         )
         if now < last_requested_at + config.ownership.takeover_after_s:
             return False
-        return now > self.book.find_end(shard, entry.epoch)
+        return now > self.book.find_expiry(shard, entry.epoch)
 
     def _is_reachable(self, entry: shardview.ShardEntry) -> bool:
         for incarnation in (entry.owner, entry.successor):
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -77,11 +77,11 @@
 
 
 def ignore_outage_limit(test: testtools.TestCase) -> None:
-    find_end = leases.Lease.find_end
+    find_expiry = leases.Lease.find_expiry
 
     def find_unlimited(lease: leases.Lease) -> float:
         lease.outage_limit_s = float('inf')
-        return find_end(lease)
+        return find_expiry(lease)
 
     test.patch(leases.Lease, 'find_end', find_unlimited)
 
