--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -67,7 +67,7 @@
             if other != promiser:
                 del self.first_requested_at[other]
 
-    def find_promise_end(self, promiser: ids.Incarnation) -> float:
+    def find_promise_expiry(self, promiser: ids.Incarnation) -> float:
         """Return when this one's promise ends.
 
         One that has not promised yet counts as if it had when it was first
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -445,7 +445,7 @@
             return False
         if entry.successor is None:
             return self._choose_successor(shard, set()) is not None
-        end = held.lease.find_promise_end(entry.successor)
+        end = held.lease.find_promise_expiry(entry.successor)
         return now > end - 0.5 * held.lease.lease_s
 
     async def _name_successor(self, shard: ids.Shard, held: _Held) -> None:
