--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -150,7 +150,7 @@
         """Return when the last promise ends; -inf if there was none."""
         return self._ends.get((shard, epoch), float('-inf'))
 
-    def forget_before(self, shard: ids.Shard, epoch: ids.Epoch) -> None:
+    def drop_before(self, shard: ids.Shard, epoch: ids.Epoch) -> None:
         """Drop what was promised to owners of earlier epochs."""
         for place in list(self._ends):
             if place[0] == shard and place[1] < epoch:
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -426,7 +426,7 @@
             return
         if not entry.is_serving or held.lease.is_relinquished:
             return
-        self.book.forget_before(shard, epoch)
+        self.book.drop_before(shard, epoch)
         start = Start(epoch == 1 and not self.view.is_trimmed, held.ended_at)
         held.is_serving = True
         eliot.log_message('shard:serving', shard=shard, epoch=epoch)
