--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -111,7 +111,7 @@
             self.incarnation,
             self.follower,
             self.view,
-            leases.PromiseBook(),
+            leases.PromiseTable(),
             self.peers,
         )
         self.restater = restating.Restater(
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -21,7 +21,7 @@
 from apricotlanding import ids, wire
 from apricotlandingd.ownership import shardview
 
-__all__ = ['PromiseBook', 'Lease', 'find_serve_time']
+__all__ = ['PromiseTable', 'Lease', 'find_serve_time']
 
 # Clocks of two hosts run at rates that differ by less than this.
 DRIFT = 1.01
@@ -111,7 +111,7 @@
 
 
 @ty.final
-class PromiseBook:
+class PromiseTable:
     """What this incarnation promised to owners.
 
     A restarted process is a new incarnation and nobody's successor, so a
@@ -162,7 +162,7 @@
     shard: ids.Shard,
     entry: shardview.ShardEntry,
     me: ids.Incarnation,
-    book: PromiseBook,
+    book: PromiseTable,
 ) -> float:
     """Return by when the right of every earlier owner has ended.
 
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -122,7 +122,7 @@
         incarnation: ids.Incarnation,
         follower: logfollower.LogFollower,
         view: shardview.ShardView,
-        book: leases.PromiseBook,
+        book: leases.PromiseTable,
         others: peers.Peers,
     ) -> None:
         """Prepare; ``run`` does the work."""
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -1,7 +1,7 @@
 """A world of a few daemons, one shard and a log, in which time is a number.
 
 The rules under test are the real ones: ``LogFollower.take_batch``,
-``ShardView``, ``PromiseBook``, ``Lease``, ``find_serve_time`` and
+``ShardView``, ``PromiseTable``, ``Lease``, ``find_serve_time`` and
 ``ClaimTable``. The world only decides what happens when: which appends land,
 late or never; who reads how far; which messages arrive, and when.
 
@@ -67,7 +67,7 @@
         )
         self.view = shardview.ShardView()
         self.follower.add_observer(self.view)
-        self.book = leases.PromiseBook()
+        self.book = leases.PromiseTable()
         self.lease: leases.Lease | None = None
         self.table: claimtable.ClaimTable | None = None
         self.is_serving = False
