--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -162,7 +162,7 @@
     shard: ids.Shard,
     entry: shardview.ShardEntry,
     me: ids.Incarnation,
-    book: PromiseTable,
+    promises: PromiseTable,
 ) -> float:
     """Return by when the right of every earlier owner has ended.
 
@@ -180,7 +180,7 @@
     for item in entry.unsettled:
         past = item.past
         if past.successor == me:
-            end = book.find_expiry(shard, past.epoch)
+            end = promises.find_expiry(shard, past.epoch)
             if end == float('-inf'):
                 # It never had our promise, so its right had ended before
                 # we were named; that was before it was replaced.
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -122,14 +122,14 @@
         incarnation: ids.Incarnation,
         follower: logfollower.LogFollower,
         view: shardview.ShardView,
-        book: leases.PromiseTable,
+        promises: leases.PromiseTable,
         others: peers.Peers,
     ) -> None:
         """Prepare; ``run`` does the work."""
         self.incarnation = incarnation
         self.host = ids.parse_host(incarnation)
         self.view = view
-        self.book = book
+        self.promises = promises
         self.roles: dict[str, Role] = {}
         self.find_bundle: collections.abc.Callable[
             [], bundle.Bundle | None
@@ -185,7 +185,7 @@
     ) -> wire.Promise:
         """Promise not to take over for a lease, where that can be kept."""
         now = clocks.read_monotonic()
-        given = self.book.give(request, self.view, now)
+        given = self.promises.give(request, self.view, now)
         confirmed = self._follower.confirmed_at
         age = None if confirmed is None else now - confirmed
         return wire.Promise(given, age)
@@ -281,7 +281,7 @@
         config = self.find_bundle()
         assert config is not None
         last_requested_at = max(
-            self.book.last_requested_at.get(
+            self.promises.last_requested_at.get(
                 (shard, entry.epoch), float('-inf')
             ),
             # One that was named just now has not been asked yet.
@@ -290,7 +290,7 @@
         )
         if now < last_requested_at + config.ownership.takeover_after_s:
             return False
-        return now > self.book.find_expiry(shard, entry.epoch)
+        return now > self.promises.find_expiry(shard, entry.epoch)
 
     def _is_reachable(self, entry: shardview.ShardEntry) -> bool:
         for incarnation in (entry.owner, entry.successor):
@@ -371,7 +371,7 @@
             held.lease.record_confirmation(self._follower.confirmed_at)
         if not held.is_serving:
             at = leases.find_serve_time(
-                shard, entry, self.incarnation, self.book
+                shard, entry, self.incarnation, self.promises
             )
             held.ended_at = at
             if now >= at:
@@ -426,7 +426,7 @@
             return
         if not entry.is_serving or held.lease.is_relinquished:
             return
-        self.book.drop_before(shard, epoch)
+        self.promises.drop_before(shard, epoch)
         start = Start(epoch == 1 and not self.view.is_trimmed, held.ended_at)
         held.is_serving = True
         eliot.log_message('shard:serving', shard=shard, epoch=epoch)
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -67,7 +67,7 @@
         )
         self.view = shardview.ShardView()
         self.follower.add_observer(self.view)
-        self.book = leases.PromiseTable()
+        self.promises = leases.PromiseTable()
         self.lease: leases.Lease | None = None
         self.table: claimtable.ClaimTable | None = None
         self.is_serving = False
@@ -188,7 +188,9 @@
         entry = node.view.get(SHARD)
         if node.lease is None or entry is None or node.is_serving:
             return None
-        at = leases.find_serve_time(SHARD, entry, node.incarnation, node.book)
+        at = leases.find_serve_time(
+            SHARD, entry, node.incarnation, node.promises
+        )
         if self.now < at:
             return None
         node.ended_at = at
@@ -222,7 +224,9 @@
             if promiser.is_dead:
                 self.letters.remove(letter)
                 return
-            given = promiser.book.give(letter.request, promiser.view, self.now)
+            given = promiser.promises.give(
+                letter.request, promiser.view, self.now
+            )
             confirmed = promiser.follower.confirmed_at
             age = None if confirmed is None else self.now - confirmed
             letter.given = wire.Promise(given, age)
