--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -161,7 +161,7 @@
 def find_serve_time(
     shard: ids.Shard,
     entry: shardview.ShardEntry,
-    me: ids.Incarnation,
+    taker: ids.Incarnation,
     promises: PromiseTable,
 ) -> float:
     """Return by when the right of every earlier owner has ended.
@@ -179,7 +179,7 @@
     at = float('-inf')
     for item in entry.unsettled:
         past = item.past
-        if past.successor == me:
+        if past.successor == taker:
             end = promises.find_expiry(shard, past.epoch)
             if end == float('-inf'):
                 # It never had our promise, so its right had ended before
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -88,7 +88,10 @@
 
 def wait_short_as_outsider(test: testtools.TestCase) -> None:
     def find_short(
-        shard: ty.Any, entry: ty.Any, me: ty.Any, promises: leases.PromiseTable
+        shard: ty.Any,
+        entry: ty.Any,
+        taker: ty.Any,
+        promises: leases.PromiseTable,
     ) -> float:
         ends = [item.replaced_at + model.LEASE for item in entry.unsettled]
         return float(max([entry.taken_at, *ends]))
