--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -24,7 +24,7 @@
 __all__ = ['PromiseTable', 'Lease', 'find_serve_time']
 
 # Clocks of two hosts run at rates that differ by less than this.
-DRIFT = 1.01
+MAX_CLOCK_RATE_RATIO = 1.01
 # Seconds added to each wait for another's lease.
 MARGIN = 0.05
 
@@ -140,7 +140,7 @@
             # unread. The promise binds all the same: once we read the Take
             # we wait for the end of whatever was promised until then.
             place = (shard, epoch)
-            end = now + request.lease_s * DRIFT
+            end = now + request.lease_s * MAX_CLOCK_RATE_RATIO
             self._ends[place] = max(end, self._ends.get(place, end))
             self.last_requested_at[place] = now
             given.append(place)
@@ -187,10 +187,17 @@
                 end = item.replaced_at
             end += MARGIN
         else:
-            end = item.replaced_at + past.outage_limit_s * DRIFT + MARGIN
+            end = (
+                item.replaced_at
+                + past.outage_limit_s * MAX_CLOCK_RATE_RATIO
+                + MARGIN
+            )
         if item.ended_at is not None:
             # Its process has ended. The lease is waited out all the same,
             # for work that it had handed to its sockets.
-            end = min(end, item.ended_at + past.lease_s * DRIFT + MARGIN)
+            end = min(
+                end,
+                item.ended_at + past.lease_s * MAX_CLOCK_RATE_RATIO + MARGIN,
+            )
         at = max(at, end)
     return at
