--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -26,7 +26,7 @@
 # Clocks of two hosts run at rates that differ by less than this.
 MAX_CLOCK_RATE_RATIO = 1.01
 # Seconds added to each wait for another's lease.
-MARGIN = 0.05
+EXPIRY_MARGIN_S = 0.05
 
 
 @ty.final
@@ -185,19 +185,21 @@
                 # It never had our promise, so its right had ended before
                 # we were named; that was before it was replaced.
                 end = item.replaced_at
-            end += MARGIN
+            end += EXPIRY_MARGIN_S
         else:
             end = (
                 item.replaced_at
                 + past.outage_limit_s * MAX_CLOCK_RATE_RATIO
-                + MARGIN
+                + EXPIRY_MARGIN_S
             )
         if item.ended_at is not None:
             # Its process has ended. The lease is waited out all the same,
             # for work that it had handed to its sockets.
             end = min(
                 end,
-                item.ended_at + past.lease_s * MAX_CLOCK_RATE_RATIO + MARGIN,
+                item.ended_at
+                + past.lease_s * MAX_CLOCK_RATE_RATIO
+                + EXPIRY_MARGIN_S,
             )
         at = max(at, end)
     return at
