--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -159,8 +159,8 @@
     ) -> wire.Ack | wire.Failed:
         """Take a daemon's claims, or a predecessor's table."""
         if report.is_handover:
-            place = (report.shard, report.epoch)
-            self._handed.setdefault(place, []).append(report)
+            shard_epoch = (report.shard, report.epoch)
+            self._handed.setdefault(shard_epoch, []).append(report)
             return wire.Ack()
         desk = self._desks.get(report.shard)
         if desk is None or desk.table.epoch != report.epoch:
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -139,11 +139,13 @@
             # A Take of ours may be on its way to the log, or have landed
             # unread. The promise binds all the same: once we read the Take
             # we wait for the end of whatever was promised until then.
-            place = (shard, epoch)
+            shard_epoch = (shard, epoch)
             end = now + request.lease_s * MAX_CLOCK_RATE_RATIO
-            self._ends[place] = max(end, self._ends.get(place, end))
-            self.last_requested_at[place] = now
-            given.append(place)
+            self._ends[shard_epoch] = max(
+                end, self._ends.get(shard_epoch, end)
+            )
+            self.last_requested_at[shard_epoch] = now
+            given.append(shard_epoch)
         return given
 
     def find_expiry(self, shard: ids.Shard, epoch: ids.Epoch) -> float:
@@ -152,10 +154,10 @@
 
     def drop_before(self, shard: ids.Shard, epoch: ids.Epoch) -> None:
         """Drop what was promised to owners of earlier epochs."""
-        for place in list(self._ends):
-            if place[0] == shard and place[1] < epoch:
-                del self._ends[place]
-                self.last_requested_at.pop(place, None)
+        for shard_epoch in list(self._ends):
+            if shard_epoch[0] == shard and shard_epoch[1] < epoch:
+                del self._ends[shard_epoch]
+                self.last_requested_at.pop(shard_epoch, None)
 
 
 def find_serve_time(
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -519,8 +519,8 @@
                     continue
                 shortest_lease_s = min(shortest_lease_s, held.lease.lease_s)
                 for promiser in held.lease.promisers:
-                    place = (shard, held.lease.epoch)
-                    asked.setdefault(promiser, []).append(place)
+                    shard_epoch = (shard, held.lease.epoch)
+                    asked.setdefault(promiser, []).append(shard_epoch)
             for promiser, shards in asked.items():
                 if promiser in self._renewing:
                     continue
