--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -90,10 +90,10 @@
         is_whole = handed is not None and handed[-1].is_last
         wall = clocks.read_wall()
         ended_at = wall - (clocks.read_monotonic() - start.ended_at)
-        line: float | None = ended_at + LINE_SKEWS * limits.clock_skew_s
+        cutoff_at: float | None = ended_at + LINE_SKEWS * limits.clock_skew_s
         if start.is_first or is_whole:
-            line = None
-        table = claimtable.ClaimTable(lease.epoch, limits, line)
+            cutoff_at = None
+        table = claimtable.ClaimTable(lease.epoch, limits, cutoff_at)
         for report in handed or []:
             table.add_report(report, wall)
         self._desks[shard] = _Desk(lease, table, set(), anyio.Event())
@@ -183,8 +183,10 @@
         claim = desk.table.find(query.organisation, query.key)
         if claim is None:
             issued = ids.read_issue_time(query.key)
-            line = desk.table.line
-            if line is not None and (issued is None or issued <= line):
+            cutoff_at = desk.table.cutoff_at
+            if cutoff_at is not None and (
+                issued is None or issued <= cutoff_at
+            ):
                 return wire.ClaimReply(wire.ClaimVerdict.UNKNOWN, epoch)
             return wire.ClaimReply(wire.ClaimVerdict.GRANTED, epoch)
         verdict = _QUERY_VERDICTS[claim.state]
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -19,9 +19,7 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import bundle
-from apricotlanding import ids
-from apricotlanding import wire
+from apricotlanding import bundle, ids, wire
 
 __all__ = ['Claim', 'ClaimTable', 'Pause']
 
@@ -64,20 +62,20 @@
         self,
         epoch: ids.Epoch,
         limits: bundle.Limits,
-        line: float | None,
+        cutoff_at: float | None,
     ) -> None:
         """Start without a claim.
 
-        ``line`` is Unix time; None if no earlier owner can have granted a
+        ``cutoff_at`` is Unix time; None if no earlier owner can have granted a
         key that this one does not know of.
         """
         self.epoch = epoch
         self.window_s = limits.claim_window_s
         self.skew_s = limits.clock_skew_s
         self.ahead_s = limits.key_ahead_s
-        self.line = line
+        self.cutoff_at = cutoff_at
         # True once every live daemon has reported, or had time to.
-        self.has_reports = line is None
+        self.has_reports = cutoff_at is None
         self._claims: dict[Place, Claim] = {}
 
     def __len__(self) -> int:
@@ -230,12 +228,12 @@
         return None
 
     def _is_before_line(self, issued: float | None, wall: float) -> bool:
-        if self.line is None:
+        if self.cutoff_at is None:
             return False
         if issued is None:
             # No issue time: it may be as old as the claim window.
-            return wall < self.line + self.window_s
-        return issued <= self.line
+            return wall < self.cutoff_at + self.window_s
+        return issued <= self.cutoff_at
 
     def _reply(
         self,
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -167,11 +167,11 @@
 
     def _begin(self, node: Node, lease: leases.Lease) -> None:
         node.is_serving = True
-        line = None
+        cutoff_at = None
         if lease.epoch > 1:
             ended = node.wall(self.now) - (self.now - node.ended_at)
-            line = ended + 2 * SKEW
-        node.table = claimtable.ClaimTable(lease.epoch, LIMITS, line)
+            cutoff_at = ended + 2 * SKEW
+        node.table = claimtable.ClaimTable(lease.epoch, LIMITS, cutoff_at)
 
     # What a daemon may do at any time.
 
