--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -104,7 +104,7 @@
                 return refusal
             if issued > wall:
                 return Pause(issued - wall)
-        if self._is_before_line(issued, wall):
+        if self._is_before_cutoff(issued, wall):
             if not self.has_reports:
                 return Pause(REPORT_WAIT)
             return self._reply(wire.ClaimVerdict.UNKNOWN)
@@ -227,7 +227,7 @@
             )
         return None
 
-    def _is_before_line(self, issued: float | None, wall: float) -> bool:
+    def _is_before_cutoff(self, issued: float | None, wall: float) -> bool:
         if self.cutoff_at is None:
             return False
         if issued is None:
