--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -31,7 +31,7 @@
 DROP_INTERVAL = 10.0
 # Allowance for host clocks, times this, past the end of the last earlier
 # right; see ``claimtable``.
-LINE_SKEWS = 2
+CUTOFF_SKEW_COUNT = 2
 # Seconds between attempts to tell an owner what became of a key.
 _END_DELAY = 0.5
 
@@ -90,7 +90,9 @@
         is_whole = handed is not None and handed[-1].is_last
         wall = clocks.read_wall()
         ended_at = wall - (clocks.read_monotonic() - start.ended_at)
-        cutoff_at: float | None = ended_at + LINE_SKEWS * limits.clock_skew_s
+        cutoff_at: float | None = (
+            ended_at + CUTOFF_SKEW_COUNT * limits.clock_skew_s
+        )
         if start.is_first or is_whole:
             cutoff_at = None
         table = claimtable.ClaimTable(lease.epoch, limits, cutoff_at)
