--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -21,7 +21,7 @@
 
 from apricotlanding import bundle, ids, wire
 
-__all__ = ['Claim', 'ClaimTable', 'Pause']
+__all__ = ['Claim', 'ClaimTable', 'Deferral']
 
 # Seconds that a new owner waits for the daemons' reports.
 REPORT_WAIT = 1.5
@@ -47,7 +47,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pause:
+class Deferral:
     """A claim cannot be answered yet; ask again."""
 
     # Longest wait, in seconds; a report may end it sooner.
@@ -87,7 +87,7 @@
         request: wire.ClaimRequest,
         sender: ids.Incarnation,
         wall: float,
-    ) -> wire.ClaimReply | Pause:
+    ) -> wire.ClaimReply | Deferral:
         """Answer a claim, or say how long to wait.
 
         The caller has checked that the right to grant is valid, and checks
@@ -103,10 +103,10 @@
             if refusal is not None:
                 return refusal
             if issued > wall:
-                return Pause(issued - wall)
+                return Deferral(issued - wall)
         if self._is_before_cutoff(issued, wall):
             if not self.has_reports:
-                return Pause(REPORT_WAIT)
+                return Deferral(REPORT_WAIT)
             return self._reply(wire.ClaimVerdict.UNKNOWN)
         self._claims[place] = Claim(
             request.digest,
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -255,7 +255,7 @@
         )
         wall = owner.wall(self.now)
         reply = owner.table.decide(request, asker.incarnation, wall)
-        if isinstance(reply, claimtable.Pause):
+        if isinstance(reply, claimtable.Deferral):
             return None
         if reply.verdict is wire.ClaimVerdict.GRANTED:
             self.granted.append(Granted(key, asker, request.ticket))
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -166,7 +166,7 @@
         wall: float,
     ) -> ty.Any:
         reply = decide(table, request, sender, wall)
-        if isinstance(reply, claimtable.Pause) and table.has_reports:
+        if isinstance(reply, claimtable.Deferral) and table.has_reports:
             return decide(table, request, sender, wall + reply.seconds)
         return reply
 
