--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -42,7 +42,7 @@
     expires: float
 
 
-Place = tuple[ids.Organisation, ids.Key]
+ClaimKey = tuple[ids.Organisation, ids.Key]
 
 
 @ty.final
@@ -76,7 +76,7 @@
         self.cutoff_at = cutoff_at
         # True once every live daemon has reported, or had time to.
         self.has_reports = cutoff_at is None
-        self._claims: dict[Place, Claim] = {}
+        self._claims: dict[ClaimKey, Claim] = {}
 
     def __len__(self) -> int:
         """Return the number of claims."""
