--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -93,8 +93,8 @@
         The caller has checked that the right to grant is valid, and checks
         it again after this returns. ``wall`` is Unix time.
         """
-        place = (request.organisation, request.key)
-        claim = self._claims.get(place)
+        claim_key = (request.organisation, request.key)
+        claim = self._claims.get(claim_key)
         if claim is not None:
             return self._answer_known(claim, request, sender)
         issued = ids.read_issue_time(request.key)
@@ -108,7 +108,7 @@
             if not self.has_reports:
                 return Deferral(REPORT_WAIT)
             return self._reply(wire.ClaimVerdict.UNKNOWN)
-        self._claims[place] = Claim(
+        self._claims[claim_key] = Claim(
             request.digest,
             sender,
             wire.ClaimState.HELD,
@@ -127,8 +127,8 @@
 
     def end(self, message: wire.ClaimEnd, sender: ids.Incarnation) -> None:
         """Note what its holder says became of a key."""
-        place = (message.organisation, message.key)
-        claim = self._claims.get(place)
+        claim_key = (message.organisation, message.key)
+        claim = self._claims.get(claim_key)
         if claim is None or claim.holder != sender:
             return
         if claim.ticket != message.ticket:
@@ -145,8 +145,8 @@
     def add_report(self, report: wire.ClaimReport, wall: float) -> None:
         """Add what a daemon holds, or a predecessor's whole table."""
         for held in report.claims:
-            place = (held.organisation, held.key)
-            if place in self._claims:
+            claim_key = (held.organisation, held.key)
+            if claim_key in self._claims:
                 continue
             if (
                 held.state is wire.ClaimState.RELEASED
@@ -157,7 +157,7 @@
                 continue
             issued = ids.read_issue_time(held.key)
             base = wall if issued is None else issued
-            self._claims[place] = Claim(
+            self._claims[claim_key] = Claim(
                 held.digest,
                 held.holder,
                 held.state,
@@ -169,25 +169,25 @@
         """Return the whole table, to hand it over."""
         return [
             wire.HeldClaim(
-                place[0],
-                place[1],
+                claim_key[0],
+                claim_key[1],
                 claim.digest,
                 claim.state,
                 claim.holder,
                 claim.ticket,
             )
-            for place, claim in self._claims.items()
+            for claim_key, claim in self._claims.items()
         ]
 
     def drop_expired(self, wall: float) -> int:
         """Drop claims whose keys are refused by now; return how many."""
         expired = [
-            place
-            for place, claim in self._claims.items()
+            claim_key
+            for claim_key, claim in self._claims.items()
             if claim.expires < wall
         ]
-        for place in expired:
-            del self._claims[place]
+        for claim_key in expired:
+            del self._claims[claim_key]
         return len(expired)
 
     def _answer_known(
