--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -72,7 +72,7 @@
         self.epoch = epoch
         self.window_s = limits.claim_window_s
         self.skew_s = limits.clock_skew_s
-        self.ahead_s = limits.key_ahead_s
+        self.max_ahead_s = limits.key_ahead_s
         self.cutoff_at = cutoff_at
         # True once every live daemon has reported, or had time to.
         self.has_reports = cutoff_at is None
@@ -217,7 +217,7 @@
         )
 
     def _check_age(self, issued: float, wall: float) -> wire.ClaimReply | None:
-        if issued > wall + self.ahead_s:
+        if issued > wall + self.max_ahead_s:
             return self._reply(
                 wire.ClaimVerdict.KEY_FROM_FUTURE, None, issued - wall
             )
