--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -39,7 +39,7 @@
     ticket: str
     # Wall clock time after which the key is refused as expired, so that
     # the claim can be dropped.
-    expires: float
+    expires_at: float
 
 
 ClaimKey = tuple[ids.Organisation, ids.Key]
@@ -184,7 +184,7 @@
         expired = [
             claim_key
             for claim_key, claim in self._claims.items()
-            if claim.expires < wall
+            if claim.expires_at < wall
         ]
         for claim_key in expired:
             del self._claims[claim_key]
