--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -203,7 +203,7 @@
     async def _end_report_wait(
         self, shard: ids.Shard, table: claimtable.ClaimTable
     ) -> None:
-        await anyio.sleep(claimtable.REPORT_WAIT)
+        await anyio.sleep(claimtable.REPORT_TIMEOUT_S)
         desk = self._desks.get(shard)
         if desk is not None and desk.table is table:
             self._open_desk(desk)
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -24,7 +24,7 @@
 __all__ = ['Claim', 'ClaimTable', 'Deferral']
 
 # Seconds that a new owner waits for the daemons' reports.
-REPORT_WAIT = 1.5
+REPORT_TIMEOUT_S = 1.5
 
 
 @ty.final
@@ -106,7 +106,7 @@
                 return Deferral(issued - wall)
         if self._is_before_cutoff(issued, wall):
             if not self.has_reports:
-                return Deferral(REPORT_WAIT)
+                return Deferral(REPORT_TIMEOUT_S)
             return self._reply(wire.ClaimVerdict.UNKNOWN)
         self._claims[claim_key] = Claim(
             request.digest,
