--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -125,7 +125,7 @@
     def _build_requests(self) -> None:
         config = self.settings
         self.store = answers.AnswerStore(config.kept_answer_bytes)
-        self.claim_desk = claims.ClaimDesk(self.peers)
+        self.claim_desk = claims.ClaimServer(self.peers)
         self.claim_client = claims.ClaimClient(
             self.incarnation,
             self.view,
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -1,6 +1,6 @@
 """Claims between daemons: asking for a key, and answering who asks.
 
-``ClaimDesk`` is the owner's side: it keeps a ``ClaimTable`` for each claims
+``ClaimServer`` is the owner's side: it keeps a ``ClaimTable`` for each claims
 shard that this daemon owns and is the shard's ``owners.Role``.
 ``ClaimClient`` is the entry daemon's side: it finds the owner, asks until it
 gets a word that it can rely on, and tells the owner what became of the key.
@@ -19,7 +19,7 @@
 from apricotlandingd.peering import peerlink, peers
 from apricotlandingd.requests import answers
 
-__all__ = ['ClaimClient', 'ClaimDesk']
+__all__ = ['ClaimClient', 'ClaimServer']
 
 CALL_TIMEOUT = 1.0
 # Seconds for which a claim is tried before its caller is told to come back.
@@ -46,7 +46,7 @@
 
 
 @ty.final
-class ClaimDesk:
+class ClaimServer:
     """The owner's side of claims; a role of ``owners``."""
 
     def __init__(self, others: peers.Peers) -> None:
@@ -234,7 +234,7 @@
         incarnation: ids.Incarnation,
         view: shardview.ShardView,
         others: peers.Peers,
-        desk: ClaimDesk,
+        desk: ClaimServer,
         store: answers.AnswerStore,
     ) -> None:
         """Prepare; ``run`` reports to new owners."""
