--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -21,7 +21,7 @@
 
 __all__ = ['ClaimClient', 'ClaimServer']
 
-CALL_TIMEOUT = 1.0
+CALL_TIMEOUT_S = 1.0
 # Seconds for which a claim is tried before its caller is told to come back.
 CLAIM_PATIENCE = 5.0
 RETRY_DELAY = 0.1
@@ -386,7 +386,7 @@
         if connection is None:
             return None
         try:
-            return await connection.call(message, CALL_TIMEOUT)
+            return await connection.call(message, CALL_TIMEOUT_S)
         except peerlink.PeerLost as error:
             eliot.log_message('claim:peer-lost', error=str(error))
             return None
