--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -23,7 +23,7 @@
 
 CALL_TIMEOUT_S = 1.0
 # Seconds for which a claim is tried before its caller is told to come back.
-CLAIM_PATIENCE = 5.0
+CLAIM_TIMEOUT_S = 5.0
 RETRY_DELAY = 0.1
 RETRY_AFTER = 2.0
 # Claims in one part of a report.
@@ -261,7 +261,9 @@
         The caller may be told ``not-run`` then: only this daemon can send
         a key that was granted to it, and it will not.
         """
-        give_up_at = min(deadline_at, clocks.read_monotonic() + CLAIM_PATIENCE)
+        give_up_at = min(
+            deadline_at, clocks.read_monotonic() + CLAIM_TIMEOUT_S
+        )
         while True:
             reply = await self._ask(request)
             if reply is not None:
