--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -24,7 +24,7 @@
 CALL_TIMEOUT_S = 1.0
 # Seconds for which a claim is tried before its caller is told to come back.
 CLAIM_TIMEOUT_S = 5.0
-RETRY_DELAY = 0.1
+RETRY_DELAY_S = 0.1
 RETRY_AFTER = 2.0
 # Claims in one part of a report.
 REPORT_PART = 2000
@@ -268,9 +268,9 @@
             reply = await self._ask(request)
             if reply is not None:
                 return reply
-            if clocks.read_monotonic() + RETRY_DELAY > give_up_at:
+            if clocks.read_monotonic() + RETRY_DELAY_S > give_up_at:
                 break
-            await anyio.sleep(RETRY_DELAY)
+            await anyio.sleep(RETRY_DELAY_S)
         raise errors.Refused(
             errors.make_problem(errors.Kind.NO_OWNER, RETRY_AFTER)
         )
@@ -314,7 +314,7 @@
             while not await self._send_part(entry, part):
                 if self._view.get(shard) is not entry:
                     return
-                await anyio.sleep(RETRY_DELAY)
+                await anyio.sleep(RETRY_DELAY_S)
 
     async def _send_part(
         self, entry: shardview.ShardEntry, part: wire.ClaimReport
