--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -25,7 +25,7 @@
 # Seconds for which a claim is tried before its caller is told to come back.
 CLAIM_TIMEOUT_S = 5.0
 RETRY_DELAY_S = 0.1
-RETRY_AFTER = 2.0
+RETRY_AFTER_S = 2.0
 # Claims in one part of a report.
 REPORT_PART = 2000
 DROP_INTERVAL = 10.0
@@ -272,7 +272,7 @@
                 break
             await anyio.sleep(RETRY_DELAY_S)
         raise errors.Refused(
-            errors.make_problem(errors.Kind.NO_OWNER, RETRY_AFTER)
+            errors.make_problem(errors.Kind.NO_OWNER, RETRY_AFTER_S)
         )
 
     async def query(self, query: wire.ClaimQuery) -> wire.ClaimReply | None:
--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -10,12 +10,9 @@
 
 import eliot
 
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import wire
+from apricotlanding import errors, ids, wire
 from apricotlandingd.ownership import claims
-from apricotlandingd.peering import peerlink
-from apricotlandingd.peering import peers
+from apricotlandingd.peering import peerlink, peers
 from apricotlandingd.requests import answers
 
 __all__ = ['Attacher']
@@ -129,5 +126,5 @@
         # Finished or not: the answer may be kept there, and is not lost
         # because we are cut off from it.
         return errors.make_problem(
-            errors.Kind.HOLDER_UNREACHABLE, claims.RETRY_AFTER
+            errors.Kind.HOLDER_UNREACHABLE, claims.RETRY_AFTER_S
         )
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -558,7 +558,7 @@
     if verdict is wire.ClaimVerdict.CLOCK_OFF:
         return errors.make_problem(
             errors.Kind.CLOCK_OFF,
-            claims.RETRY_AFTER,
+            claims.RETRY_AFTER_S,
             host='the claim owner',
         )
     return errors.make_problem(
