--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -27,7 +27,7 @@
 RETRY_DELAY_S = 0.1
 RETRY_AFTER_S = 2.0
 # Claims in one part of a report.
-REPORT_PART = 2000
+MAX_REPORT_CLAIMS = 2000
 DROP_INTERVAL = 10.0
 # Allowance for host clocks, times this, past the end of the last earlier
 # right; see ``claimtable``.
@@ -406,7 +406,7 @@
     claims: list[wire.HeldClaim],
     is_handover: bool,
 ) -> collections.abc.Iterator[wire.ClaimReport]:
-    for start in range(0, max(len(claims), 1), REPORT_PART):
-        part = claims[start : start + REPORT_PART]
-        is_last = start + REPORT_PART >= len(claims)
+    for start in range(0, max(len(claims), 1), MAX_REPORT_CLAIMS):
+        part = claims[start : start + MAX_REPORT_CLAIMS]
+        is_last = start + MAX_REPORT_CLAIMS >= len(claims)
         yield wire.ClaimReport(shard, epoch, part, is_last, is_handover)
