--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -28,7 +28,7 @@
 RETRY_AFTER_S = 2.0
 # Claims in one part of a report.
 MAX_REPORT_CLAIMS = 2000
-DROP_INTERVAL = 10.0
+DROP_INTERVAL_S = 10.0
 # Allowance for host clocks, times this, past the end of the last earlier
 # right; see ``claimtable``.
 CUTOFF_SKEW_COUNT = 2
@@ -67,7 +67,7 @@
         async with anyio.create_task_group() as group:
             self._group = group
             while True:
-                await anyio.sleep(DROP_INTERVAL)
+                await anyio.sleep(DROP_INTERVAL_S)
                 wall = clocks.read_wall()
                 for desk in self._desks.values():
                     desk.table.drop_expired(wall)
