--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -33,7 +33,7 @@
 # right; see ``claimtable``.
 CUTOFF_SKEW_COUNT = 2
 # Seconds between attempts to tell an owner what became of a key.
-_END_DELAY = 0.5
+_END_RETRY_DELAY_S = 0.5
 
 
 @dataclasses.dataclass(slots=True)
@@ -349,7 +349,7 @@
             kept.shard, kept.organisation, kept.key, state, kept.ticket
         )
         while not await self._send_end(message):
-            await anyio.sleep(_END_DELAY)
+            await anyio.sleep(_END_RETRY_DELAY_S)
         kept.is_settled = True
         if state is wire.ClaimState.RELEASED:
             # Until here a retry through this daemon found the answer
