--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -54,7 +54,7 @@
         self._peers = others
         self._desks: dict[ids.Shard, _Desk] = {}
         # Tables handed to us by owners that stop, by the epoch that ends.
-        self._handed: dict[
+        self._handed_over: dict[
             tuple[ids.Shard, ids.Epoch], list[wire.ClaimReport]
         ] = {}
         self.find_bundle: collections.abc.Callable[
@@ -86,7 +86,7 @@
         assert config is not None
         limits = config.limits
         before = ids.Epoch(lease.epoch - 1)
-        handed = self._handed.pop((shard, before), None)
+        handed = self._handed_over.pop((shard, before), None)
         is_whole = handed is not None and handed[-1].is_last
         wall = clocks.read_wall()
         ended_at = wall - (clocks.read_monotonic() - start.ended_at)
@@ -162,7 +162,7 @@
         """Take a daemon's claims, or a predecessor's table."""
         if report.is_handover:
             shard_epoch = (report.shard, report.epoch)
-            self._handed.setdefault(shard_epoch, []).append(report)
+            self._handed_over.setdefault(shard_epoch, []).append(report)
             return wire.Ack()
         desk = self._desks.get(report.shard)
         if desk is None or desk.table.epoch != report.epoch:
