--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -86,8 +86,8 @@
         assert config is not None
         limits = config.limits
         before = ids.Epoch(lease.epoch - 1)
-        handed = self._handed_over.pop((shard, before), None)
-        is_whole = handed is not None and handed[-1].is_last
+        handed_over = self._handed_over.pop((shard, before), None)
+        is_whole = handed_over is not None and handed_over[-1].is_last
         wall = clocks.read_wall()
         ended_at = wall - (clocks.read_monotonic() - start.ended_at)
         cutoff_at: float | None = (
@@ -96,7 +96,7 @@
         if start.is_first or is_whole:
             cutoff_at = None
         table = claimtable.ClaimTable(lease.epoch, limits, cutoff_at)
-        for report in handed or []:
+        for report in handed_over or []:
             table.add_report(report, wall)
         self._desks[shard] = _Desk(lease, table, set(), anyio.Event())
         if not table.has_reports:
