--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -87,13 +87,13 @@
         limits = config.limits
         before = ids.Epoch(lease.epoch - 1)
         handed_over = self._handed_over.pop((shard, before), None)
-        is_whole = handed_over is not None and handed_over[-1].is_last
+        is_complete = handed_over is not None and handed_over[-1].is_last
         wall = clocks.read_wall()
         ended_at = wall - (clocks.read_monotonic() - start.ended_at)
         cutoff_at: float | None = (
             ended_at + CUTOFF_SKEW_COUNT * limits.clock_skew_s
         )
-        if start.is_first or is_whole:
+        if start.is_first or is_complete:
             cutoff_at = None
         table = claimtable.ClaimTable(lease.epoch, limits, cutoff_at)
         for report in handed_over or []:
