--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -85,8 +85,8 @@
         config = self.find_bundle()
         assert config is not None
         limits = config.limits
-        before = ids.Epoch(lease.epoch - 1)
-        handed_over = self._handed_over.pop((shard, before), None)
+        previous_epoch = ids.Epoch(lease.epoch - 1)
+        handed_over = self._handed_over.pop((shard, previous_epoch), None)
         is_complete = handed_over is not None and handed_over[-1].is_last
         wall = clocks.read_wall()
         ended_at = wall - (clocks.read_monotonic() - start.ended_at)
