--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -298,7 +298,7 @@
             for shard in list(self.view.entries):
                 kind, _ = owners.parse_shard(shard)
                 if kind == owners.CLAIMS:
-                    self.claim_client.report_to(shard)
+                    self.claim_client.report_claims(shard)
             await logfollower.wait_for_change(self.follower, REPORT_INTERVAL)
 
     # Stopping.
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -293,7 +293,7 @@
             supervisor.run_guarded, self._tell_end, kept, state
         )
 
-    def report_to(self, shard: ids.Shard) -> None:
+    def report_claims(self, shard: ids.Shard) -> None:
         """Report what we hold of a shard if it has a new owner."""
         entry = self._view.get(shard)
         if entry is None or not entry.is_serving:
