--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -114,7 +114,7 @@
         desk = self._desks.get(shard)
         if desk is None or not desk.table.has_reports:
             return
-        for report in _cut_report(
+        for report in _split_report(
             shard, desk.table.epoch, desk.table.list_claims(), True
         ):
             await successor.call(report, owners.HAND_OVER_TIMEOUT)
@@ -310,7 +310,7 @@
         self, shard: ids.Shard, entry: shardview.ShardEntry
     ) -> None:
         held = self._store.list_claims(shard, self._incarnation)
-        for part in _cut_report(shard, entry.epoch, held, False):
+        for part in _split_report(shard, entry.epoch, held, False):
             while not await self._send_part(entry, part):
                 if self._view.get(shard) is not entry:
                     return
@@ -400,7 +400,7 @@
         return entry
 
 
-def _cut_report(
+def _split_report(
     shard: ids.Shard,
     epoch: ids.Epoch,
     claims: list[wire.HeldClaim],
