--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -290,7 +290,7 @@
         kept.state = state
         assert self._group is not None
         self._group.start_soon(
-            supervisor.run_guarded, self._tell_end, kept, state
+            supervisor.run_guarded, self._report_outcome, kept, state
         )
 
     def report_claims(self, shard: ids.Shard) -> None:
@@ -341,7 +341,7 @@
             )
         )
 
-    async def _tell_end(
+    async def _report_outcome(
         self, kept: answers.Kept, state: wire.ClaimState
     ) -> None:
         assert kept.shard is not None
