--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -265,7 +265,7 @@
             deadline_at, clocks.read_monotonic() + CLAIM_TIMEOUT_S
         )
         while True:
-            reply = await self._ask(request)
+            reply = await self._request_claim(request)
             if reply is not None:
                 return reply
             if clocks.read_monotonic() + RETRY_DELAY_S > give_up_at:
@@ -368,7 +368,9 @@
             reply = await self._call(entry.owner, message)
         return isinstance(reply, wire.Ack)
 
-    async def _ask(self, request: wire.ClaimRequest) -> wire.ClaimReply | None:
+    async def _request_claim(
+        self, request: wire.ClaimRequest
+    ) -> wire.ClaimReply | None:
         entry = self._find_owner(request.shard)
         if entry is None:
             return None
