--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -107,7 +107,7 @@
             self.host_list,
             self.router,
         )
-        self.owners = owners.Owners(
+        self.owners = owners.OwnershipManager(
             self.incarnation,
             self.follower,
             self.view,
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -30,7 +30,7 @@
 from apricotlandingd.ownership import leases, shardview
 from apricotlandingd.peering import peerlink, peers
 
-__all__ = ['Owners', 'Role', 'Start', 'list_shards', 'parse_shard']
+__all__ = ['OwnershipManager', 'Role', 'Start', 'list_shards', 'parse_shard']
 
 VISIT_INTERVAL = 0.25
 PROMISES_A_LEASE = 5
@@ -114,7 +114,7 @@
 
 
 @ty.final
-class Owners:
+class OwnershipManager:
     """One daemon's part in owning shards."""
 
     def __init__(
