--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -79,7 +79,7 @@
     # The role.
 
     def begin(
-        self, shard: ids.Shard, lease: leases.Lease, start: owners.Start
+        self, shard: ids.Shard, lease: leases.Lease, start: owners.StartContext
     ) -> None:
         """Open a table for a shard."""
         config = self.find_bundle()
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -30,7 +30,13 @@
 from apricotlandingd.ownership import leases, shardview
 from apricotlandingd.peering import peerlink, peers
 
-__all__ = ['OwnershipManager', 'Role', 'Start', 'list_shards', 'parse_shard']
+__all__ = [
+    'OwnershipManager',
+    'Role',
+    'StartContext',
+    'list_shards',
+    'parse_shard',
+]
 
 VISIT_INTERVAL = 0.25
 PROMISES_A_LEASE = 5
@@ -76,7 +82,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Start:
+class StartContext:
     """Circumstances in which an owner begins to serve."""
 
     # True if no earlier owner can have served.
@@ -89,7 +95,7 @@
     """What the owner of a kind of shard does."""
 
     def begin(
-        self, shard: ids.Shard, lease: leases.Lease, start: Start
+        self, shard: ids.Shard, lease: leases.Lease, start: StartContext
     ) -> None:
         """Serve from now on, while the right is valid."""
 
@@ -427,7 +433,9 @@
         if not entry.is_serving or held.lease.is_relinquished:
             return
         self.promises.drop_before(shard, epoch)
-        start = Start(epoch == 1 and not self.view.is_trimmed, held.ended_at)
+        start = StartContext(
+            epoch == 1 and not self.view.is_trimmed, held.ended_at
+        )
         held.is_serving = True
         eliot.log_message('shard:serving', shard=shard, epoch=epoch)
         self.roles[parse_shard(shard)[0]].begin(shard, held.lease, start)
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -88,7 +88,7 @@
     # The role.
 
     def begin(
-        self, shard: ids.Shard, lease: leases.Lease, start: owners.Start
+        self, shard: ids.Shard, lease: leases.Lease, start: owners.StartContext
     ) -> None:
         """Open a queue for a pool."""
         config = self.find_bundle()
