--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -109,7 +109,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Held:
+class _OwnedShard:
     # A shard that this daemon owns.
     lease: leases.Lease
     is_serving: bool = False
@@ -145,7 +145,7 @@
         self.may_take: collections.abc.Callable[[], bool] = lambda: True
         self._follower = follower
         self._peers = others
-        self._held: dict[ids.Shard, _Held] = {}
+        self._held: dict[ids.Shard, _OwnedShard] = {}
         self._taking: set[ids.Shard] = set()
         # Since when a shard has had nobody in reach who serves it.
         self._free_since: dict[ids.Shard, float] = {}
@@ -231,7 +231,7 @@
             self._awake_since = now
 
     def _has_lost(
-        self, held: _Held, entry: shardview.ShardEntry | None
+        self, held: _OwnedShard, entry: shardview.ShardEntry | None
     ) -> bool:
         if entry is None:
             return True
@@ -239,7 +239,7 @@
             entry.epoch != held.lease.epoch or entry.owner != self.incarnation
         )
 
-    def _let_go(self, shard: ids.Shard, held: _Held) -> None:
+    def _let_go(self, shard: ids.Shard, held: _OwnedShard) -> None:
         # Somebody took the shard over. We stop first and say so second:
         # the taker serves as soon as it reads the release.
         held.lease.is_relinquished = True
@@ -366,7 +366,7 @@
         self,
         shard: ids.Shard,
         entry: shardview.ShardEntry,
-        held: _Held | None,
+        held: _OwnedShard | None,
         now: float,
     ) -> None:
         if held is None:
@@ -388,20 +388,20 @@
 
     def _begin_holding(
         self, shard: ids.Shard, entry: shardview.ShardEntry, now: float
-    ) -> _Held:
+    ) -> _OwnedShard:
         lease = leases.Lease(entry.epoch, entry.lease_s, entry.outage_limit_s)
         if entry.successor is not None:
             lease.add_promiser(entry.successor, now)
-        held = _Held(lease)
+        held = _OwnedShard(lease)
         self._held[shard] = held
         self._renew_now.set()
         return held
 
     def _start_busy(
         self,
-        held: _Held,
+        held: _OwnedShard,
         work: collections.abc.Callable[
-            [ids.Shard, _Held], collections.abc.Awaitable[None]
+            [ids.Shard, _OwnedShard], collections.abc.Awaitable[None]
         ],
         shard: ids.Shard,
     ) -> None:
@@ -413,9 +413,9 @@
 
     async def _run_busy(
         self,
-        held: _Held,
+        held: _OwnedShard,
         work: collections.abc.Callable[
-            [ids.Shard, _Held], collections.abc.Awaitable[None]
+            [ids.Shard, _OwnedShard], collections.abc.Awaitable[None]
         ],
         shard: ids.Shard,
     ) -> None:
@@ -424,7 +424,9 @@
         finally:
             held.is_busy = False
 
-    async def _begin_serving(self, shard: ids.Shard, held: _Held) -> None:
+    async def _begin_serving(
+        self, shard: ids.Shard, held: _OwnedShard
+    ) -> None:
         epoch = held.lease.epoch
         await self._follower.append(records.Serving(shard, epoch))
         entry = self.view.get(shard)
@@ -444,7 +446,7 @@
         self,
         shard: ids.Shard,
         entry: shardview.ShardEntry,
-        held: _Held,
+        held: _OwnedShard,
         now: float,
     ) -> bool:
         if not self._is_log_fresh(now):
@@ -456,7 +458,9 @@
         end = held.lease.find_promise_expiry(entry.successor)
         return now > end - 0.5 * held.lease.lease_s
 
-    async def _name_successor(self, shard: ids.Shard, held: _Held) -> None:
+    async def _name_successor(
+        self, shard: ids.Shard, held: _OwnedShard
+    ) -> None:
         entry = self.view.get(shard)
         if entry is None or self._has_lost(held, entry):
             return
