--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -145,7 +145,7 @@
         self.may_take: collections.abc.Callable[[], bool] = lambda: True
         self._follower = follower
         self._peers = others
-        self._held: dict[ids.Shard, _OwnedShard] = {}
+        self._owned: dict[ids.Shard, _OwnedShard] = {}
         self._taking: set[ids.Shard] = set()
         # Since when a shard has had nobody in reach who serves it.
         self._free_since: dict[ids.Shard, float] = {}
@@ -175,7 +175,7 @@
 
     def list_held(self) -> list[ids.Shard]:
         """Return the shards that this daemon owns."""
-        return sorted(self._held)
+        return sorted(self._owned)
 
     def find_needed_hosts(self) -> set[ids.Host]:
         """Return the hosts that own shards or are to take them over."""
@@ -204,7 +204,7 @@
             return
         for shard in list_shards(config):
             entry = self.view.get(shard)
-            held = self._held.get(shard)
+            held = self._owned.get(shard)
             if held is not None and self._has_lost(held, entry):
                 self._let_go(shard, held)
                 held = None
@@ -243,7 +243,7 @@
         # Somebody took the shard over. We stop first and say so second:
         # the taker serves as soon as it reads the release.
         held.lease.is_relinquished = True
-        del self._held[shard]
+        del self._owned[shard]
         if not held.is_serving:
             return
         eliot.log_message('shard:lost', shard=shard, epoch=held.lease.epoch)
@@ -393,7 +393,7 @@
         if entry.successor is not None:
             lease.add_promiser(entry.successor, now)
         held = _OwnedShard(lease)
-        self._held[shard] = held
+        self._owned[shard] = held
         self._renew_now.set()
         return held
 
@@ -484,7 +484,7 @@
         held.lease.remove_other_promisers(entry.successor)
 
     async def _hand_over(self, shard: ids.Shard) -> None:
-        held = self._held.get(shard)
+        held = self._owned.get(shard)
         entry = self.view.get(shard)
         if held is None or entry is None or self._has_lost(held, entry):
             return
@@ -495,7 +495,7 @@
             await self._give_to_successor(shard, entry)
             self._end_role(shard)
         await self._follower.append(records.Release(shard, held.lease.epoch))
-        self._held.pop(shard, None)
+        self._owned.pop(shard, None)
 
     async def _give_to_successor(
         self, shard: ids.Shard, entry: shardview.ShardEntry
@@ -526,7 +526,7 @@
                 ids.Incarnation, list[tuple[ids.Shard, ids.Epoch]]
             ] = {}
             shortest_lease_s = 1.0
-            for shard, held in self._held.items():
+            for shard, held in self._owned.items():
                 if held.lease.is_relinquished:
                     continue
                 shortest_lease_s = min(shortest_lease_s, held.lease.lease_s)
@@ -556,7 +556,7 @@
             shortest_lease_s = min(
                 held.lease.lease_s
                 for shard, _ in shards
-                if (held := self._held.get(shard)) is not None
+                if (held := self._owned.get(shard)) is not None
             )
             sent_at = clocks.read_monotonic()
             reply = await connection.call(
@@ -565,7 +565,7 @@
             if not isinstance(reply, wire.Promise):
                 return
             for shard, epoch in reply.shards:
-                held = self._held.get(shard)
+                held = self._owned.get(shard)
                 if held is None or held.lease.epoch != epoch:
                     continue
                 held.lease.record_promise(
