--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -204,13 +204,13 @@
             return
         for shard in list_shards(config):
             entry = self.view.get(shard)
-            held = self._owned.get(shard)
-            if held is not None and self._has_lost(held, entry):
-                self._let_go(shard, held)
-                held = None
+            owned = self._owned.get(shard)
+            if owned is not None and self._has_lost(owned, entry):
+                self._let_go(shard, owned)
+                owned = None
             if entry is not None and entry.owner == self.incarnation:
                 if not entry.is_released:
-                    self._visit_own(shard, entry, held, now)
+                    self._visit_own(shard, entry, owned, now)
                     continue
             if self._should_take(shard, entry, now):
                 self._start_take(shard, entry, config)
@@ -231,25 +231,25 @@
             self._awake_since = now
 
     def _has_lost(
-        self, held: _OwnedShard, entry: shardview.ShardEntry | None
+        self, owned: _OwnedShard, entry: shardview.ShardEntry | None
     ) -> bool:
         if entry is None:
             return True
         return (
-            entry.epoch != held.lease.epoch or entry.owner != self.incarnation
+            entry.epoch != owned.lease.epoch or entry.owner != self.incarnation
         )
 
-    def _let_go(self, shard: ids.Shard, held: _OwnedShard) -> None:
+    def _let_go(self, shard: ids.Shard, owned: _OwnedShard) -> None:
         # Somebody took the shard over. We stop first and say so second:
         # the taker serves as soon as it reads the release.
-        held.lease.is_relinquished = True
+        owned.lease.is_relinquished = True
         del self._owned[shard]
-        if not held.is_serving:
+        if not owned.is_serving:
             return
-        eliot.log_message('shard:lost', shard=shard, epoch=held.lease.epoch)
+        eliot.log_message('shard:lost', shard=shard, epoch=owned.lease.epoch)
         self._end_role(shard)
         assert self._group is not None
-        release = records.Release(shard, held.lease.epoch)
+        release = records.Release(shard, owned.lease.epoch)
         self._group.start_soon(
             supervisor.run_guarded, self._follower.append, release
         )
@@ -366,25 +366,25 @@
         self,
         shard: ids.Shard,
         entry: shardview.ShardEntry,
-        held: _OwnedShard | None,
+        owned: _OwnedShard | None,
         now: float,
     ) -> None:
-        if held is None:
-            held = self._begin_holding(shard, entry, now)
-        if held.is_busy or held.lease.is_relinquished:
+        if owned is None:
+            owned = self._begin_holding(shard, entry, now)
+        if owned.is_busy or owned.lease.is_relinquished:
             return
         if self._follower.confirmed_at is not None:
-            held.lease.record_confirmation(self._follower.confirmed_at)
-        if not held.is_serving:
+            owned.lease.record_confirmation(self._follower.confirmed_at)
+        if not owned.is_serving:
             at = leases.find_serve_time(
                 shard, entry, self.incarnation, self.promises
             )
-            held.ended_at = at
+            owned.ended_at = at
             if now >= at:
-                self._start_busy(held, self._begin_serving, shard)
+                self._start_busy(owned, self._begin_serving, shard)
             return
-        if self._is_successor_lost(shard, entry, held, now):
-            self._start_busy(held, self._name_successor, shard)
+        if self._is_successor_lost(shard, entry, owned, now):
+            self._start_busy(owned, self._name_successor, shard)
 
     def _begin_holding(
         self, shard: ids.Shard, entry: shardview.ShardEntry, now: float
@@ -392,61 +392,61 @@
         lease = leases.Lease(entry.epoch, entry.lease_s, entry.outage_limit_s)
         if entry.successor is not None:
             lease.add_promiser(entry.successor, now)
-        held = _OwnedShard(lease)
-        self._owned[shard] = held
+        owned = _OwnedShard(lease)
+        self._owned[shard] = owned
         self._renew_now.set()
-        return held
+        return owned
 
     def _start_busy(
         self,
-        held: _OwnedShard,
+        owned: _OwnedShard,
         work: collections.abc.Callable[
             [ids.Shard, _OwnedShard], collections.abc.Awaitable[None]
         ],
         shard: ids.Shard,
     ) -> None:
-        held.is_busy = True
+        owned.is_busy = True
         assert self._group is not None
         self._group.start_soon(
-            supervisor.run_guarded, self._run_busy, held, work, shard
+            supervisor.run_guarded, self._run_busy, owned, work, shard
         )
 
     async def _run_busy(
         self,
-        held: _OwnedShard,
+        owned: _OwnedShard,
         work: collections.abc.Callable[
             [ids.Shard, _OwnedShard], collections.abc.Awaitable[None]
         ],
         shard: ids.Shard,
     ) -> None:
         try:
-            await work(shard, held)
+            await work(shard, owned)
         finally:
-            held.is_busy = False
+            owned.is_busy = False
 
     async def _begin_serving(
-        self, shard: ids.Shard, held: _OwnedShard
+        self, shard: ids.Shard, owned: _OwnedShard
     ) -> None:
-        epoch = held.lease.epoch
+        epoch = owned.lease.epoch
         await self._follower.append(records.Serving(shard, epoch))
         entry = self.view.get(shard)
-        if entry is None or self._has_lost(held, entry):
+        if entry is None or self._has_lost(owned, entry):
             return
-        if not entry.is_serving or held.lease.is_relinquished:
+        if not entry.is_serving or owned.lease.is_relinquished:
             return
         self.promises.drop_before(shard, epoch)
         start = StartContext(
-            epoch == 1 and not self.view.is_trimmed, held.ended_at
+            epoch == 1 and not self.view.is_trimmed, owned.ended_at
         )
-        held.is_serving = True
+        owned.is_serving = True
         eliot.log_message('shard:serving', shard=shard, epoch=epoch)
-        self.roles[parse_shard(shard)[0]].begin(shard, held.lease, start)
+        self.roles[parse_shard(shard)[0]].begin(shard, owned.lease, start)
 
     def _is_successor_lost(
         self,
         shard: ids.Shard,
         entry: shardview.ShardEntry,
-        held: _OwnedShard,
+        owned: _OwnedShard,
         now: float,
     ) -> bool:
         if not self._is_log_fresh(now):
@@ -455,23 +455,23 @@
             return False
         if entry.successor is None:
             return self._choose_successor(shard, set()) is not None
-        end = held.lease.find_promise_expiry(entry.successor)
-        return now > end - 0.5 * held.lease.lease_s
+        end = owned.lease.find_promise_expiry(entry.successor)
+        return now > end - 0.5 * owned.lease.lease_s
 
     async def _name_successor(
-        self, shard: ids.Shard, held: _OwnedShard
+        self, shard: ids.Shard, owned: _OwnedShard
     ) -> None:
         entry = self.view.get(shard)
-        if entry is None or self._has_lost(held, entry):
+        if entry is None or self._has_lost(owned, entry):
             return
         silent = set() if entry.successor is None else {entry.successor}
         chosen = self._choose_successor(shard, silent)
         if chosen == entry.successor:
             return
         if chosen is not None:
-            held.lease.add_promiser(chosen, clocks.read_monotonic())
+            owned.lease.add_promiser(chosen, clocks.read_monotonic())
             self._renew_now.set()
-        epoch = held.lease.epoch
+        epoch = owned.lease.epoch
         eliot.log_message(
             'shard:successor', shard=shard, epoch=epoch, successor=chosen
         )
@@ -479,22 +479,22 @@
             records.NameSuccessor(shard, epoch, chosen)
         )
         entry = self.view.get(shard)
-        if entry is None or self._has_lost(held, entry):
+        if entry is None or self._has_lost(owned, entry):
             return
-        held.lease.remove_other_promisers(entry.successor)
+        owned.lease.remove_other_promisers(entry.successor)
 
     async def _hand_over(self, shard: ids.Shard) -> None:
-        held = self._owned.get(shard)
+        owned = self._owned.get(shard)
         entry = self.view.get(shard)
-        if held is None or entry is None or self._has_lost(held, entry):
+        if owned is None or entry is None or self._has_lost(owned, entry):
             return
         # From here on nothing is granted: what the successor is given must
         # be all that there is.
-        held.lease.is_relinquished = True
-        if held.is_serving:
+        owned.lease.is_relinquished = True
+        if owned.is_serving:
             await self._give_to_successor(shard, entry)
             self._end_role(shard)
-        await self._follower.append(records.Release(shard, held.lease.epoch))
+        await self._follower.append(records.Release(shard, owned.lease.epoch))
         self._owned.pop(shard, None)
 
     async def _give_to_successor(
@@ -526,12 +526,12 @@
                 ids.Incarnation, list[tuple[ids.Shard, ids.Epoch]]
             ] = {}
             shortest_lease_s = 1.0
-            for shard, held in self._owned.items():
-                if held.lease.is_relinquished:
+            for shard, owned in self._owned.items():
+                if owned.lease.is_relinquished:
                     continue
-                shortest_lease_s = min(shortest_lease_s, held.lease.lease_s)
-                for promiser in held.lease.promisers:
-                    shard_epoch = (shard, held.lease.epoch)
+                shortest_lease_s = min(shortest_lease_s, owned.lease.lease_s)
+                for promiser in owned.lease.promisers:
+                    shard_epoch = (shard, owned.lease.epoch)
                     asked.setdefault(promiser, []).append(shard_epoch)
             for promiser, shards in asked.items():
                 if promiser in self._renewing:
@@ -554,9 +554,9 @@
             if connection is None:
                 return
             shortest_lease_s = min(
-                held.lease.lease_s
+                owned.lease.lease_s
                 for shard, _ in shards
-                if (held := self._owned.get(shard)) is not None
+                if (owned := self._owned.get(shard)) is not None
             )
             sent_at = clocks.read_monotonic()
             reply = await connection.call(
@@ -565,10 +565,10 @@
             if not isinstance(reply, wire.Promise):
                 return
             for shard, epoch in reply.shards:
-                held = self._owned.get(shard)
-                if held is None or held.lease.epoch != epoch:
+                owned = self._owned.get(shard)
+                if owned is None or owned.lease.epoch != epoch:
                     continue
-                held.lease.record_promise(
+                owned.lease.record_promise(
                     promiser, sent_at, shortest_lease_s, reply.confirmed_age_s
                 )
         except (peerlink.PeerLost, ValueError):
