--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -173,7 +173,7 @@
                     self._follower, VISIT_INTERVAL
                 )
 
-    def list_held(self) -> list[ids.Shard]:
+    def list_owned(self) -> list[ids.Shard]:
         """Return the shards that this daemon owns."""
         return sorted(self._owned)
 
@@ -218,7 +218,7 @@
     async def drain(self) -> None:
         """Hand over every shard and release it."""
         self._is_draining = True
-        for shard in self.list_held():
+        for shard in self.list_owned():
             await self._hand_over(shard)
 
     def _note_pause(self, now: float) -> None:
