--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -38,7 +38,7 @@
     'parse_shard',
 ]
 
-VISIT_INTERVAL = 0.25
+VISIT_INTERVAL_S = 0.25
 PROMISES_A_LEASE = 5
 # Extra seconds that each further rank waits before it takes a free shard.
 RANK_DELAY = 1.0
@@ -170,7 +170,7 @@
             while True:
                 self.visit_shards(clocks.read_monotonic())
                 await logfollower.wait_for_change(
-                    self._follower, VISIT_INTERVAL
+                    self._follower, VISIT_INTERVAL_S
                 )
 
     def list_owned(self) -> list[ids.Shard]:
