--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -39,7 +39,7 @@
 ]
 
 VISIT_INTERVAL_S = 0.25
-PROMISES_A_LEASE = 5
+RENEWALS_PER_LEASE = 5
 # Extra seconds that each further rank waits before it takes a free shard.
 RANK_DELAY = 1.0
 # A log that was read within this many seconds counts as reachable; a read
@@ -541,7 +541,7 @@
                     supervisor.run_guarded, self._renew, promiser, shards
                 )
             self._renew_now = anyio.Event()
-            with anyio.move_on_after(shortest_lease_s / PROMISES_A_LEASE):
+            with anyio.move_on_after(shortest_lease_s / RENEWALS_PER_LEASE):
                 await self._renew_now.wait()
 
     async def _renew(
