--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -41,7 +41,7 @@
 VISIT_INTERVAL_S = 0.25
 RENEWALS_PER_LEASE = 5
 # Extra seconds that each further rank waits before it takes a free shard.
-RANK_DELAY = 1.0
+RANK_DELAY_S = 1.0
 # A log that was read within this many seconds counts as reachable; a read
 # that finds nothing returns after one.
 LOG_FRESH = 2.5
@@ -275,10 +275,10 @@
                 self._free_since.pop(shard, None)
                 return False
         since = self._free_since.setdefault(shard, now)
-        delay = RANK_DELAY * self._find_rank(shard)
+        delay = RANK_DELAY_S * self._find_rank(shard)
         if entry is not None:
             # Its successor goes first.
-            delay += entry.lease_s + 2 * RANK_DELAY
+            delay += entry.lease_s + 2 * RANK_DELAY_S
         return now >= since + delay
 
     def _has_gone_silent(
