--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -44,7 +44,7 @@
 RANK_DELAY_S = 1.0
 # A log that was read within this many seconds counts as reachable; a read
 # that finds nothing returns after one.
-LOG_FRESH = 2.5
+MAX_LOG_AGE_S = 2.5
 # A longer time between two visits means that this process was stopped.
 PAUSE_LIMIT = 0.75
 # Longest wait for a successor's acknowledgement of a table, in seconds.
@@ -312,7 +312,7 @@
 
     def _is_log_fresh(self, now: float) -> bool:
         read_at = self._follower.read_at
-        return read_at is not None and now < read_at + LOG_FRESH
+        return read_at is not None and now < read_at + MAX_LOG_AGE_S
 
     def _start_take(
         self,
