--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -46,7 +46,7 @@
 # that finds nothing returns after one.
 MAX_LOG_AGE_S = 2.5
 # A longer time between two visits means that this process was stopped.
-PAUSE_LIMIT = 0.75
+MAX_VISIT_GAP_S = 0.75
 # Longest wait for a successor's acknowledgement of a table, in seconds.
 HAND_OVER_TIMEOUT = 5.0
 
@@ -227,7 +227,7 @@
         # this it would take their silence for death, take their shards
         # over, and every key issued before would be answered "unknown".
         visited_at, self._visited_at = self._visited_at, now
-        if visited_at is not None and now - visited_at > PAUSE_LIMIT:
+        if visited_at is not None and now - visited_at > MAX_VISIT_GAP_S:
             self._awake_since = now
 
     def _has_lost(
