--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -117,7 +117,7 @@
         for report in _split_report(
             shard, desk.table.epoch, desk.table.list_claims(), True
         ):
-            await successor.call(report, owners.HAND_OVER_TIMEOUT)
+            await successor.call(report, owners.HANDOVER_TIMEOUT_S)
 
     # Calls.
 
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -48,7 +48,7 @@
 # A longer time between two visits means that this process was stopped.
 MAX_VISIT_GAP_S = 0.75
 # Longest wait for a successor's acknowledgement of a table, in seconds.
-HAND_OVER_TIMEOUT = 5.0
+HANDOVER_TIMEOUT_S = 5.0
 
 CLAIMS = 'claims'
 POOL = 'pool'
