--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -181,7 +181,7 @@
         self.entry.is_ready = self.is_ready
         self.owners.may_take = self._may_take
         self.owners.roles = {
-            owners.CLAIMS: self.claim_desk,
+            owners.CLAIMS_KIND: self.claim_desk,
             owners.POOL: self.pool_desk,
         }
         self.pool_desk.deliver = self._push
@@ -297,7 +297,7 @@
         while True:
             for shard in list(self.view.entries):
                 kind, _ = owners.parse_shard(shard)
-                if kind == owners.CLAIMS:
+                if kind == owners.CLAIMS_KIND:
                     self.claim_client.report_claims(shard)
             await logfollower.wait_for_change(self.follower, REPORT_INTERVAL)
 
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -50,13 +50,13 @@
 # Longest wait for a successor's acknowledgement of a table, in seconds.
 HANDOVER_TIMEOUT_S = 5.0
 
-CLAIMS = 'claims'
+CLAIMS_KIND = 'claims'
 POOL = 'pool'
 
 
 def make_claim_shard(number: int) -> ids.Shard:
     """Return the name of a shard of the claims."""
-    return ids.Shard(f'{CLAIMS}/{number}')
+    return ids.Shard(f'{CLAIMS_KIND}/{number}')
 
 
 def make_pool_shard(pool: ids.Pool) -> ids.Shard:
