--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -182,7 +182,7 @@
         self.owners.may_take = self._may_take
         self.owners.roles = {
             owners.CLAIMS_KIND: self.claim_desk,
-            owners.POOL: self.pool_desk,
+            owners.POOL_KIND: self.pool_desk,
         }
         self.pool_desk.deliver = self._push
         self.bundles.on_change.append(self.pool_desk.update_bundle)
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -51,7 +51,7 @@
 HANDOVER_TIMEOUT_S = 5.0
 
 CLAIMS_KIND = 'claims'
-POOL = 'pool'
+POOL_KIND = 'pool'
 
 
 def make_claim_shard(number: int) -> ids.Shard:
@@ -61,7 +61,7 @@
 
 def make_pool_shard(pool: ids.Pool) -> ids.Shard:
     """Return the name of a pool's shard."""
-    return ids.Shard(f'{POOL}/{pool}')
+    return ids.Shard(f'{POOL_KIND}/{pool}')
 
 
 def parse_shard(shard: ids.Shard) -> tuple[str, str]:
