--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -206,7 +206,7 @@
             entry = self.view.get(shard)
             owned = self._owned.get(shard)
             if owned is not None and self._has_lost(owned, entry):
-                self._let_go(shard, owned)
+                self._relinquish(shard, owned)
                 owned = None
             if entry is not None and entry.owner == self.incarnation:
                 if not entry.is_released:
@@ -239,7 +239,7 @@
             entry.epoch != owned.lease.epoch or entry.owner != self.incarnation
         )
 
-    def _let_go(self, shard: ids.Shard, owned: _OwnedShard) -> None:
+    def _relinquish(self, shard: ids.Shard, owned: _OwnedShard) -> None:
         # Somebody took the shard over. We stop first and say so second:
         # the taker serves as soon as it reads the release.
         owned.lease.is_relinquished = True
