--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -205,7 +205,7 @@
         for shard in list_shards(config):
             entry = self.view.get(shard)
             owned = self._owned.get(shard)
-            if owned is not None and self._has_lost(owned, entry):
+            if owned is not None and self._is_superseded(owned, entry):
                 self._relinquish(shard, owned)
                 owned = None
             if entry is not None and entry.owner == self.incarnation:
@@ -230,7 +230,7 @@
         if visited_at is not None and now - visited_at > MAX_VISIT_GAP_S:
             self._awake_since = now
 
-    def _has_lost(
+    def _is_superseded(
         self, owned: _OwnedShard, entry: shardview.ShardEntry | None
     ) -> bool:
         if entry is None:
@@ -430,7 +430,7 @@
         epoch = owned.lease.epoch
         await self._follower.append(records.Serving(shard, epoch))
         entry = self.view.get(shard)
-        if entry is None or self._has_lost(owned, entry):
+        if entry is None or self._is_superseded(owned, entry):
             return
         if not entry.is_serving or owned.lease.is_relinquished:
             return
@@ -462,7 +462,7 @@
         self, shard: ids.Shard, owned: _OwnedShard
     ) -> None:
         entry = self.view.get(shard)
-        if entry is None or self._has_lost(owned, entry):
+        if entry is None or self._is_superseded(owned, entry):
             return
         silent = set() if entry.successor is None else {entry.successor}
         chosen = self._choose_successor(shard, silent)
@@ -479,14 +479,14 @@
             records.NameSuccessor(shard, epoch, chosen)
         )
         entry = self.view.get(shard)
-        if entry is None or self._has_lost(owned, entry):
+        if entry is None or self._is_superseded(owned, entry):
             return
         owned.lease.remove_other_promisers(entry.successor)
 
     async def _hand_over(self, shard: ids.Shard) -> None:
         owned = self._owned.get(shard)
         entry = self.view.get(shard)
-        if owned is None or entry is None or self._has_lost(owned, entry):
+        if owned is None or entry is None or self._is_superseded(owned, entry):
             return
         # From here on nothing is granted: what the successor is given must
         # be all that there is.
