--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -155,7 +155,7 @@
         # Set when somebody new has to be asked for promises.
         self._renew_now = anyio.Event()
         self._visited_at: float | None = None
-        # Silence is counted from here at the earliest; see ``_note_pause``.
+        # Silence is counted from here at the earliest; see ``_detect_suspension``.
         self._awake_since = float('-inf')
 
     async def run(self) -> None:
@@ -198,7 +198,7 @@
 
     def visit_shards(self, now: float) -> None:
         """Decide for every shard what to do next."""
-        self._note_pause(now)
+        self._detect_suspension(now)
         config = self.find_bundle()
         if config is None or self.view.is_partial:
             return
@@ -221,7 +221,7 @@
         for shard in self.list_owned():
             await self._hand_over(shard)
 
-    def _note_pause(self, now: float) -> None:
+    def _detect_suspension(self, now: float) -> None:
         # This process was stopped for a while (SIGSTOP, a suspended host).
         # The owners' requests are waiting in its sockets unread; without
         # this it would take their silence for death, take their shards
