--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -156,7 +156,7 @@
         self._renew_now = anyio.Event()
         self._visited_at: float | None = None
         # Silence is counted from here at the earliest; see ``_detect_suspension``.
-        self._awake_since = float('-inf')
+        self._resumed_at = float('-inf')
 
     async def run(self) -> None:
         """Keep ownership until cancelled."""
@@ -228,7 +228,7 @@
         # over, and every key issued before would be answered "unknown".
         visited_at, self._visited_at = self._visited_at, now
         if visited_at is not None and now - visited_at > MAX_VISIT_GAP_S:
-            self._awake_since = now
+            self._resumed_at = now
 
     def _is_superseded(
         self, owned: _OwnedShard, entry: shardview.ShardEntry | None
@@ -292,7 +292,7 @@
             ),
             # One that was named just now has not been asked yet.
             entry.successor_since,
-            self._awake_since,
+            self._resumed_at,
         )
         if now < last_requested_at + config.ownership.takeover_after_s:
             return False
