--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -210,7 +210,7 @@
                 owned = None
             if entry is not None and entry.owner == self.incarnation:
                 if not entry.is_released:
-                    self._visit_own(shard, entry, owned, now)
+                    self._visit_owned(shard, entry, owned, now)
                     continue
             if self._should_take(shard, entry, now):
                 self._start_take(shard, entry, config)
@@ -362,7 +362,7 @@
 
     # Owning.
 
-    def _visit_own(
+    def _visit_owned(
         self,
         shard: ids.Shard,
         entry: shardview.ShardEntry,
