--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -370,7 +370,7 @@
         now: float,
     ) -> None:
         if owned is None:
-            owned = self._begin_holding(shard, entry, now)
+            owned = self._start_owning(shard, entry, now)
         if owned.is_busy or owned.lease.is_relinquished:
             return
         if self._follower.confirmed_at is not None:
@@ -386,7 +386,7 @@
         if self._is_successor_lost(shard, entry, owned, now):
             self._start_busy(owned, self._name_successor, shard)
 
-    def _begin_holding(
+    def _start_owning(
         self, shard: ids.Shard, entry: shardview.ShardEntry, now: float
     ) -> _OwnedShard:
         lease = leases.Lease(entry.epoch, entry.lease_s, entry.outage_limit_s)
