--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -381,10 +381,10 @@
             )
             owned.ended_at = at
             if now >= at:
-                self._start_busy(owned, self._begin_serving, shard)
+                self._start_append(owned, self._begin_serving, shard)
             return
         if self._is_successor_lost(shard, entry, owned, now):
-            self._start_busy(owned, self._name_successor, shard)
+            self._start_append(owned, self._name_successor, shard)
 
     def _start_owning(
         self, shard: ids.Shard, entry: shardview.ShardEntry, now: float
@@ -397,7 +397,7 @@
         self._renew_now.set()
         return owned
 
-    def _start_busy(
+    def _start_append(
         self,
         owned: _OwnedShard,
         work: collections.abc.Callable[
