--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -408,10 +408,10 @@
         owned.is_busy = True
         assert self._group is not None
         self._group.start_soon(
-            supervisor.run_guarded, self._run_busy, owned, work, shard
+            supervisor.run_guarded, self._run_append, owned, work, shard
         )
 
-    async def _run_busy(
+    async def _run_append(
         self,
         owned: _OwnedShard,
         work: collections.abc.Callable[
