--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -114,7 +114,7 @@
     lease: leases.Lease
     is_serving: bool = False
     # A task appends a record for it now.
-    is_busy: bool = False
+    is_appending: bool = False
     # Monotonic time by which every earlier owner's right has ended.
     ended_at: float = 0.0
 
@@ -371,7 +371,7 @@
     ) -> None:
         if owned is None:
             owned = self._start_owning(shard, entry, now)
-        if owned.is_busy or owned.lease.is_relinquished:
+        if owned.is_appending or owned.lease.is_relinquished:
             return
         if self._follower.confirmed_at is not None:
             owned.lease.record_confirmation(self._follower.confirmed_at)
@@ -405,7 +405,7 @@
         ],
         shard: ids.Shard,
     ) -> None:
-        owned.is_busy = True
+        owned.is_appending = True
         assert self._group is not None
         self._group.start_soon(
             supervisor.run_guarded, self._run_append, owned, work, shard
@@ -422,7 +422,7 @@
         try:
             await work(shard, owned)
         finally:
-            owned.is_busy = False
+            owned.is_appending = False
 
     async def _begin_serving(
         self, shard: ids.Shard, owned: _OwnedShard
