--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -492,12 +492,12 @@
         # be all that there is.
         owned.lease.is_relinquished = True
         if owned.is_serving:
-            await self._give_to_successor(shard, entry)
+            await self._send_to_successor(shard, entry)
             self._end_role(shard)
         await self._follower.append(records.Release(shard, owned.lease.epoch))
         self._owned.pop(shard, None)
 
-    async def _give_to_successor(
+    async def _send_to_successor(
         self, shard: ids.Shard, entry: shardview.ShardEntry
     ) -> None:
         if entry.successor is None:
