--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -247,7 +247,7 @@
         if not owned.is_serving:
             return
         eliot.log_message('shard:lost', shard=shard, epoch=owned.lease.epoch)
-        self._end_role(shard)
+        self._end_serving(shard)
         assert self._group is not None
         release = records.Release(shard, owned.lease.epoch)
         self._group.start_soon(
@@ -493,7 +493,7 @@
         owned.lease.is_relinquished = True
         if owned.is_serving:
             await self._send_to_successor(shard, entry)
-            self._end_role(shard)
+            self._end_serving(shard)
         await self._follower.append(records.Release(shard, owned.lease.epoch))
         self._owned.pop(shard, None)
 
@@ -514,7 +514,7 @@
                 'shard:hand-over-failed', shard=shard, error=str(error)
             )
 
-    def _end_role(self, shard: ids.Shard) -> None:
+    def _end_serving(self, shard: ids.Shard) -> None:
         self.roles[parse_shard(shard)[0]].end(shard)
 
     # Renewing.
