--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -522,7 +522,7 @@
     async def _renew_forever(self) -> None:
         assert self._group is not None
         while True:
-            asked: dict[
+            shards_by_promiser: dict[
                 ids.Incarnation, list[tuple[ids.Shard, ids.Epoch]]
             ] = {}
             shortest_lease_s = 1.0
@@ -532,8 +532,10 @@
                 shortest_lease_s = min(shortest_lease_s, owned.lease.lease_s)
                 for promiser in owned.lease.promisers:
                     shard_epoch = (shard, owned.lease.epoch)
-                    asked.setdefault(promiser, []).append(shard_epoch)
-            for promiser, shards in asked.items():
+                    shards_by_promiser.setdefault(promiser, []).append(
+                        shard_epoch
+                    )
+            for promiser, shards in shards_by_promiser.items():
                 if promiser in self._renewing:
                     continue
                 self._renewing.add(promiser)
