--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -84,7 +84,7 @@
         return EPOCH_WALL + now + self.wall_offset
 
 
-class World:
+class Simulation:
     """Everything that a step may touch."""
 
     def __init__(self, hosts: int = 3, skews: ty.Sequence[float] = ()) -> None:
@@ -330,7 +330,9 @@
         return self.runs
 
 
-def start_serving(world: World, owner: Node, successor: Node | None) -> None:
+def start_serving(
+    world: Simulation, owner: Node, successor: Node | None
+) -> None:
     """Bring an owner to serve, with everybody having read the log."""
     append = world.take(owner, successor)
     assert append is not None
@@ -342,14 +344,14 @@
         exchange(world, owner, successor)
 
 
-def settle(world: World, append: Append) -> None:
+def settle(world: Simulation, append: Append) -> None:
     """Land a record and let everybody read it."""
     world.land(append)
     for node in world.nodes:
         world.read(node)
 
 
-def exchange(world: World, owner: Node, promiser: Node) -> None:
+def exchange(world: Simulation, owner: Node, promiser: Node) -> None:
     """Ask for a promise and get it, all at once."""
     letter = world.ask(owner, promiser)
     if letter is not None:
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -2,15 +2,11 @@
 
 import os
 
-from hypothesis import settings
-from hypothesis import stateful
-from hypothesis import strategies
 import testtools
+from hypothesis import settings, stateful, strategies
 
-from apricotlanding import ids
-from apricotlanding import records
-from apricotlanding import wire
 import ownershipmodel as model
+from apricotlanding import ids, records, wire
 
 _NODES = strategies.integers(0, 2)
 _PICK = strategies.integers(0, 7)
@@ -28,13 +24,13 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = model.World()
+        self.world = model.Simulation()
         self.keys: list[ids.Key] = []
         self.ends: list[tuple[model.Granted, wire.ClaimEnd]] = []
 
     @stateful.initialize(skews=strategies.tuples(_SKEWS, _SKEWS, _SKEWS))
     def begin(self, skews: tuple[float, float, float]) -> None:
-        self.world = model.World(3, skews)
+        self.world = model.Simulation(3, skews)
         first, second, _ = self.world.nodes
         model.start_serving(self.world, first, second)
 
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -17,7 +17,7 @@
 from apricotlandingd.configuration import logfollower
 from apricotlandingd.ownership import claimtable, leases, shardview
 
-Story = collections.abc.Callable[[model.World], None]
+Story = collections.abc.Callable[[model.Simulation], None]
 Removal = collections.abc.Callable[[testtools.TestCase], None]
 
 
@@ -39,7 +39,10 @@
 
 
 def renew_for(
-    world: model.World, owner: model.Node, promiser: model.Node, seconds: float
+    world: model.Simulation,
+    owner: model.Node,
+    promiser: model.Node,
+    seconds: float,
 ) -> None:
     """Let a pair go on while the log is out for both."""
     end = world.now + seconds
@@ -50,7 +53,9 @@
 
 
 def take(
-    world: model.World, node: model.Node, successor: model.Node | None = None
+    world: model.Simulation,
+    node: model.Node,
+    successor: model.Node | None = None,
 ) -> None:
     """Let a node take a shard and read its own record."""
     append = world.take(node, successor)
@@ -59,13 +64,13 @@
     world.read(node)
 
 
-def take_and_serve(world: model.World, node: model.Node) -> None:
+def take_and_serve(world: model.Simulation, node: model.Node) -> None:
     """Let a node that reads the log take over as soon as it may."""
     take(world, node)
     serve_when_allowed(world, node)
 
 
-def serve_when_allowed(world: model.World, node: model.Node) -> None:
+def serve_when_allowed(world: model.Simulation, node: model.Node) -> None:
     append = world.serve(node)
     if append is not None:
         world.land(append)
@@ -140,14 +145,14 @@
 
 
 def count_from_receipt(test: testtools.TestCase) -> None:
-    carry = model.World.carry
+    carry = model.Simulation.carry
 
-    def carry_late(world: model.World, letter: model.Letter) -> None:
+    def carry_late(world: model.Simulation, letter: model.Letter) -> None:
         if letter.given is not None:
             letter.sent_at = world.now
         carry(world, letter)
 
-    test.patch(model.World, 'carry', carry_late)
+    test.patch(model.Simulation, 'carry', carry_late)
 
 
 def draw_no_line(test: testtools.TestCase) -> None:
@@ -208,7 +213,7 @@
 
 
 @case(ignore_outage_limit)
-def pair_cut_off_from_log(world: model.World) -> None:
+def pair_cut_off_from_log(world: model.Simulation) -> None:
     """Owner and successor hear only each other; an outsider takes over.
 
     The log is cut off for both, so neither reads the outsider's Take. They
@@ -224,7 +229,7 @@
 
 
 @case(wait_short_as_outsider)
-def outsider_is_early(world: model.World) -> None:
+def outsider_is_early(world: model.Simulation) -> None:
     """An outsider that waited a lease only would meet the old owner."""
     owner, successor, outsider = world.nodes
     model.start_serving(world, owner, successor)
@@ -234,7 +239,7 @@
 
 
 @case(need_only_new_successor)
-def successor_change_lands_unseen(world: model.World) -> None:
+def successor_change_lands_unseen(world: model.Simulation) -> None:
     """The record that names another successor lands, its reply is lost.
 
     The new successor reads it and takes over at once, for it never promised
@@ -256,7 +261,7 @@
 
 
 @case(accept_late_records)
-def record_lands_after_its_sender_gave_it_up(world: model.World) -> None:
+def record_lands_after_its_sender_gave_it_up(world: model.Simulation) -> None:
     """A change of successor takes effect long after its sender's next one.
 
     The owner read its next record back and counts on its old successor
@@ -278,7 +283,7 @@
 
 
 @case(wait_for_last_taker_only)
-def taker_dies_in_its_long_wait(world: model.World) -> None:
+def taker_dies_in_its_long_wait(world: model.Simulation) -> None:
     """An outsider dies waiting; its successor must wait as long.
 
     It never served, so its successor is nobody's successor as far as the
@@ -296,7 +301,7 @@
 
 
 @case(count_from_receipt)
-def promise_arrives_late(world: model.World) -> None:
+def promise_arrives_late(world: model.Simulation) -> None:
     """A promise travels for nearly its whole length.
 
     Counted from its arrival it would outlive what its giver promised.
@@ -314,7 +319,7 @@
 
 
 @case(draw_no_line)
-def holder_dies_with_owner(world: model.World) -> None:
+def holder_dies_with_owner(world: model.Simulation) -> None:
     """A key is granted, then owner and holder die; its caller tries again.
 
     Nobody is left to report the grant. The key may have run: the new owner
@@ -336,7 +341,7 @@
 
 
 @case(grant_early_keys)
-def callers_clock_is_ahead(world: model.World) -> None:
+def callers_clock_is_ahead(world: model.Simulation) -> None:
     """A phone's clock runs two seconds ahead, and its key with it.
 
     Granted at once, the key would look as if it had been issued after the
@@ -359,7 +364,7 @@
 
 
 @case(ignore_tickets)
-def release_is_told_twice(world: model.World) -> None:
+def release_is_told_twice(world: model.Simulation) -> None:
     """A release is repeated because its acknowledgement was lost.
 
     In between the same daemon has claimed the key again, for the caller's
@@ -379,7 +384,7 @@
 
 
 @case(believe_released_reports)
-def key_moved_on_before_owner_died(world: model.World) -> None:
+def key_moved_on_before_owner_died(world: model.Simulation) -> None:
     """One daemon released a key, another got it; then the owner died.
 
     The first reports "released" to the new owner, the second is cut off.
@@ -403,7 +408,7 @@
 
 
 @case(ignore_tickets)
-def release_arrives_after_the_end(world: model.World) -> None:
+def release_arrives_after_the_end(world: model.Simulation) -> None:
     """A finished key is reported as missing later, and must stay finished.
 
     The holder has dropped the kept answer by then and cannot know better.
@@ -424,7 +429,7 @@
 
 
 @case(believe_late_words)
-def dead_process_speaks_late(world: model.World) -> None:
+def dead_process_speaks_late(world: model.Simulation) -> None:
     """A record of a process that is gone lands after its host's next one.
 
     The restarted daemon owns the shard by then, and is cut off from the log
@@ -462,9 +467,9 @@
     return test
 
 
-def _make_world(item: Case) -> model.World:
+def _make_world(item: Case) -> model.Simulation:
     needs_fourth = item.story is taker_dies_in_its_long_wait
-    return model.World(hosts=4 if needs_fourth else 3)
+    return model.Simulation(hosts=4 if needs_fourth else 3)
 
 
 for _name, _item in _cases.items():
