--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -331,30 +331,30 @@
 
 
 def start_serving(
-    world: Simulation, owner: Node, successor: Node | None
+    simulation: Simulation, owner: Node, successor: Node | None
 ) -> None:
     """Bring an owner to serve, with everybody having read the log."""
-    append = world.take(owner, successor)
+    append = simulation.take(owner, successor)
     assert append is not None
-    settle(world, append)
-    append = world.serve(owner)
+    settle(simulation, append)
+    append = simulation.serve(owner)
     assert append is not None
-    settle(world, append)
+    settle(simulation, append)
     if successor is not None:
-        exchange(world, owner, successor)
+        exchange(simulation, owner, successor)
 
 
-def settle(world: Simulation, append: Append) -> None:
+def settle(simulation: Simulation, append: Append) -> None:
     """Land a record and let everybody read it."""
-    world.land(append)
-    for node in world.nodes:
-        world.read(node)
+    simulation.land(append)
+    for node in simulation.nodes:
+        simulation.read(node)
 
 
-def exchange(world: Simulation, owner: Node, promiser: Node) -> None:
+def exchange(simulation: Simulation, owner: Node, promiser: Node) -> None:
     """Ask for a promise and get it, all at once."""
-    letter = world.ask(owner, promiser)
+    letter = simulation.ask(owner, promiser)
     if letter is not None:
-        world.carry(letter)
-        if letter in world.letters:
-            world.carry(letter)
+        simulation.carry(letter)
+        if letter in simulation.letters:
+            simulation.carry(letter)
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -24,86 +24,90 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = model.Simulation()
+        self.simulation = model.Simulation()
         self.keys: list[ids.Key] = []
         self.ends: list[tuple[model.Granted, wire.ClaimEnd]] = []
 
     @stateful.initialize(skews=strategies.tuples(_SKEWS, _SKEWS, _SKEWS))
     def begin(self, skews: tuple[float, float, float]) -> None:
-        self.world = model.Simulation(3, skews)
-        first, second, _ = self.world.nodes
-        model.start_serving(self.world, first, second)
+        self.simulation = model.Simulation(3, skews)
+        first, second, _ = self.simulation.nodes
+        model.start_serving(self.simulation, first, second)
 
     # Time and the log. Most steps come in a quick form, in which a daemon
     # reaches the log, and a slow one, in which the record stays under way.
 
     @stateful.rule(seconds=_DELAYS)
     def advance(self, seconds: float) -> None:
-        self.world.now += seconds
+        self.simulation.now += seconds
 
     @stateful.rule(pick=_PICK)
     def land(self, pick: int) -> None:
-        if self.world.flying:
-            flying = self.world.flying
-            self.world.land(flying[pick % len(flying)])
+        if self.simulation.flying:
+            flying = self.simulation.flying
+            self.simulation.land(flying[pick % len(flying)])
 
     @stateful.rule(node=_NODES)
     def read(self, node: int) -> None:
-        self.world.read(self.world.nodes[node])
+        self.simulation.read(self.simulation.nodes[node])
 
     @stateful.rule(node=_NODES)
     def confirm(self, node: int) -> None:
-        mark = self.world.send(self.world.nodes[node], records.Mark())
+        mark = self.simulation.send(
+            self.simulation.nodes[node], records.Mark()
+        )
         self._finish(node, mark)
 
     # Owners.
 
     @stateful.rule(node=_NODES, successor=_MAYBE, is_quick=_MOSTLY)
     def take(self, node: int, successor: int, is_quick: bool) -> None:
-        place = self.world.nodes[node]
-        append = self.world.take(place, self._pick(node, successor))
+        place = self.simulation.nodes[node]
+        append = self.simulation.take(place, self._pick(node, successor))
         if is_quick:
             self._finish(node, append)
-            self._finish(node, self.world.serve(place))
+            self._finish(node, self.simulation.serve(place))
 
     @stateful.rule(node=_NODES)
     def serve(self, node: int) -> None:
-        self._finish(node, self.world.serve(self.world.nodes[node]))
+        self._finish(node, self.simulation.serve(self.simulation.nodes[node]))
 
     @stateful.rule(node=_NODES, successor=_MAYBE, is_quick=_MOSTLY)
     def name(self, node: int, successor: int, is_quick: bool) -> None:
-        place = self.world.nodes[node]
-        append = self.world.name(place, self._pick(node, successor))
+        place = self.simulation.nodes[node]
+        append = self.simulation.name(place, self._pick(node, successor))
         if is_quick:
             self._finish(node, append)
 
     @stateful.rule(owner=_NODES, giver=_NODES, times=_TIMES)
     def renew(self, owner: int, giver: int, times: int) -> None:
-        nodes = self.world.nodes
+        nodes = self.simulation.nodes
         for _ in range(times):
-            self.world.now += 0.2
-            model.exchange(self.world, nodes[owner], nodes[giver])
-            self.world.check()
+            self.simulation.now += 0.2
+            model.exchange(self.simulation, nodes[owner], nodes[giver])
+            self.simulation.check()
 
     @stateful.rule(owner=_NODES, giver=_NODES)
     def ask(self, owner: int, giver: int) -> None:
-        self.world.ask(self.world.nodes[owner], self.world.nodes[giver])
+        self.simulation.ask(
+            self.simulation.nodes[owner], self.simulation.nodes[giver]
+        )
 
     @stateful.rule(pick=_PICK)
     def carry(self, pick: int) -> None:
-        if self.world.letters:
-            letters = self.world.letters
-            self.world.carry(letters[pick % len(letters)])
+        if self.simulation.letters:
+            letters = self.simulation.letters
+            self.simulation.carry(letters[pick % len(letters)])
 
     @stateful.rule(node=_NODES)
     def restart(self, node: int) -> None:
-        self.world.restart(self.world.nodes[node])
+        self.simulation.restart(self.simulation.nodes[node])
 
     # Claims.
 
     @stateful.rule(asker=_NODES, ahead=_AHEAD)
     def claim_new(self, asker: int, ahead: float) -> None:
-        self.keys.append(self.world.make_key(ahead))
+        self.keys.append(self.simulation.make_key(ahead))
         self._claim_anywhere(asker, self.keys[-1])
 
     @stateful.rule(asker=_NODES, pick=_PICK)
@@ -114,18 +118,20 @@
 
     @stateful.rule(senders=strategies.sets(_NODES))
     def report(self, senders: set[int]) -> None:
-        for owner in self.world.nodes:
+        for owner in self.simulation.nodes:
             for sender in senders:
-                self.world.report(owner, self.world.nodes[sender])
+                self.simulation.report(owner, self.simulation.nodes[sender])
             if owner.table is not None:
                 owner.table.has_reports = True
 
     @stateful.rule(pick=_PICK)
     def release(self, pick: int) -> None:
-        held = [item for item in self.world.granted if not item.is_released]
+        held = [
+            item for item in self.simulation.granted if not item.is_released
+        ]
         if held:
             item = held[pick % len(held)]
-            self.ends.append((item, self.world.release(item)))
+            self.ends.append((item, self.simulation.release(item)))
             self._tell_end(*self.ends[-1])
 
     @stateful.rule(pick=_PICK)
@@ -136,24 +142,24 @@
 
     @stateful.invariant()
     def keep_promises(self) -> None:
-        self.world.check()
+        self.simulation.check()
 
     def _pick(self, node: int, successor: int) -> model.Node | None:
         if successor >= 3 or successor == node:
             return None
-        return self.world.nodes[successor]
+        return self.simulation.nodes[successor]
 
     def _finish(self, node: int, append: model.Append | None) -> None:
         if append is not None:
-            self.world.land(append)
-            self.world.read(self.world.nodes[node])
+            self.simulation.land(append)
+            self.simulation.read(self.simulation.nodes[node])
 
     def _claim_anywhere(self, asker: int, key: ids.Key) -> None:
-        for owner in self.world.nodes:
-            self.world.claim(owner, self.world.nodes[asker], key)
+        for owner in self.simulation.nodes:
+            self.simulation.claim(owner, self.simulation.nodes[asker], key)
 
     def _tell_end(self, item: model.Granted, end: wire.ClaimEnd) -> None:
-        for owner in self.world.nodes:
+        for owner in self.simulation.nodes:
             if owner.table is not None:
                 owner.table.end(end, item.node.incarnation)
 
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -39,43 +39,43 @@
 
 
 def renew_for(
-    world: model.Simulation,
+    simulation: model.Simulation,
     owner: model.Node,
     promiser: model.Node,
     seconds: float,
 ) -> None:
     """Let a pair go on while the log is out for both."""
-    end = world.now + seconds
-    while world.now < end:
-        world.now += 0.2
-        model.exchange(world, owner, promiser)
-        world.check()
+    end = simulation.now + seconds
+    while simulation.now < end:
+        simulation.now += 0.2
+        model.exchange(simulation, owner, promiser)
+        simulation.check()
 
 
 def take(
-    world: model.Simulation,
+    simulation: model.Simulation,
     node: model.Node,
     successor: model.Node | None = None,
 ) -> None:
     """Let a node take a shard and read its own record."""
-    append = world.take(node, successor)
+    append = simulation.take(node, successor)
     assert append is not None
-    world.land(append)
-    world.read(node)
+    simulation.land(append)
+    simulation.read(node)
 
 
-def take_and_serve(world: model.Simulation, node: model.Node) -> None:
+def take_and_serve(simulation: model.Simulation, node: model.Node) -> None:
     """Let a node that reads the log take over as soon as it may."""
-    take(world, node)
-    serve_when_allowed(world, node)
+    take(simulation, node)
+    serve_when_allowed(simulation, node)
 
 
-def serve_when_allowed(world: model.Simulation, node: model.Node) -> None:
-    append = world.serve(node)
+def serve_when_allowed(simulation: model.Simulation, node: model.Node) -> None:
+    append = simulation.serve(node)
     if append is not None:
-        world.land(append)
-        world.read(node)
-    world.check()
+        simulation.land(append)
+        simulation.read(node)
+    simulation.check()
 
 
 # Removals.
@@ -147,10 +147,10 @@
 def count_from_receipt(test: testtools.TestCase) -> None:
     carry = model.Simulation.carry
 
-    def carry_late(world: model.Simulation, letter: model.Letter) -> None:
+    def carry_late(simulation: model.Simulation, letter: model.Letter) -> None:
         if letter.given is not None:
-            letter.sent_at = world.now
-        carry(world, letter)
+            letter.sent_at = simulation.now
+        carry(simulation, letter)
 
     test.patch(model.Simulation, 'carry', carry_late)
 
@@ -213,239 +213,241 @@
 
 
 @case(ignore_outage_limit)
-def pair_cut_off_from_log(world: model.Simulation) -> None:
+def pair_cut_off_from_log(simulation: model.Simulation) -> None:
     """Owner and successor hear only each other; an outsider takes over.
 
     The log is cut off for both, so neither reads the outsider's Take. They
     renew as if nothing had happened and must stop by themselves before the
     outsider begins.
     """
-    owner, successor, outsider = world.nodes
-    model.start_serving(world, owner, successor)
-    take(world, outsider)
-    renew_for(world, owner, successor, 1.02 * model.OUTAGE_LIMIT)
-    serve_when_allowed(world, outsider)
+    owner, successor, outsider = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    take(simulation, outsider)
+    renew_for(simulation, owner, successor, 1.02 * model.OUTAGE_LIMIT)
+    serve_when_allowed(simulation, outsider)
     assert outsider.is_serving
 
 
 @case(wait_short_as_outsider)
-def outsider_is_early(world: model.Simulation) -> None:
+def outsider_is_early(simulation: model.Simulation) -> None:
     """An outsider that waited a lease only would meet the old owner."""
-    owner, successor, outsider = world.nodes
-    model.start_serving(world, owner, successor)
-    take(world, outsider)
-    renew_for(world, owner, successor, 2 * model.LEASE)
-    serve_when_allowed(world, outsider)
+    owner, successor, outsider = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    take(simulation, outsider)
+    renew_for(simulation, owner, successor, 2 * model.LEASE)
+    serve_when_allowed(simulation, outsider)
 
 
 @case(need_only_new_successor)
-def successor_change_lands_unseen(world: model.Simulation) -> None:
+def successor_change_lands_unseen(simulation: model.Simulation) -> None:
     """The record that names another successor lands, its reply is lost.
 
     The new successor reads it and takes over at once, for it never promised
     anything. The owner and the old successor, both cut off from the log, go
     on with each other.
     """
-    owner, old, new = world.nodes
-    model.start_serving(world, owner, old)
-    change = world.name(owner, new)
+    owner, old, new = simulation.nodes
+    model.start_serving(simulation, owner, old)
+    change = simulation.name(owner, new)
     assert change is not None
-    world.land(change)
-    world.read(new)
-    renew_for(world, owner, old, 0.4)
-    take_and_serve(world, new)
-    world.now += 0.1
-    model.exchange(world, owner, old)
-    serve_when_allowed(world, new)
+    simulation.land(change)
+    simulation.read(new)
+    renew_for(simulation, owner, old, 0.4)
+    take_and_serve(simulation, new)
+    simulation.now += 0.1
+    model.exchange(simulation, owner, old)
+    serve_when_allowed(simulation, new)
     assert new.is_serving
 
 
 @case(accept_late_records)
-def record_lands_after_its_sender_gave_it_up(world: model.Simulation) -> None:
+def record_lands_after_its_sender_gave_it_up(
+    simulation: model.Simulation,
+) -> None:
     """A change of successor takes effect long after its sender's next one.
 
     The owner read its next record back and counts on its old successor
     again. Were the late record valid, the other host could take over at
     once.
     """
-    owner, old, other = world.nodes
-    model.start_serving(world, owner, old)
-    late = world.name(owner, other)
+    owner, old, other = simulation.nodes
+    model.start_serving(simulation, owner, old)
+    late = simulation.name(owner, other)
     assert late is not None
-    model.settle(world, world.send(owner, records.Mark()))
-    world.land(late)
-    world.read(other)
-    renew_for(world, owner, old, 0.4)
-    take_and_serve(world, other)
-    world.now += 0.1
-    model.exchange(world, owner, old)
-    serve_when_allowed(world, other)
+    model.settle(simulation, simulation.send(owner, records.Mark()))
+    simulation.land(late)
+    simulation.read(other)
+    renew_for(simulation, owner, old, 0.4)
+    take_and_serve(simulation, other)
+    simulation.now += 0.1
+    model.exchange(simulation, owner, old)
+    serve_when_allowed(simulation, other)
 
 
 @case(wait_for_last_taker_only)
-def taker_dies_in_its_long_wait(world: model.Simulation) -> None:
+def taker_dies_in_its_long_wait(simulation: model.Simulation) -> None:
     """An outsider dies waiting; its successor must wait as long.
 
     It never served, so its successor is nobody's successor as far as the
     owner before is concerned, who is cut off with its own successor.
     """
-    owner, successor, outsider, heir = world.nodes
-    model.start_serving(world, owner, successor)
-    take(world, outsider, heir)
-    world.read(heir)
-    world.restart(outsider)
-    renew_for(world, owner, successor, 2 * model.LEASE)
-    take_and_serve(world, heir)
-    renew_for(world, owner, successor, 2 * model.LEASE)
-    serve_when_allowed(world, heir)
+    owner, successor, outsider, heir = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    take(simulation, outsider, heir)
+    simulation.read(heir)
+    simulation.restart(outsider)
+    renew_for(simulation, owner, successor, 2 * model.LEASE)
+    take_and_serve(simulation, heir)
+    renew_for(simulation, owner, successor, 2 * model.LEASE)
+    serve_when_allowed(simulation, heir)
 
 
 @case(count_from_receipt)
-def promise_arrives_late(world: model.Simulation) -> None:
+def promise_arrives_late(simulation: model.Simulation) -> None:
     """A promise travels for nearly its whole length.
 
     Counted from its arrival it would outlive what its giver promised.
     """
-    owner, successor, _ = world.nodes
-    model.start_serving(world, owner, successor)
-    letter = world.ask(owner, successor)
+    owner, successor, _ = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    letter = simulation.ask(owner, successor)
     assert letter is not None
-    world.carry(letter)
-    world.now += 0.9
-    world.carry(letter)
-    world.now += 0.2
-    take_and_serve(world, successor)
+    simulation.carry(letter)
+    simulation.now += 0.9
+    simulation.carry(letter)
+    simulation.now += 0.2
+    take_and_serve(simulation, successor)
     assert successor.is_serving
 
 
 @case(draw_no_line)
-def holder_dies_with_owner(world: model.Simulation) -> None:
+def holder_dies_with_owner(simulation: model.Simulation) -> None:
     """A key is granted, then owner and holder die; its caller tries again.
 
     Nobody is left to report the grant. The key may have run: the new owner
     must not grant it again.
     """
-    owner, successor, holder = world.nodes
-    model.start_serving(world, owner, successor)
-    key = world.make_key()
-    assert world.claim(owner, holder, key) is wire.ClaimVerdict.GRANTED
-    world.restart(owner)
-    world.restart(holder)
-    world.now += 2.0
-    take_and_serve(world, successor)
+    owner, successor, holder = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    key = simulation.make_key()
+    assert simulation.claim(owner, holder, key) is wire.ClaimVerdict.GRANTED
+    simulation.restart(owner)
+    simulation.restart(holder)
+    simulation.now += 2.0
+    take_and_serve(simulation, successor)
     assert successor.table is not None
     successor.table.has_reports = True
-    verdict = world.claim(successor, world.nodes[2], key)
-    world.check()
+    verdict = simulation.claim(successor, simulation.nodes[2], key)
+    simulation.check()
     assert verdict is wire.ClaimVerdict.UNKNOWN
 
 
 @case(grant_early_keys)
-def callers_clock_is_ahead(world: model.Simulation) -> None:
+def callers_clock_is_ahead(simulation: model.Simulation) -> None:
     """A phone's clock runs two seconds ahead, and its key with it.
 
     Granted at once, the key would look as if it had been issued after the
     owner died, and be granted again.
     """
-    owner, successor, holder = world.nodes
-    model.start_serving(world, owner, successor)
-    key = world.make_key(ahead_s=2.5)
-    world.claim(owner, holder, key)
-    world.restart(owner)
-    world.restart(holder)
-    world.now += 1.2
-    take_and_serve(world, successor)
+    owner, successor, holder = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    key = simulation.make_key(ahead_s=2.5)
+    simulation.claim(owner, holder, key)
+    simulation.restart(owner)
+    simulation.restart(holder)
+    simulation.now += 1.2
+    take_and_serve(simulation, successor)
     assert successor.table is not None
     successor.table.has_reports = True
-    world.now += 2.0
-    assert world.has_right(successor)
-    world.claim(successor, world.nodes[2], key)
-    world.check()
+    simulation.now += 2.0
+    assert simulation.has_right(successor)
+    simulation.claim(successor, simulation.nodes[2], key)
+    simulation.check()
 
 
 @case(ignore_tickets)
-def release_is_told_twice(world: model.Simulation) -> None:
+def release_is_told_twice(simulation: model.Simulation) -> None:
     """A release is repeated because its acknowledgement was lost.
 
     In between the same daemon has claimed the key again, for the caller's
     retry. The repeated release must not free the key under it.
     """
-    owner, successor, holder = world.nodes
-    model.start_serving(world, owner, successor)
-    key = world.make_key()
-    world.claim(owner, holder, key)
-    end = world.release(world.granted[-1])
+    owner, successor, holder = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    key = simulation.make_key()
+    simulation.claim(owner, holder, key)
+    end = simulation.release(simulation.granted[-1])
     assert owner.table is not None
     owner.table.end(end, holder.incarnation)
-    assert world.claim(owner, holder, key) is wire.ClaimVerdict.GRANTED
+    assert simulation.claim(owner, holder, key) is wire.ClaimVerdict.GRANTED
     owner.table.end(end, holder.incarnation)
-    world.claim(owner, successor, key)
-    world.check()
+    simulation.claim(owner, successor, key)
+    simulation.check()
 
 
 @case(believe_released_reports)
-def key_moved_on_before_owner_died(world: model.Simulation) -> None:
+def key_moved_on_before_owner_died(simulation: model.Simulation) -> None:
     """One daemon released a key, another got it; then the owner died.
 
     The first reports "released" to the new owner, the second is cut off.
     """
-    owner, successor, first = world.nodes
-    model.start_serving(world, owner, successor)
-    key = world.make_key()
-    world.claim(owner, first, key)
-    end = world.release(world.granted[-1])
+    owner, successor, first = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    key = simulation.make_key()
+    simulation.claim(owner, first, key)
+    end = simulation.release(simulation.granted[-1])
     assert owner.table is not None
     owner.table.end(end, first.incarnation)
-    assert world.claim(owner, owner, key) is wire.ClaimVerdict.GRANTED
-    world.restart(owner)
-    world.now += 2.0
-    take_and_serve(world, successor)
-    world.report(successor, first)
+    assert simulation.claim(owner, owner, key) is wire.ClaimVerdict.GRANTED
+    simulation.restart(owner)
+    simulation.now += 2.0
+    take_and_serve(simulation, successor)
+    simulation.report(successor, first)
     assert successor.table is not None
     successor.table.has_reports = True
-    world.claim(successor, first, key)
-    world.check()
+    simulation.claim(successor, first, key)
+    simulation.check()
 
 
 @case(ignore_tickets)
-def release_arrives_after_the_end(world: model.Simulation) -> None:
+def release_arrives_after_the_end(simulation: model.Simulation) -> None:
     """A finished key is reported as missing later, and must stay finished.
 
     The holder has dropped the kept answer by then and cannot know better.
     """
-    owner, successor, holder = world.nodes
-    model.start_serving(world, owner, successor)
-    key = world.make_key()
-    world.claim(owner, holder, key)
-    item = world.granted[-1]
-    release = world.release(item)
+    owner, successor, holder = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    key = simulation.make_key()
+    simulation.claim(owner, holder, key)
+    item = simulation.granted[-1]
+    release = simulation.release(item)
     item.is_released = False
     finished = dataclasses.replace(release, state=wire.ClaimState.FINISHED)
     assert owner.table is not None
     owner.table.end(finished, holder.incarnation)
     owner.table.end(release, holder.incarnation)
-    world.claim(owner, successor, key)
-    world.check()
+    simulation.claim(owner, successor, key)
+    simulation.check()
 
 
 @case(believe_late_words)
-def dead_process_speaks_late(world: model.Simulation) -> None:
+def dead_process_speaks_late(simulation: model.Simulation) -> None:
     """A record of a process that is gone lands after its host's next one.
 
     The restarted daemon owns the shard by then, and is cut off from the log
     with its successor. The late record must not make it look dead.
     """
-    first, successor, outsider = world.nodes
-    late = world.send(first, records.Mark())
-    owner = world.restart(first)
-    model.start_serving(world, owner, successor)
-    append = world.take(outsider, None)
+    first, successor, outsider = simulation.nodes
+    late = simulation.send(first, records.Mark())
+    owner = simulation.restart(first)
+    model.start_serving(simulation, owner, successor)
+    append = simulation.take(outsider, None)
     assert append is not None
-    world.land(append)
-    world.land(late)
-    world.read(outsider)
-    renew_for(world, owner, successor, 2 * model.LEASE)
-    serve_when_allowed(world, outsider)
+    simulation.land(append)
+    simulation.land(late)
+    simulation.read(outsider)
+    renew_for(simulation, owner, successor, 2 * model.LEASE)
+    serve_when_allowed(simulation, outsider)
 
 
 class TestSafeguards(testtools.TestCase):
