--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(eq=False)
-class Letter:
+class PromiseCall:
     """A promise on its way: asked for, or given as well."""
 
     owner: 'Node'
@@ -91,7 +91,7 @@
         self.now = 0.0
         self.log: list[tuple[ids.Offset, bytes]] = []
         self.flying: list[Append] = []
-        self.letters: list[Letter] = []
+        self.letters: list[PromiseCall] = []
         self.granted: list[Granted] = []
         self.tickets = 0
         self.runs = 0
@@ -207,17 +207,17 @@
         change = records.NameSuccessor(SHARD, node.lease.epoch, name)
         return self.send(node, change, 'name')
 
-    def ask(self, owner: Node, promiser: Node) -> Letter | None:
+    def ask(self, owner: Node, promiser: Node) -> PromiseCall | None:
         if owner.lease is None or owner is promiser:
             return None
         place = (SHARD, owner.lease.epoch)
-        letter = Letter(
+        letter = PromiseCall(
             owner, promiser, wire.PromiseRequest([place], LEASE), self.now
         )
         self.letters.append(letter)
         return letter
 
-    def carry(self, letter: Letter) -> None:
+    def carry(self, letter: PromiseCall) -> None:
         """Bring a letter to its next reader."""
         promiser = letter.promiser
         if letter.given is None:
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -147,7 +147,9 @@
 def count_from_receipt(test: testtools.TestCase) -> None:
     carry = model.Simulation.carry
 
-    def carry_late(simulation: model.Simulation, letter: model.Letter) -> None:
+    def carry_late(
+        simulation: model.Simulation, letter: model.PromiseCall
+    ) -> None:
         if letter.given is not None:
             letter.sent_at = simulation.now
         carry(simulation, letter)
