--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -91,7 +91,7 @@
         self.now = 0.0
         self.log: list[tuple[ids.Offset, bytes]] = []
         self.flying: list[Append] = []
-        self.letters: list[PromiseCall] = []
+        self.calls: list[PromiseCall] = []
         self.granted: list[Granted] = []
         self.tickets = 0
         self.runs = 0
@@ -214,7 +214,7 @@
         letter = PromiseCall(
             owner, promiser, wire.PromiseRequest([place], LEASE), self.now
         )
-        self.letters.append(letter)
+        self.calls.append(letter)
         return letter
 
     def carry(self, letter: PromiseCall) -> None:
@@ -222,7 +222,7 @@
         promiser = letter.promiser
         if letter.given is None:
             if promiser.is_dead:
-                self.letters.remove(letter)
+                self.calls.remove(letter)
                 return
             given = promiser.promises.give(
                 letter.request, promiser.view, self.now
@@ -231,7 +231,7 @@
             age = None if confirmed is None else self.now - confirmed
             letter.given = wire.Promise(given, age)
             return
-        self.letters.remove(letter)
+        self.calls.remove(letter)
         lease = letter.owner.lease
         for _, epoch in letter.given.shards:
             if lease is None or lease.epoch != epoch:
@@ -356,5 +356,5 @@
     letter = simulation.ask(owner, promiser)
     if letter is not None:
         simulation.carry(letter)
-        if letter in simulation.letters:
+        if letter in simulation.calls:
             simulation.carry(letter)
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -95,9 +95,9 @@
 
     @stateful.rule(pick=_PICK)
     def carry(self, pick: int) -> None:
-        if self.simulation.letters:
-            letters = self.simulation.letters
-            self.simulation.carry(letters[pick % len(letters)])
+        if self.simulation.calls:
+            calls = self.simulation.calls
+            self.simulation.carry(calls[pick % len(calls)])
 
     @stateful.rule(node=_NODES)
     def restart(self, node: int) -> None:
