--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -211,36 +211,36 @@
         if owner.lease is None or owner is promiser:
             return None
         place = (SHARD, owner.lease.epoch)
-        letter = PromiseCall(
+        call = PromiseCall(
             owner, promiser, wire.PromiseRequest([place], LEASE), self.now
         )
-        self.calls.append(letter)
-        return letter
+        self.calls.append(call)
+        return call
 
-    def carry(self, letter: PromiseCall) -> None:
+    def carry(self, call: PromiseCall) -> None:
         """Bring a letter to its next reader."""
-        promiser = letter.promiser
-        if letter.given is None:
+        promiser = call.promiser
+        if call.given is None:
             if promiser.is_dead:
-                self.calls.remove(letter)
+                self.calls.remove(call)
                 return
             given = promiser.promises.give(
-                letter.request, promiser.view, self.now
+                call.request, promiser.view, self.now
             )
             confirmed = promiser.follower.confirmed_at
             age = None if confirmed is None else self.now - confirmed
-            letter.given = wire.Promise(given, age)
+            call.given = wire.Promise(given, age)
             return
-        self.calls.remove(letter)
-        lease = letter.owner.lease
-        for _, epoch in letter.given.shards:
+        self.calls.remove(call)
+        lease = call.owner.lease
+        for _, epoch in call.given.shards:
             if lease is None or lease.epoch != epoch:
                 continue
             lease.record_promise(
                 promiser.incarnation,
-                letter.sent_at,
+                call.sent_at,
                 LEASE,
-                letter.given.confirmed_age_s,
+                call.given.confirmed_age_s,
             )
 
     def claim(
@@ -353,8 +353,8 @@
 
 def exchange(simulation: Simulation, owner: Node, promiser: Node) -> None:
     """Ask for a promise and get it, all at once."""
-    letter = simulation.ask(owner, promiser)
-    if letter is not None:
-        simulation.carry(letter)
-        if letter in simulation.calls:
-            simulation.carry(letter)
+    call = simulation.ask(owner, promiser)
+    if call is not None:
+        simulation.carry(call)
+        if call in simulation.calls:
+            simulation.carry(call)
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -148,11 +148,11 @@
     carry = model.Simulation.carry
 
     def carry_late(
-        simulation: model.Simulation, letter: model.PromiseCall
+        simulation: model.Simulation, call: model.PromiseCall
     ) -> None:
-        if letter.given is not None:
-            letter.sent_at = simulation.now
-        carry(simulation, letter)
+        if call.given is not None:
+            call.sent_at = simulation.now
+        carry(simulation, call)
 
     test.patch(model.Simulation, 'carry', carry_late)
 
@@ -312,11 +312,11 @@
     """
     owner, successor, _ = simulation.nodes
     model.start_serving(simulation, owner, successor)
-    letter = simulation.ask(owner, successor)
-    assert letter is not None
-    simulation.carry(letter)
+    call = simulation.ask(owner, successor)
+    assert call is not None
+    simulation.carry(call)
     simulation.now += 0.9
-    simulation.carry(letter)
+    simulation.carry(call)
     simulation.now += 0.2
     take_and_serve(simulation, successor)
     assert successor.is_serving
