--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -147,14 +147,14 @@
 def count_from_receipt(test: testtools.TestCase) -> None:
     deliver = model.Simulation.deliver
 
-    def carry_late(
+    def deliver_late(
         simulation: model.Simulation, call: model.PromiseCall
     ) -> None:
         if call.given is not None:
             call.sent_at = simulation.now
         deliver(simulation, call)
 
-    test.patch(model.Simulation, 'carry', carry_late)
+    test.patch(model.Simulation, 'carry', deliver_late)
 
 
 def draw_no_line(test: testtools.TestCase) -> None:
