--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -90,7 +90,7 @@
     def __init__(self, hosts: int = 3, skews: ty.Sequence[float] = ()) -> None:
         self.now = 0.0
         self.log: list[tuple[ids.Offset, bytes]] = []
-        self.flying: list[Append] = []
+        self.in_flight: list[Append] = []
         self.calls: list[PromiseCall] = []
         self.granted: list[Granted] = []
         self.tickets = 0
@@ -110,11 +110,11 @@
             node.doubts[doubt] = node.sequence
         envelope = records.Envelope(node.incarnation, node.sequence, body)
         append = Append(envelope, self.now)
-        self.flying.append(append)
+        self.in_flight.append(append)
         return append
 
     def land(self, append: Append) -> None:
-        self.flying.remove(append)
+        self.in_flight.remove(append)
         offset = ids.Offset(len(self.log))
         self.log.append((offset, append.envelope.encode()))
 
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -43,9 +43,9 @@
 
     @stateful.rule(pick=_PICK)
     def land(self, pick: int) -> None:
-        if self.simulation.flying:
-            flying = self.simulation.flying
-            self.simulation.land(flying[pick % len(flying)])
+        if self.simulation.in_flight:
+            in_flight = self.simulation.in_flight
+            self.simulation.land(in_flight[pick % len(in_flight)])
 
     @stateful.rule(node=_NODES)
     def read(self, node: int) -> None:
