--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -113,7 +113,7 @@
         self.in_flight.append(append)
         return append
 
-    def land(self, append: Append) -> None:
+    def commit(self, append: Append) -> None:
         self.in_flight.remove(append)
         offset = ids.Offset(len(self.log))
         self.log.append((offset, append.envelope.encode()))
@@ -346,7 +346,7 @@
 
 def settle(simulation: Simulation, append: Append) -> None:
     """Land a record and let everybody read it."""
-    simulation.land(append)
+    simulation.commit(append)
     for node in simulation.nodes:
         simulation.read(node)
 
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -60,7 +60,7 @@
     """Let a node take a shard and read its own record."""
     append = simulation.take(node, successor)
     assert append is not None
-    simulation.land(append)
+    simulation.commit(append)
     simulation.read(node)
 
 
@@ -73,7 +73,7 @@
 def serve_when_allowed(simulation: model.Simulation, node: model.Node) -> None:
     append = simulation.serve(node)
     if append is not None:
-        simulation.land(append)
+        simulation.commit(append)
         simulation.read(node)
     simulation.check()
 
@@ -252,7 +252,7 @@
     model.start_serving(simulation, owner, old)
     change = simulation.name(owner, new)
     assert change is not None
-    simulation.land(change)
+    simulation.commit(change)
     simulation.read(new)
     renew_for(simulation, owner, old, 0.4)
     take_and_serve(simulation, new)
@@ -277,7 +277,7 @@
     late = simulation.name(owner, other)
     assert late is not None
     model.settle(simulation, simulation.send(owner, records.Mark()))
-    simulation.land(late)
+    simulation.commit(late)
     simulation.read(other)
     renew_for(simulation, owner, old, 0.4)
     take_and_serve(simulation, other)
@@ -445,8 +445,8 @@
     model.start_serving(simulation, owner, successor)
     append = simulation.take(outsider, None)
     assert append is not None
-    simulation.land(append)
-    simulation.land(late)
+    simulation.commit(append)
+    simulation.commit(late)
     simulation.read(outsider)
     renew_for(simulation, owner, successor, 2 * model.LEASE)
     serve_when_allowed(simulation, outsider)
