--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -76,7 +76,7 @@
         self.sequence = 0
         self.is_dead = False
         # Number of an append in doubt, by what it was.
-        self.doubts: dict[str, int] = {}
+        self.unconfirmed_appends: dict[str, int] = {}
         self.sent_at: dict[int, float] = {}
         self.pending_successor: ids.Incarnation | None = None
 
@@ -107,7 +107,7 @@
         node.sequence += 1
         node.sent_at[node.sequence] = self.now
         if doubt:
-            node.doubts[doubt] = node.sequence
+            node.unconfirmed_appends[doubt] = node.sequence
         envelope = records.Envelope(node.incarnation, node.sequence, body)
         append = Append(envelope, self.now)
         self.in_flight.append(append)
@@ -132,10 +132,10 @@
 
     def _read_back(self, node: Node, sequence: int) -> None:
         node.follower.confirmed_at = node.sent_at[sequence]
-        for doubt, number in list(node.doubts.items()):
+        for doubt, number in list(node.unconfirmed_appends.items()):
             if number <= sequence:
-                del node.doubts[doubt]
-        if 'name' not in node.doubts and node.lease is not None:
+                del node.unconfirmed_appends[doubt]
+        if 'name' not in node.unconfirmed_appends and node.lease is not None:
             entry = node.view.get(SHARD)
             if entry is not None and entry.owner == node.incarnation:
                 node.lease.remove_other_promisers(entry.successor)
@@ -177,7 +177,7 @@
 
     def take(self, node: Node, successor: Node | None) -> Append | None:
         entry = node.view.get(SHARD)
-        if 'take' in node.doubts or node.lease is not None:
+        if 'take' in node.unconfirmed_appends or node.lease is not None:
             return None
         epoch = ids.Epoch(1 if entry is None else entry.epoch + 1)
         name = None if successor is None else successor.incarnation
@@ -199,7 +199,7 @@
     def name(self, node: Node, successor: Node | None) -> Append | None:
         if node.lease is None or not node.is_serving:
             return None
-        if 'name' in node.doubts:
+        if 'name' in node.unconfirmed_appends:
             return None
         name = None if successor is None else successor.incarnation
         if name is not None:
