--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -103,11 +103,11 @@
 
     # The log.
 
-    def send(self, node: Node, body: object, doubt: str = '') -> Append:
+    def send(self, node: Node, body: object, append_kind: str = '') -> Append:
         node.sequence += 1
         node.sent_at[node.sequence] = self.now
-        if doubt:
-            node.unconfirmed_appends[doubt] = node.sequence
+        if append_kind:
+            node.unconfirmed_appends[append_kind] = node.sequence
         envelope = records.Envelope(node.incarnation, node.sequence, body)
         append = Append(envelope, self.now)
         self.in_flight.append(append)
@@ -132,9 +132,9 @@
 
     def _read_back(self, node: Node, sequence: int) -> None:
         node.follower.confirmed_at = node.sent_at[sequence]
-        for doubt, number in list(node.unconfirmed_appends.items()):
+        for append_kind, number in list(node.unconfirmed_appends.items()):
             if number <= sequence:
-                del node.unconfirmed_appends[doubt]
+                del node.unconfirmed_appends[append_kind]
         if 'name' not in node.unconfirmed_appends and node.lease is not None:
             entry = node.view.get(SHARD)
             if entry is not None and entry.owner == node.incarnation:
