--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -128,7 +128,7 @@
             envelope = records.decode_envelope(data)
             if envelope.sender == node.incarnation:
                 self._read_back(node, envelope.sequence)
-            self._look(node)
+            self._update_ownership(node)
 
     def _read_back(self, node: Node, sequence: int) -> None:
         node.follower.confirmed_at = node.sent_at[sequence]
@@ -140,7 +140,7 @@
             if entry is not None and entry.owner == node.incarnation:
                 node.lease.remove_other_promisers(entry.successor)
 
-    def _look(self, node: Node) -> None:
+    def _update_ownership(self, node: Node) -> None:
         entry = node.view.get(SHARD)
         assert entry is not None or not self.log or node.lease is None
         if entry is None:
