--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -19,7 +19,7 @@
 
 SHARD = ids.Shard('claims/0')
 ORGANISATION = ids.Organisation('festin')
-LEASE = 1.0
+LEASE_S = 1.0
 OUTAGE_LIMIT = 10.0
 SKEW = 0.25
 LIMITS = bundle.Limits(clock_skew_s=SKEW)
@@ -181,7 +181,7 @@
             return None
         epoch = ids.Epoch(1 if entry is None else entry.epoch + 1)
         name = None if successor is None else successor.incarnation
-        take = records.Take(SHARD, epoch, name, LEASE, OUTAGE_LIMIT)
+        take = records.Take(SHARD, epoch, name, LEASE_S, OUTAGE_LIMIT)
         return self.send(node, take, 'take')
 
     def serve(self, node: Node) -> Append | None:
@@ -212,7 +212,7 @@
             return None
         place = (SHARD, owner.lease.epoch)
         call = PromiseCall(
-            owner, promiser, wire.PromiseRequest([place], LEASE), self.now
+            owner, promiser, wire.PromiseRequest([place], LEASE_S), self.now
         )
         self.calls.append(call)
         return call
@@ -239,7 +239,7 @@
             lease.record_promise(
                 promiser.incarnation,
                 call.sent_at,
-                LEASE,
+                LEASE_S,
                 call.given.confirmed_age_s,
             )
 
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -98,7 +98,7 @@
         taker: ty.Any,
         promises: leases.PromiseTable,
     ) -> float:
-        ends = [item.replaced_at + model.LEASE for item in entry.unsettled]
+        ends = [item.replaced_at + model.LEASE_S for item in entry.unsettled]
         return float(max([entry.taken_at, *ends]))
 
     test.patch(leases, 'find_serve_time', find_short)
@@ -236,7 +236,7 @@
     owner, successor, outsider = simulation.nodes
     model.start_serving(simulation, owner, successor)
     take(simulation, outsider)
-    renew_for(simulation, owner, successor, 2 * model.LEASE)
+    renew_for(simulation, owner, successor, 2 * model.LEASE_S)
     serve_when_allowed(simulation, outsider)
 
 
@@ -298,9 +298,9 @@
     take(simulation, outsider, heir)
     simulation.read(heir)
     simulation.restart(outsider)
-    renew_for(simulation, owner, successor, 2 * model.LEASE)
+    renew_for(simulation, owner, successor, 2 * model.LEASE_S)
     take_and_serve(simulation, heir)
-    renew_for(simulation, owner, successor, 2 * model.LEASE)
+    renew_for(simulation, owner, successor, 2 * model.LEASE_S)
     serve_when_allowed(simulation, heir)
 
 
@@ -448,7 +448,7 @@
     simulation.commit(append)
     simulation.commit(late)
     simulation.read(outsider)
-    renew_for(simulation, owner, successor, 2 * model.LEASE)
+    renew_for(simulation, owner, successor, 2 * model.LEASE_S)
     serve_when_allowed(simulation, outsider)
 
 
