--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -20,7 +20,7 @@
 SHARD = ids.Shard('claims/0')
 ORGANISATION = ids.Organisation('festin')
 LEASE_S = 1.0
-OUTAGE_LIMIT = 10.0
+OUTAGE_LIMIT_S = 10.0
 SKEW = 0.25
 LIMITS = bundle.Limits(clock_skew_s=SKEW)
 # Wall clock time at monotonic time 0.
@@ -181,7 +181,7 @@
             return None
         epoch = ids.Epoch(1 if entry is None else entry.epoch + 1)
         name = None if successor is None else successor.incarnation
-        take = records.Take(SHARD, epoch, name, LEASE_S, OUTAGE_LIMIT)
+        take = records.Take(SHARD, epoch, name, LEASE_S, OUTAGE_LIMIT_S)
         return self.send(node, take, 'take')
 
     def serve(self, node: Node) -> Append | None:
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -225,7 +225,7 @@
     owner, successor, outsider = simulation.nodes
     model.start_serving(simulation, owner, successor)
     take(simulation, outsider)
-    renew_for(simulation, owner, successor, 1.02 * model.OUTAGE_LIMIT)
+    renew_for(simulation, owner, successor, 1.02 * model.OUTAGE_LIMIT_S)
     serve_when_allowed(simulation, outsider)
     assert outsider.is_serving
 
