--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -21,8 +21,8 @@
 ORGANISATION = ids.Organisation('festin')
 LEASE_S = 1.0
 OUTAGE_LIMIT_S = 10.0
-SKEW = 0.25
-LIMITS = bundle.Limits(clock_skew_s=SKEW)
+CLOCK_SKEW_S = 0.25
+LIMITS = bundle.Limits(clock_skew_s=CLOCK_SKEW_S)
 # Wall clock time at monotonic time 0.
 EPOCH_WALL = 1_700_000_000.0
 
@@ -170,7 +170,7 @@
         cutoff_at = None
         if lease.epoch > 1:
             ended = node.wall(self.now) - (self.now - node.ended_at)
-            cutoff_at = ended + 2 * SKEW
+            cutoff_at = ended + 2 * CLOCK_SKEW_S
         node.table = claimtable.ClaimTable(lease.epoch, LIMITS, cutoff_at)
 
     # What a daemon may do at any time.
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -16,7 +16,9 @@
 _MOSTLY = strategies.sampled_from([True, True, False])
 _TIMES = strategies.integers(1, 12)
 _AHEAD = strategies.sampled_from([-20.0, -1.0, 0.0, 0.2, 1.0, 2.5])
-_SKEWS = strategies.sampled_from([-model.SKEW, 0.0, model.SKEW])
+_SKEWS = strategies.sampled_from(
+    [-model.CLOCK_SKEW_S, 0.0, model.CLOCK_SKEW_S]
+)
 
 
 class OwnershipMachine(stateful.RuleBasedStateMachine):
