--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -24,7 +24,7 @@
 CLOCK_SKEW_S = 0.25
 LIMITS = bundle.Limits(clock_skew_s=CLOCK_SKEW_S)
 # Wall clock time at monotonic time 0.
-EPOCH_WALL = 1_700_000_000.0
+WALL_START_S = 1_700_000_000.0
 
 
 class Violation(AssertionError):
@@ -81,7 +81,7 @@
         self.pending_successor: ids.Incarnation | None = None
 
     def wall(self, now: float) -> float:
-        return EPOCH_WALL + now + self.wall_offset
+        return WALL_START_S + now + self.wall_offset
 
 
 class Simulation:
@@ -323,7 +323,7 @@
 
     def make_key(self, ahead_s: float = 0.0) -> ids.Key:
         """Issue a key by a caller whose clock is off."""
-        return ids.Key(callers.make_key(EPOCH_WALL + self.now + ahead_s))
+        return ids.Key(callers.make_key(WALL_START_S + self.now + ahead_s))
 
     def _count_run(self) -> int:
         self.runs += 1
