--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(eq=False)
-class Granted:
+class GrantedClaim:
     key: ids.Key
     node: 'Node'
     ticket: str
@@ -92,7 +92,7 @@
         self.log: list[tuple[ids.Offset, bytes]] = []
         self.in_flight: list[Append] = []
         self.calls: list[PromiseCall] = []
-        self.granted: list[Granted] = []
+        self.granted: list[GrantedClaim] = []
         self.tickets = 0
         self.runs = 0
         offsets = [*skews, *[0.0] * hosts]
@@ -258,7 +258,7 @@
         if isinstance(reply, claimtable.Deferral):
             return None
         if reply.verdict is wire.ClaimVerdict.GRANTED:
-            self.granted.append(Granted(key, asker, request.ticket))
+            self.granted.append(GrantedClaim(key, asker, request.ticket))
         return reply.verdict
 
     def report(self, owner: Node, sender: Node) -> None:
@@ -284,7 +284,7 @@
             owner.wall(self.now),
         )
 
-    def release(self, item: Granted) -> wire.ClaimEnd:
+    def release(self, item: GrantedClaim) -> wire.ClaimEnd:
         """Let a holder give up a key that it did not run."""
         item.is_released = True
         return wire.ClaimEnd(
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -28,7 +28,7 @@
         super().__init__()
         self.simulation = model.Simulation()
         self.keys: list[ids.Key] = []
-        self.ends: list[tuple[model.Granted, wire.ClaimEnd]] = []
+        self.ends: list[tuple[model.GrantedClaim, wire.ClaimEnd]] = []
 
     @stateful.initialize(skews=strategies.tuples(_SKEWS, _SKEWS, _SKEWS))
     def begin(self, skews: tuple[float, float, float]) -> None:
@@ -160,7 +160,7 @@
         for owner in self.simulation.nodes:
             self.simulation.claim(owner, self.simulation.nodes[asker], key)
 
-    def _tell_end(self, item: model.Granted, end: wire.ClaimEnd) -> None:
+    def _tell_end(self, item: model.GrantedClaim, end: wire.ClaimEnd) -> None:
         for owner in self.simulation.nodes:
             if owner.table is not None:
                 owner.table.end(end, item.node.incarnation)
