--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -341,7 +341,7 @@
     assert append is not None
     settle(simulation, append)
     if successor is not None:
-        exchange(simulation, owner, successor)
+        exchange_promise(simulation, owner, successor)
 
 
 def settle(simulation: Simulation, append: Append) -> None:
@@ -351,7 +351,9 @@
         simulation.read(node)
 
 
-def exchange(simulation: Simulation, owner: Node, promiser: Node) -> None:
+def exchange_promise(
+    simulation: Simulation, owner: Node, promiser: Node
+) -> None:
     """Ask for a promise and get it, all at once."""
     call = simulation.ask(owner, promiser)
     if call is not None:
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -86,7 +86,7 @@
         nodes = self.simulation.nodes
         for _ in range(times):
             self.simulation.now += 0.2
-            model.exchange(self.simulation, nodes[owner], nodes[giver])
+            model.exchange_promise(self.simulation, nodes[owner], nodes[giver])
             self.simulation.check()
 
     @stateful.rule(owner=_NODES, giver=_NODES)
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -48,7 +48,7 @@
     end = simulation.now + seconds
     while simulation.now < end:
         simulation.now += 0.2
-        model.exchange(simulation, owner, promiser)
+        model.exchange_promise(simulation, owner, promiser)
         simulation.check()
 
 
@@ -257,7 +257,7 @@
     renew_for(simulation, owner, old, 0.4)
     take_and_serve(simulation, new)
     simulation.now += 0.1
-    model.exchange(simulation, owner, old)
+    model.exchange_promise(simulation, owner, old)
     serve_when_allowed(simulation, new)
     assert new.is_serving
 
@@ -282,7 +282,7 @@
     renew_for(simulation, owner, old, 0.4)
     take_and_serve(simulation, other)
     simulation.now += 0.1
-    model.exchange(simulation, owner, old)
+    model.exchange_promise(simulation, owner, old)
     serve_when_allowed(simulation, other)
 
 
