--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -17,21 +17,21 @@
 from apricotlandingd.configuration import logfollower
 from apricotlandingd.ownership import claimtable, leases, shardview
 
-Story = collections.abc.Callable[[model.Simulation], None]
+Scenario = collections.abc.Callable[[model.Simulation], None]
 Removal = collections.abc.Callable[[testtools.TestCase], None]
 
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    story: Story
+    story: Scenario
     remove: Removal
 
 
 _cases: dict[str, Case] = {}
 
 
-def case(remove: Removal) -> collections.abc.Callable[[Story], Story]:
-    def file_story(story: Story) -> Story:
+def case(remove: Removal) -> collections.abc.Callable[[Scenario], Scenario]:
+    def file_story(story: Scenario) -> Scenario:
         _cases[story.__name__] = Case(story, remove)
         return story
 
