--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    story: Scenario
+    scenario: Scenario
     remove: Removal
 
 
@@ -31,9 +31,9 @@
 
 
 def case(remove: Removal) -> collections.abc.Callable[[Scenario], Scenario]:
-    def file_story(story: Scenario) -> Scenario:
-        _cases[story.__name__] = Case(story, remove)
-        return story
+    def file_story(scenario: Scenario) -> Scenario:
+        _cases[scenario.__name__] = Case(scenario, remove)
+        return scenario
 
     return file_story
 
@@ -458,7 +458,7 @@
 
 def _make_safe_test(item: Case) -> ty.Callable[[testtools.TestCase], None]:
     def test(self: testtools.TestCase) -> None:
-        item.story(_make_world(item))
+        item.scenario(_make_world(item))
 
     return test
 
@@ -466,13 +466,13 @@
 def _make_bare_test(item: Case) -> ty.Callable[[testtools.TestCase], None]:
     def test(self: testtools.TestCase) -> None:
         item.remove(self)
-        self.assertRaises(model.Violation, item.story, _make_world(item))
+        self.assertRaises(model.Violation, item.scenario, _make_world(item))
 
     return test
 
 
 def _make_world(item: Case) -> model.Simulation:
-    needs_fourth = item.story is taker_dies_in_its_long_wait
+    needs_fourth = item.scenario is taker_dies_in_its_long_wait
     return model.Simulation(hosts=4 if needs_fourth else 3)
 
 
