--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -31,11 +31,11 @@
 
 
 def case(remove: Removal) -> collections.abc.Callable[[Scenario], Scenario]:
-    def file_story(scenario: Scenario) -> Scenario:
+    def register_scenario(scenario: Scenario) -> Scenario:
         _cases[scenario.__name__] = Case(scenario, remove)
         return scenario
 
-    return file_story
+    return register_scenario
 
 
 def renew_for(
