--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -157,7 +157,7 @@
     test.patch(model.Simulation, 'carry', deliver_late)
 
 
-def draw_no_line(test: testtools.TestCase) -> None:
+def ignore_cutoff(test: testtools.TestCase) -> None:
     test.patch(
         claimtable.ClaimTable, '_is_before_line', lambda *arguments: False
     )
@@ -322,7 +322,7 @@
     assert successor.is_serving
 
 
-@case(draw_no_line)
+@case(ignore_cutoff)
 def holder_dies_with_owner(simulation: model.Simulation) -> None:
     """A key is granted, then owner and holder die; its caller tries again.
 
