--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -191,7 +191,7 @@
     test.patch(claimtable.ClaimTable, 'end', end)
 
 
-def believe_released_reports(test: testtools.TestCase) -> None:
+def accept_released_reports(test: testtools.TestCase) -> None:
     add_report = claimtable.ClaimTable.add_report
 
     def add_all(
@@ -387,7 +387,7 @@
     simulation.check()
 
 
-@case(believe_released_reports)
+@case(accept_released_reports)
 def key_moved_on_before_owner_died(simulation: model.Simulation) -> None:
     """One daemon released a key, another got it; then the owner died.
 
