--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -203,7 +203,7 @@
     test.patch(claimtable.ClaimTable, 'add_report', add_all)
 
 
-def believe_late_words(test: testtools.TestCase) -> None:
+def ignore_incarnation_order(test: testtools.TestCase) -> None:
     def has_ended(earlier: ids.Incarnation, later: ids.Incarnation) -> bool:
         same_host = ids.parse_host(earlier) == ids.parse_host(later)
         return same_host and earlier != later
@@ -432,7 +432,7 @@
     simulation.check()
 
 
-@case(believe_late_words)
+@case(ignore_incarnation_order)
 def dead_process_speaks_late(simulation: model.Simulation) -> None:
     """A record of a process that is gone lands after its host's next one.
 
