--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -293,15 +293,15 @@
     It never served, so its successor is nobody's successor as far as the
     owner before is concerned, who is cut off with its own successor.
     """
-    owner, successor, outsider, heir = simulation.nodes
+    owner, successor, outsider, second_successor = simulation.nodes
     model.start_serving(simulation, owner, successor)
-    take(simulation, outsider, heir)
-    simulation.read(heir)
+    take(simulation, outsider, second_successor)
+    simulation.read(second_successor)
     simulation.restart(outsider)
     renew_for(simulation, owner, successor, 2 * model.LEASE_S)
-    take_and_serve(simulation, heir)
+    take_and_serve(simulation, second_successor)
     renew_for(simulation, owner, successor, 2 * model.LEASE_S)
-    serve_when_allowed(simulation, heir)
+    serve_when_allowed(simulation, second_successor)
 
 
 @case(count_from_receipt)
