--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -287,7 +287,7 @@
 
 
 @case(wait_for_last_taker_only)
-def taker_dies_in_its_long_wait(simulation: model.Simulation) -> None:
+def taker_dies_while_waiting(simulation: model.Simulation) -> None:
     """An outsider dies waiting; its successor must wait as long.
 
     It never served, so its successor is nobody's successor as far as the
@@ -472,7 +472,7 @@
 
 
 def _make_world(item: Case) -> model.Simulation:
-    needs_fourth = item.scenario is taker_dies_in_its_long_wait
+    needs_fourth = item.scenario is taker_dies_while_waiting
     return model.Simulation(hosts=4 if needs_fourth else 3)
 
 
