--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -433,7 +433,7 @@
 
 
 @case(ignore_incarnation_order)
-def dead_process_speaks_late(simulation: model.Simulation) -> None:
+def record_of_ended_process_lands_late(simulation: model.Simulation) -> None:
     """A record of a process that is gone lands after its host's next one.
 
     The restarted daemon owns the shard by then, and is cut off from the log
