--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -368,7 +368,7 @@
 
 
 @case(ignore_tickets)
-def release_is_told_twice(simulation: model.Simulation) -> None:
+def release_is_repeated(simulation: model.Simulation) -> None:
     """A release is repeated because its acknowledgement was lost.
 
     In between the same daemon has claimed the key again, for the caller's
