--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -388,7 +388,9 @@
 
 
 @case(accept_released_reports)
-def key_moved_on_before_owner_died(simulation: model.Simulation) -> None:
+def key_granted_elsewhere_before_owner_died(
+    simulation: model.Simulation,
+) -> None:
     """One daemon released a key, another got it; then the owner died.
 
     The first reports "released" to the new owner, the second is cut off.
