--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -345,7 +345,7 @@
 
 
 @case(grant_early_keys)
-def callers_clock_is_ahead(simulation: model.Simulation) -> None:
+def clock_of_caller_is_ahead(simulation: model.Simulation) -> None:
     """A phone's clock runs two seconds ahead, and its key with it.
 
     Granted at once, the key would look as if it had been issued after the
