--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -465,7 +465,9 @@
     return test
 
 
-def _make_bare_test(item: Case) -> ty.Callable[[testtools.TestCase], None]:
+def _make_unguarded_test(
+    item: Case,
+) -> ty.Callable[[testtools.TestCase], None]:
     def test(self: testtools.TestCase) -> None:
         item.remove(self)
         self.assertRaises(model.Violation, item.scenario, _make_world(item))
@@ -480,4 +482,4 @@
 
 for _name, _item in _cases.items():
     setattr(TestSafeguards, f'test_{_name}', _make_safe_test(_item))
-    setattr(TestSafeguards, f'test_{_name}_bare', _make_bare_test(_item))
+    setattr(TestSafeguards, f'test_{_name}_bare', _make_unguarded_test(_item))
