--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -88,7 +88,7 @@
         lease.outage_limit_s = float('inf')
         return find_expiry(lease)
 
-    test.patch(leases.Lease, 'find_end', find_unlimited)
+    test.patch(leases.Lease, 'find_expiry', find_unlimited)
 
 
 def wait_short_as_outsider(test: testtools.TestCase) -> None:
@@ -112,7 +112,7 @@
         if not lease.promisers:
             lease.promisers.add(promiser)
 
-    test.patch(leases.Lease, 'require', add_promiser)
+    test.patch(leases.Lease, 'add_promiser', add_promiser)
 
 
 def accept_late_records(test: testtools.TestCase) -> None:
@@ -154,12 +154,12 @@
             call.sent_at = simulation.now
         deliver(simulation, call)
 
-    test.patch(model.Simulation, 'carry', deliver_late)
+    test.patch(model.Simulation, 'deliver', deliver_late)
 
 
 def ignore_cutoff(test: testtools.TestCase) -> None:
     test.patch(
-        claimtable.ClaimTable, '_is_before_line', lambda *arguments: False
+        claimtable.ClaimTable, '_is_before_cutoff', lambda *arguments: False
     )
 
 
