--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -47,7 +47,7 @@
     def land(self, pick: int) -> None:
         if self.simulation.in_flight:
             in_flight = self.simulation.in_flight
-            self.simulation.land(in_flight[pick % len(in_flight)])
+            self.simulation.commit(in_flight[pick % len(in_flight)])
 
     @stateful.rule(node=_NODES)
     def read(self, node: int) -> None:
@@ -99,7 +99,7 @@
     def carry(self, pick: int) -> None:
         if self.simulation.calls:
             calls = self.simulation.calls
-            self.simulation.carry(calls[pick % len(calls)])
+            self.simulation.deliver(calls[pick % len(calls)])
 
     @stateful.rule(node=_NODES)
     def restart(self, node: int) -> None:
@@ -153,7 +153,7 @@
 
     def _finish(self, node: int, append: model.Append | None) -> None:
         if append is not None:
-            self.simulation.land(append)
+            self.simulation.commit(append)
             self.simulation.read(self.simulation.nodes[node])
 
     def _claim_anywhere(self, asker: int, key: ids.Key) -> None:
