--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -234,14 +234,14 @@
         incarnation: ids.Incarnation,
         view: shardview.ShardView,
         others: peers.Peers,
-        desk: ClaimServer,
+        server: ClaimServer,
         store: answers.AnswerStore,
     ) -> None:
         """Prepare; ``run`` reports to new owners."""
         self._incarnation = incarnation
         self._view = view
         self._peers = others
-        self._desk = desk
+        self._server = server
         self._store = store
         self._group: anyio.abc.TaskGroup | None = None
         # Epochs of shards whose owner has our report, or is getting it.
@@ -281,7 +281,7 @@
         if entry is None:
             return None
         if entry.owner == self._incarnation:
-            return self._desk.answer_query(query, self._incarnation)
+            return self._server.answer_query(query, self._incarnation)
         reply = await self._call(entry.owner, query)
         return reply if isinstance(reply, wire.ClaimReply) else None
 
@@ -320,7 +320,7 @@
         self, entry: shardview.ShardEntry, part: wire.ClaimReport
     ) -> bool:
         if entry.owner == self._incarnation:
-            reply: object = self._desk.answer_report(part, entry.owner)
+            reply: object = self._server.answer_report(part, entry.owner)
         else:
             reply = await self._call(entry.owner, part)
         return isinstance(reply, wire.Ack)
@@ -363,7 +363,7 @@
         if entry is None:
             return False
         if entry.owner == self._incarnation:
-            reply: object = self._desk.answer_end(message, entry.owner)
+            reply: object = self._server.answer_end(message, entry.owner)
         else:
             reply = await self._call(entry.owner, message)
         return isinstance(reply, wire.Ack)
@@ -376,7 +376,7 @@
             return None
         reply: object
         if entry.owner == self._incarnation:
-            reply = await self._desk.answer_claim(request, self._incarnation)
+            reply = await self._server.answer_claim(request, self._incarnation)
         else:
             reply = await self._call(entry.owner, request)
         if not isinstance(reply, wire.ClaimReply):
