--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Desk:
+class _ServedShard:
     # What this daemon keeps for one shard that it owns.
     lease: leases.Lease
     table: claimtable.ClaimTable
@@ -52,7 +52,7 @@
     def __init__(self, others: peers.Peers) -> None:
         """Start without a shard."""
         self._peers = others
-        self._desks: dict[ids.Shard, _Desk] = {}
+        self._desks: dict[ids.Shard, _ServedShard] = {}
         # Tables handed to us by owners that stop, by the epoch that ends.
         self._handed_over: dict[
             tuple[ids.Shard, ids.Epoch], list[wire.ClaimReport]
@@ -98,7 +98,7 @@
         table = claimtable.ClaimTable(lease.epoch, limits, cutoff_at)
         for report in handed_over or []:
             table.add_report(report, wall)
-        self._desks[shard] = _Desk(lease, table, set(), anyio.Event())
+        self._desks[shard] = _ServedShard(lease, table, set(), anyio.Event())
         if not table.has_reports:
             assert self._group is not None
             self._group.start_soon(self._end_report_wait, shard, table)
@@ -208,7 +208,7 @@
         if desk is not None and desk.table is table:
             self._open_desk(desk)
 
-    def _open_desk(self, desk: _Desk) -> None:
+    def _open_desk(self, desk: _ServedShard) -> None:
         desk.table.has_reports = True
         desk.changed.set()
 
