--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -52,7 +52,7 @@
     def __init__(self, others: peers.Peers) -> None:
         """Start without a shard."""
         self._peers = others
-        self._desks: dict[ids.Shard, _ServedShard] = {}
+        self._served: dict[ids.Shard, _ServedShard] = {}
         # Tables handed to us by owners that stop, by the epoch that ends.
         self._handed_over: dict[
             tuple[ids.Shard, ids.Epoch], list[wire.ClaimReport]
@@ -69,12 +69,12 @@
             while True:
                 await anyio.sleep(DROP_INTERVAL_S)
                 wall = clocks.read_wall()
-                for desk in self._desks.values():
+                for desk in self._served.values():
                     desk.table.drop_expired(wall)
 
     def count_claims(self) -> int:
         """Return how many claims this daemon keeps as owner."""
-        return sum(len(desk.table) for desk in self._desks.values())
+        return sum(len(desk.table) for desk in self._served.values())
 
     # The role.
 
@@ -98,20 +98,20 @@
         table = claimtable.ClaimTable(lease.epoch, limits, cutoff_at)
         for report in handed_over or []:
             table.add_report(report, wall)
-        self._desks[shard] = _ServedShard(lease, table, set(), anyio.Event())
+        self._served[shard] = _ServedShard(lease, table, set(), anyio.Event())
         if not table.has_reports:
             assert self._group is not None
             self._group.start_soon(self._end_report_wait, shard, table)
 
     def end(self, shard: ids.Shard) -> None:
         """Forget a shard's table."""
-        self._desks.pop(shard, None)
+        self._served.pop(shard, None)
 
     async def hand_over(
         self, shard: ids.Shard, successor: peerlink.Connection
     ) -> None:
         """Give the whole table to the successor; raises PeerLost."""
-        desk = self._desks.get(shard)
+        desk = self._served.get(shard)
         if desk is None or not desk.table.has_reports:
             return
         for report in _split_report(
@@ -126,7 +126,7 @@
     ) -> wire.ClaimReply:
         """Grant a key, or say why not."""
         while True:
-            desk = self._desks.get(request.shard)
+            desk = self._served.get(request.shard)
             if desk is None or not desk.lease.is_valid(
                 clocks.read_monotonic()
             ):
@@ -150,7 +150,7 @@
         self, message: wire.ClaimEnd, sender: ids.Incarnation
     ) -> wire.Ack | wire.Failed:
         """Note what became of a key."""
-        desk = self._desks.get(message.shard)
+        desk = self._served.get(message.shard)
         if desk is None:
             return wire.Failed('', 'not the owner')
         desk.table.end(message, sender)
@@ -164,7 +164,7 @@
             shard_epoch = (report.shard, report.epoch)
             self._handed_over.setdefault(shard_epoch, []).append(report)
             return wire.Ack()
-        desk = self._desks.get(report.shard)
+        desk = self._served.get(report.shard)
         if desk is None or desk.table.epoch != report.epoch:
             return wire.Failed('', 'not the owner in this epoch')
         desk.table.add_report(report, clocks.read_wall())
@@ -178,7 +178,7 @@
         self, query: wire.ClaimQuery, sender: ids.Incarnation
     ) -> wire.ClaimReply:
         """Say what is known of a key, without granting it."""
-        desk = self._desks.get(query.shard)
+        desk = self._served.get(query.shard)
         if desk is None:
             return _NOT_OWNER
         epoch = desk.table.epoch
@@ -204,7 +204,7 @@
         self, shard: ids.Shard, table: claimtable.ClaimTable
     ) -> None:
         await anyio.sleep(claimtable.REPORT_TIMEOUT_S)
-        desk = self._desks.get(shard)
+        desk = self._served.get(shard)
         if desk is not None and desk.table is table:
             self._open_desk(desk)
 
