--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -69,12 +69,12 @@
             while True:
                 await anyio.sleep(DROP_INTERVAL_S)
                 wall = clocks.read_wall()
-                for desk in self._served.values():
-                    desk.table.drop_expired(wall)
+                for served in self._served.values():
+                    served.table.drop_expired(wall)
 
     def count_claims(self) -> int:
         """Return how many claims this daemon keeps as owner."""
-        return sum(len(desk.table) for desk in self._served.values())
+        return sum(len(served.table) for served in self._served.values())
 
     # The role.
 
@@ -111,11 +111,11 @@
         self, shard: ids.Shard, successor: peerlink.Connection
     ) -> None:
         """Give the whole table to the successor; raises PeerLost."""
-        desk = self._served.get(shard)
-        if desk is None or not desk.table.has_reports:
+        served = self._served.get(shard)
+        if served is None or not served.table.has_reports:
             return
         for report in _split_report(
-            shard, desk.table.epoch, desk.table.list_claims(), True
+            shard, served.table.epoch, served.table.list_claims(), True
         ):
             await successor.call(report, owners.HANDOVER_TIMEOUT_S)
 
@@ -126,21 +126,21 @@
     ) -> wire.ClaimReply:
         """Grant a key, or say why not."""
         while True:
-            desk = self._served.get(request.shard)
-            if desk is None or not desk.lease.is_valid(
+            served = self._served.get(request.shard)
+            if served is None or not served.lease.is_valid(
                 clocks.read_monotonic()
             ):
                 return _NOT_OWNER
             if self._is_clock_off():
                 return wire.ClaimReply(
-                    wire.ClaimVerdict.CLOCK_OFF, desk.table.epoch
+                    wire.ClaimVerdict.CLOCK_OFF, served.table.epoch
                 )
-            reply = desk.table.decide(request, sender, clocks.read_wall())
+            reply = served.table.decide(request, sender, clocks.read_wall())
             if isinstance(reply, wire.ClaimReply):
                 break
             with anyio.move_on_after(reply.seconds):
-                await desk.changed.wait()
-        if not desk.lease.is_valid(clocks.read_monotonic()):
+                await served.changed.wait()
+        if not served.lease.is_valid(clocks.read_monotonic()):
             # The process was stopped between the first check and here. The
             # claim stays in a table that nobody will serve from again.
             return _NOT_OWNER
@@ -150,10 +150,10 @@
         self, message: wire.ClaimEnd, sender: ids.Incarnation
     ) -> wire.Ack | wire.Failed:
         """Note what became of a key."""
-        desk = self._served.get(message.shard)
-        if desk is None:
+        served = self._served.get(message.shard)
+        if served is None:
             return wire.Failed('', 'not the owner')
-        desk.table.end(message, sender)
+        served.table.end(message, sender)
         return wire.Ack()
 
     def answer_report(
@@ -164,28 +164,28 @@
             shard_epoch = (report.shard, report.epoch)
             self._handed_over.setdefault(shard_epoch, []).append(report)
             return wire.Ack()
-        desk = self._served.get(report.shard)
-        if desk is None or desk.table.epoch != report.epoch:
+        served = self._served.get(report.shard)
+        if served is None or served.table.epoch != report.epoch:
             return wire.Failed('', 'not the owner in this epoch')
-        desk.table.add_report(report, clocks.read_wall())
+        served.table.add_report(report, clocks.read_wall())
         if report.is_last:
-            desk.reported.add(ids.parse_host(sender))
-            if self._peers.list_live() <= desk.reported:
-                self._open_desk(desk)
+            served.reported.add(ids.parse_host(sender))
+            if self._peers.list_live() <= served.reported:
+                self._open_desk(served)
         return wire.Ack()
 
     def answer_query(
         self, query: wire.ClaimQuery, sender: ids.Incarnation
     ) -> wire.ClaimReply:
         """Say what is known of a key, without granting it."""
-        desk = self._served.get(query.shard)
-        if desk is None:
+        served = self._served.get(query.shard)
+        if served is None:
             return _NOT_OWNER
-        epoch = desk.table.epoch
-        claim = desk.table.find(query.organisation, query.key)
+        epoch = served.table.epoch
+        claim = served.table.find(query.organisation, query.key)
         if claim is None:
             issued = ids.read_issue_time(query.key)
-            cutoff_at = desk.table.cutoff_at
+            cutoff_at = served.table.cutoff_at
             if cutoff_at is not None and (
                 issued is None or issued <= cutoff_at
             ):
@@ -204,13 +204,13 @@
         self, shard: ids.Shard, table: claimtable.ClaimTable
     ) -> None:
         await anyio.sleep(claimtable.REPORT_TIMEOUT_S)
-        desk = self._served.get(shard)
-        if desk is not None and desk.table is table:
-            self._open_desk(desk)
+        served = self._served.get(shard)
+        if served is not None and served.table is table:
+            self._open_desk(served)
 
-    def _open_desk(self, desk: _ServedShard) -> None:
-        desk.table.has_reports = True
-        desk.changed.set()
+    def _open_desk(self, served: _ServedShard) -> None:
+        served.table.has_reports = True
+        served.changed.set()
 
 
 _NOT_OWNER: ty.Final = wire.ClaimReply(
