--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -171,7 +171,7 @@
         if report.is_last:
             served.reported.add(ids.parse_host(sender))
             if self._peers.list_live() <= served.reported:
-                self._open_desk(served)
+                self._stop_waiting(served)
         return wire.Ack()
 
     def answer_query(
@@ -206,9 +206,9 @@
         await anyio.sleep(claimtable.REPORT_TIMEOUT_S)
         served = self._served.get(shard)
         if served is not None and served.table is table:
-            self._open_desk(served)
+            self._stop_waiting(served)
 
-    def _open_desk(self, served: _ServedShard) -> None:
+    def _stop_waiting(self, served: _ServedShard) -> None:
         served.table.has_reports = True
         served.changed.set()
 
