--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -124,11 +124,11 @@
         if known is not None and entry.runner is None:
             # Its grant was not used; it waits again.
             self._revoke_grant(known)
-        held = self._waiting.get(entry.ticket)
-        if held is not None:
-            if held.entry.is_ready or not entry.is_ready:
+        queued = self._waiting.get(entry.ticket)
+        if queued is not None:
+            if queued.entry.is_ready or not entry.is_ready:
                 return
-            self._drop_waiting(held)
+            self._drop_waiting(queued)
         # A daemon that registers what was shed has not heard of it.
         self._confirm_shed(entry.ticket)
         waiting = tierqueue.WaitingRequest(
