--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -195,8 +195,8 @@
 
         What was on its way may not have arrived.
         """
-        for pool, place in list(self._registered.items()):
-            if place[0] == owner:
+        for pool, owner_epoch in list(self._registered.items()):
+            if owner_epoch[0] == owner:
                 del self._registered[pool]
 
     # Messages from schedulers.
