--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -460,7 +460,7 @@
 
 def _make_safe_test(item: Case) -> ty.Callable[[testtools.TestCase], None]:
     def test(self: testtools.TestCase) -> None:
-        item.scenario(_make_world(item))
+        item.scenario(_make_simulation(item))
 
     return test
 
@@ -470,12 +470,14 @@
 ) -> ty.Callable[[testtools.TestCase], None]:
     def test(self: testtools.TestCase) -> None:
         item.remove(self)
-        self.assertRaises(model.Violation, item.scenario, _make_world(item))
+        self.assertRaises(
+            model.Violation, item.scenario, _make_simulation(item)
+        )
 
     return test
 
 
-def _make_world(item: Case) -> model.Simulation:
+def _make_simulation(item: Case) -> model.Simulation:
     needs_fourth = item.scenario is taker_dies_while_waiting
     return model.Simulation(hosts=4 if needs_fourth else 3)
 
