--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -207,7 +207,9 @@
         change = records.NameSuccessor(SHARD, node.lease.epoch, name)
         return self.send(node, change, 'name')
 
-    def ask(self, owner: Node, promiser: Node) -> PromiseCall | None:
+    def request_promise(
+        self, owner: Node, promiser: Node
+    ) -> PromiseCall | None:
         if owner.lease is None or owner is promiser:
             return None
         place = (SHARD, owner.lease.epoch)
@@ -355,7 +357,7 @@
     simulation: Simulation, owner: Node, promiser: Node
 ) -> None:
     """Ask for a promise and get it, all at once."""
-    call = simulation.ask(owner, promiser)
+    call = simulation.request_promise(owner, promiser)
     if call is not None:
         simulation.deliver(call)
         if call in simulation.calls:
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -312,7 +312,7 @@
     """
     owner, successor, _ = simulation.nodes
     model.start_serving(simulation, owner, successor)
-    call = simulation.ask(owner, successor)
+    call = simulation.request_promise(owner, successor)
     assert call is not None
     simulation.deliver(call)
     simulation.now += 0.9
