--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -212,9 +212,12 @@
     ) -> PromiseCall | None:
         if owner.lease is None or owner is promiser:
             return None
-        place = (SHARD, owner.lease.epoch)
+        shard_epoch = (SHARD, owner.lease.epoch)
         call = PromiseCall(
-            owner, promiser, wire.PromiseRequest([place], LEASE_S), self.now
+            owner,
+            promiser,
+            wire.PromiseRequest([shard_epoch], LEASE_S),
+            self.now,
         )
         self.calls.append(call)
         return call
