--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -64,11 +64,11 @@
 
     @stateful.rule(node=_NODES, successor=_MAYBE, is_quick=_MOSTLY)
     def take(self, node: int, successor: int, is_quick: bool) -> None:
-        place = self.simulation.nodes[node]
-        append = self.simulation.take(place, self._pick(node, successor))
+        actor = self.simulation.nodes[node]
+        append = self.simulation.take(actor, self._pick(node, successor))
         if is_quick:
             self._finish(node, append)
-            self._finish(node, self.simulation.serve(place))
+            self._finish(node, self.simulation.serve(actor))
 
     @stateful.rule(node=_NODES)
     def serve(self, node: int) -> None:
@@ -76,8 +76,8 @@
 
     @stateful.rule(node=_NODES, successor=_MAYBE, is_quick=_MOSTLY)
     def name(self, node: int, successor: int, is_quick: bool) -> None:
-        place = self.simulation.nodes[node]
-        append = self.simulation.name(place, self._pick(node, successor))
+        actor = self.simulation.nodes[node]
+        append = self.simulation.name(actor, self._pick(node, successor))
         if is_quick:
             self._finish(node, append)
 
