--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -8,7 +8,7 @@
 import ownershipmodel as model
 from apricotlanding import ids, records, wire
 
-_NODES = strategies.integers(0, 2)
+_NODE_INDEXES = strategies.integers(0, 2)
 _PICK = strategies.integers(0, 7)
 _DELAYS = strategies.sampled_from([0.05, 0.2, 0.6, 1.1, 2.5, 6.0, 11.0])
 # A successor, or nobody.
@@ -49,11 +49,11 @@
             in_flight = self.simulation.in_flight
             self.simulation.commit(in_flight[pick % len(in_flight)])
 
-    @stateful.rule(node=_NODES)
+    @stateful.rule(node=_NODE_INDEXES)
     def read(self, node: int) -> None:
         self.simulation.read(self.simulation.nodes[node])
 
-    @stateful.rule(node=_NODES)
+    @stateful.rule(node=_NODE_INDEXES)
     def confirm(self, node: int) -> None:
         mark = self.simulation.send(
             self.simulation.nodes[node], records.Mark()
@@ -62,7 +62,7 @@
 
     # Owners.
 
-    @stateful.rule(node=_NODES, successor=_MAYBE, is_quick=_MOSTLY)
+    @stateful.rule(node=_NODE_INDEXES, successor=_MAYBE, is_quick=_MOSTLY)
     def take(self, node: int, successor: int, is_quick: bool) -> None:
         actor = self.simulation.nodes[node]
         append = self.simulation.take(actor, self._pick(node, successor))
@@ -70,18 +70,18 @@
             self._finish(node, append)
             self._finish(node, self.simulation.serve(actor))
 
-    @stateful.rule(node=_NODES)
+    @stateful.rule(node=_NODE_INDEXES)
     def serve(self, node: int) -> None:
         self._finish(node, self.simulation.serve(self.simulation.nodes[node]))
 
-    @stateful.rule(node=_NODES, successor=_MAYBE, is_quick=_MOSTLY)
+    @stateful.rule(node=_NODE_INDEXES, successor=_MAYBE, is_quick=_MOSTLY)
     def name(self, node: int, successor: int, is_quick: bool) -> None:
         actor = self.simulation.nodes[node]
         append = self.simulation.name(actor, self._pick(node, successor))
         if is_quick:
             self._finish(node, append)
 
-    @stateful.rule(owner=_NODES, giver=_NODES, times=_TIMES)
+    @stateful.rule(owner=_NODE_INDEXES, giver=_NODE_INDEXES, times=_TIMES)
     def renew(self, owner: int, giver: int, times: int) -> None:
         nodes = self.simulation.nodes
         for _ in range(times):
@@ -89,7 +89,7 @@
             model.exchange_promise(self.simulation, nodes[owner], nodes[giver])
             self.simulation.check()
 
-    @stateful.rule(owner=_NODES, giver=_NODES)
+    @stateful.rule(owner=_NODE_INDEXES, giver=_NODE_INDEXES)
     def ask(self, owner: int, giver: int) -> None:
         self.simulation.ask(
             self.simulation.nodes[owner], self.simulation.nodes[giver]
@@ -101,24 +101,24 @@
             calls = self.simulation.calls
             self.simulation.deliver(calls[pick % len(calls)])
 
-    @stateful.rule(node=_NODES)
+    @stateful.rule(node=_NODE_INDEXES)
     def restart(self, node: int) -> None:
         self.simulation.restart(self.simulation.nodes[node])
 
     # Claims.
 
-    @stateful.rule(asker=_NODES, ahead=_AHEAD)
+    @stateful.rule(asker=_NODE_INDEXES, ahead=_AHEAD)
     def claim_new(self, asker: int, ahead: float) -> None:
         self.keys.append(self.simulation.make_key(ahead))
         self._claim_anywhere(asker, self.keys[-1])
 
-    @stateful.rule(asker=_NODES, pick=_PICK)
+    @stateful.rule(asker=_NODE_INDEXES, pick=_PICK)
     def claim_again(self, asker: int, pick: int) -> None:
         if self.keys:
             key = self.keys[-1 - pick % len(self.keys)]
             self._claim_anywhere(asker, key)
 
-    @stateful.rule(senders=strategies.sets(_NODES))
+    @stateful.rule(senders=strategies.sets(_NODE_INDEXES))
     def report(self, senders: set[int]) -> None:
         for owner in self.simulation.nodes:
             for sender in senders:
