--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -9,7 +9,7 @@
 from apricotlanding import ids, records, wire
 
 _NODE_INDEXES = strategies.integers(0, 2)
-_PICK = strategies.integers(0, 7)
+_INDEXES = strategies.integers(0, 7)
 _DELAYS = strategies.sampled_from([0.05, 0.2, 0.6, 1.1, 2.5, 6.0, 11.0])
 # A successor, or nobody.
 _MAYBE = strategies.integers(0, 3)
@@ -43,7 +43,7 @@
     def advance(self, seconds: float) -> None:
         self.simulation.now += seconds
 
-    @stateful.rule(pick=_PICK)
+    @stateful.rule(pick=_INDEXES)
     def land(self, pick: int) -> None:
         if self.simulation.in_flight:
             in_flight = self.simulation.in_flight
@@ -95,7 +95,7 @@
             self.simulation.nodes[owner], self.simulation.nodes[giver]
         )
 
-    @stateful.rule(pick=_PICK)
+    @stateful.rule(pick=_INDEXES)
     def carry(self, pick: int) -> None:
         if self.simulation.calls:
             calls = self.simulation.calls
@@ -112,7 +112,7 @@
         self.keys.append(self.simulation.make_key(ahead))
         self._claim_anywhere(asker, self.keys[-1])
 
-    @stateful.rule(asker=_NODE_INDEXES, pick=_PICK)
+    @stateful.rule(asker=_NODE_INDEXES, pick=_INDEXES)
     def claim_again(self, asker: int, pick: int) -> None:
         if self.keys:
             key = self.keys[-1 - pick % len(self.keys)]
@@ -126,7 +126,7 @@
             if owner.table is not None:
                 owner.table.has_reports = True
 
-    @stateful.rule(pick=_PICK)
+    @stateful.rule(pick=_INDEXES)
     def release(self, pick: int) -> None:
         held = [
             item for item in self.simulation.granted if not item.is_released
@@ -136,7 +136,7 @@
             self.ends.append((item, self.simulation.release(item)))
             self._tell_end(*self.ends[-1])
 
-    @stateful.rule(pick=_PICK)
+    @stateful.rule(pick=_INDEXES)
     def tell_again(self, pick: int) -> None:
         # Its acknowledgement was lost, and it is told once more.
         if self.ends:
