--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -10,7 +10,7 @@
 
 _NODE_INDEXES = strategies.integers(0, 2)
 _INDEXES = strategies.integers(0, 7)
-_DELAYS = strategies.sampled_from([0.05, 0.2, 0.6, 1.1, 2.5, 6.0, 11.0])
+_DELAYS_S = strategies.sampled_from([0.05, 0.2, 0.6, 1.1, 2.5, 6.0, 11.0])
 # A successor, or nobody.
 _SUCCESSORS = strategies.integers(0, 3)
 _MOSTLY = strategies.sampled_from([True, True, False])
@@ -39,7 +39,7 @@
     # Time and the log. Most steps come in a quick form, in which a daemon
     # reaches the log, and a slow one, in which the record stays under way.
 
-    @stateful.rule(seconds=_DELAYS)
+    @stateful.rule(seconds=_DELAYS_S)
     def advance(self, seconds: float) -> None:
         self.simulation.now += seconds
 
