--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -14,7 +14,7 @@
 # A successor, or nobody.
 _SUCCESSORS = strategies.integers(0, 3)
 _MOSTLY = strategies.sampled_from([True, True, False])
-_TIMES = strategies.integers(1, 12)
+_REPEAT_COUNTS = strategies.integers(1, 12)
 _AHEAD = strategies.sampled_from([-20.0, -1.0, 0.0, 0.2, 1.0, 2.5])
 _SKEWS = strategies.sampled_from(
     [-model.CLOCK_SKEW_S, 0.0, model.CLOCK_SKEW_S]
@@ -81,7 +81,9 @@
         if is_quick:
             self._finish(node, append)
 
-    @stateful.rule(owner=_NODE_INDEXES, giver=_NODE_INDEXES, times=_TIMES)
+    @stateful.rule(
+        owner=_NODE_INDEXES, giver=_NODE_INDEXES, times=_REPEAT_COUNTS
+    )
     def renew(self, owner: int, giver: int, times: int) -> None:
         nodes = self.simulation.nodes
         for _ in range(times):
