--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -15,7 +15,7 @@
 _SUCCESSORS = strategies.integers(0, 3)
 _MOSTLY = strategies.sampled_from([True, True, False])
 _REPEAT_COUNTS = strategies.integers(1, 12)
-_AHEAD = strategies.sampled_from([-20.0, -1.0, 0.0, 0.2, 1.0, 2.5])
+_KEYS_AHEAD_S = strategies.sampled_from([-20.0, -1.0, 0.0, 0.2, 1.0, 2.5])
 _SKEWS = strategies.sampled_from(
     [-model.CLOCK_SKEW_S, 0.0, model.CLOCK_SKEW_S]
 )
@@ -109,7 +109,7 @@
 
     # Claims.
 
-    @stateful.rule(asker=_NODE_INDEXES, ahead=_AHEAD)
+    @stateful.rule(asker=_NODE_INDEXES, ahead=_KEYS_AHEAD_S)
     def claim_new(self, asker: int, ahead: float) -> None:
         self.keys.append(self.simulation.make_key(ahead))
         self._claim_anywhere(asker, self.keys[-1])
