--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -16,7 +16,7 @@
 _MOSTLY = strategies.sampled_from([True, True, False])
 _REPEAT_COUNTS = strategies.integers(1, 12)
 _KEYS_AHEAD_S = strategies.sampled_from([-20.0, -1.0, 0.0, 0.2, 1.0, 2.5])
-_SKEWS = strategies.sampled_from(
+_SKEWS_S = strategies.sampled_from(
     [-model.CLOCK_SKEW_S, 0.0, model.CLOCK_SKEW_S]
 )
 
@@ -30,7 +30,7 @@
         self.keys: list[ids.Key] = []
         self.ends: list[tuple[model.GrantedClaim, wire.ClaimEnd]] = []
 
-    @stateful.initialize(skews=strategies.tuples(_SKEWS, _SKEWS, _SKEWS))
+    @stateful.initialize(skews=strategies.tuples(_SKEWS_S, _SKEWS_S, _SKEWS_S))
     def begin(self, skews: tuple[float, float, float]) -> None:
         self.simulation = model.Simulation(3, skews)
         first, second, _ = self.simulation.nodes
