--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -13,7 +13,7 @@
 _DELAYS_S = strategies.sampled_from([0.05, 0.2, 0.6, 1.1, 2.5, 6.0, 11.0])
 # A successor, or nobody.
 _SUCCESSORS = strategies.integers(0, 3)
-_MOSTLY = strategies.sampled_from([True, True, False])
+_MOSTLY_TRUE = strategies.sampled_from([True, True, False])
 _REPEAT_COUNTS = strategies.integers(1, 12)
 _KEYS_AHEAD_S = strategies.sampled_from([-20.0, -1.0, 0.0, 0.2, 1.0, 2.5])
 _SKEWS_S = strategies.sampled_from(
@@ -62,7 +62,9 @@
 
     # Owners.
 
-    @stateful.rule(node=_NODE_INDEXES, successor=_SUCCESSORS, is_quick=_MOSTLY)
+    @stateful.rule(
+        node=_NODE_INDEXES, successor=_SUCCESSORS, is_quick=_MOSTLY_TRUE
+    )
     def take(self, node: int, successor: int, is_quick: bool) -> None:
         actor = self.simulation.nodes[node]
         append = self.simulation.take(actor, self._pick(node, successor))
@@ -74,7 +76,9 @@
     def serve(self, node: int) -> None:
         self._finish(node, self.simulation.serve(self.simulation.nodes[node]))
 
-    @stateful.rule(node=_NODE_INDEXES, successor=_SUCCESSORS, is_quick=_MOSTLY)
+    @stateful.rule(
+        node=_NODE_INDEXES, successor=_SUCCESSORS, is_quick=_MOSTLY_TRUE
+    )
     def name(self, node: int, successor: int, is_quick: bool) -> None:
         actor = self.simulation.nodes[node]
         append = self.simulation.name(actor, self._pick(node, successor))
