--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -8,7 +8,7 @@
 from apricotlanding import bundle, ids, wire
 from apricotlandingd.pools import policies, poolqueue
 
-NEAR = ids.Incarnation('entry-1/a')
+NEAR_DAEMON = ids.Incarnation('entry-1/a')
 FAR = ids.Incarnation('entry-2/b')
 # Room for this many requests; no runner takes any.
 ROOM = 2
@@ -33,9 +33,9 @@
             self.register(f'low-{number}', 4, FAR)
         # Two above the limit: both of the low tier are shed.
         for number in range(ROOM):
-            self.register(f'high-{number}', 1, NEAR)
+            self.register(f'high-{number}', 1, NEAR_DAEMON)
         self.assertEqual({'low-0', 'low-1'}, self.shed())
-        self.register('high-2', 1, NEAR)
+        self.register('high-2', 1, NEAR_DAEMON)
 
     def test_higher_tier_waits_for_confirmation(self) -> None:
         self.assertEqual(set(), self.shed())
@@ -100,7 +100,9 @@
     def test_is_shed_before_a_higher_tier(self) -> None:
         self.close_runners()
         for number in range(ROOM):
-            self.queue.register(make_entry(f'high-{number}', 1), NEAR, 0.0)
+            self.queue.register(
+                make_entry(f'high-{number}', 1), NEAR_DAEMON, 0.0
+            )
         self.assertEqual({'low'}, decide(self.queue))
 
     def test_does_not_hold_up_its_tier(self) -> None:
@@ -174,7 +176,7 @@
 
     def add(self, ticket: str, prefix: list[int], tier: int = 1) -> None:
         entry = dataclasses.replace(make_entry(ticket, tier), prefix=prefix)
-        self.queue.register(entry, NEAR, 0.0)
+        self.queue.register(entry, NEAR_DAEMON, 0.0)
 
     def grant_all(self, count: int) -> list[str]:
         order = []
@@ -237,7 +239,7 @@
                 make_entry(f'{name}-{number}', tier),
                 prompt_tokens=prompt_tokens,
             )
-            self.queue.register(entry, NEAR, 0.0)
+            self.queue.register(entry, NEAR_DAEMON, 0.0)
 
     def finish(self, ticket: str) -> None:
         pool = ids.Pool('planners')
