--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -9,7 +9,7 @@
 from apricotlandingd.pools import policies, poolqueue
 
 NEAR_DAEMON = ids.Incarnation('entry-1/a')
-FAR = ids.Incarnation('entry-2/b')
+FAR_DAEMON = ids.Incarnation('entry-2/b')
 # Room for this many requests; no runner takes any.
 ROOM = 2
 
@@ -30,7 +30,7 @@
         for runner in self.queue.runners.values():
             runner.is_leaving = True
         for number in range(ROOM):
-            self.register(f'low-{number}', 4, FAR)
+            self.register(f'low-{number}', 4, FAR_DAEMON)
         # Two above the limit: both of the low tier are shed.
         for number in range(ROOM):
             self.register(f'high-{number}', 1, NEAR_DAEMON)
@@ -49,7 +49,7 @@
     def test_registered_again(self) -> None:
         # The daemon has not heard of it: it is shed once more, and still
         # nothing of the higher tier.
-        self.register('low-0', 4, FAR)
+        self.register('low-0', 4, FAR_DAEMON)
         self.assertEqual({'low-0'}, self.shed())
 
     def test_begun_on_an_earlier_grant(self) -> None:
@@ -63,13 +63,13 @@
         self.assertEqual(1, self.queue.runners[runner].count_requests())
 
     def test_daemon_is_gone(self) -> None:
-        self.queue.drop_sender(FAR)
+        self.queue.drop_sender(FAR_DAEMON)
         self.assertEqual({'high-2'}, self.shed())
 
     def test_confirmation_was_lost(self) -> None:
         # With a connection that broke; the daemon then registers all that
         # it has, and the shed ones are not among it.
-        self.queue.confirm_sheds(FAR)
+        self.queue.confirm_sheds(FAR_DAEMON)
         self.assertEqual({'high-2'}, self.shed())
 
     def register(
@@ -92,7 +92,9 @@
     def setUp(self) -> None:
         super().setUp()
         self.queue = poolqueue.PoolQueue(make_pool())
-        self.queue.register(make_entry('low', 4, is_ready=False), FAR, 0.0)
+        self.queue.register(
+            make_entry('low', 4, is_ready=False), FAR_DAEMON, 0.0
+        )
 
     def test_is_not_granted(self) -> None:
         self.assertEqual(set(), decide(self.queue))
@@ -106,19 +108,21 @@
         self.assertEqual({'low'}, decide(self.queue))
 
     def test_does_not_hold_up_its_tier(self) -> None:
-        self.queue.register(make_entry('next', 4), FAR, 0.0)
+        self.queue.register(make_entry('next', 4), FAR_DAEMON, 0.0)
         self.assertEqual({'next'}, decide(self.queue))
 
     def test_is_granted_once_ready(self) -> None:
         # Registered twice, as after a connection that broke.
         for _ in range(2):
-            self.queue.register(make_entry('low', 4), FAR, 0.0)
+            self.queue.register(make_entry('low', 4), FAR_DAEMON, 0.0)
         self.assertEqual({'low'}, decide(self.queue))
         self.assertEqual(set(), decide(self.queue))
 
     def test_old_word_does_not_hold_it_again(self) -> None:
-        self.queue.register(make_entry('low', 4), FAR, 0.0)
-        self.queue.register(make_entry('low', 4, is_ready=False), FAR, 0.0)
+        self.queue.register(make_entry('low', 4), FAR_DAEMON, 0.0)
+        self.queue.register(
+            make_entry('low', 4, is_ready=False), FAR_DAEMON, 0.0
+        )
         self.assertEqual({'low'}, decide(self.queue))
 
     def test_is_forgotten(self) -> None:
