--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -11,7 +11,7 @@
 NEAR_DAEMON = ids.Incarnation('entry-1/a')
 FAR_DAEMON = ids.Incarnation('entry-2/b')
 # Room for this many requests; no runner takes any.
-ROOM = 2
+QUEUE_REQUESTS = 2
 
 
 class TestUnconfirmedSheds(testtools.TestCase):
@@ -29,10 +29,10 @@
         self.queue = poolqueue.PoolQueue(make_pool())
         for runner in self.queue.runners.values():
             runner.is_leaving = True
-        for number in range(ROOM):
+        for number in range(QUEUE_REQUESTS):
             self.register(f'low-{number}', 4, FAR_DAEMON)
         # Two above the limit: both of the low tier are shed.
-        for number in range(ROOM):
+        for number in range(QUEUE_REQUESTS):
             self.register(f'high-{number}', 1, NEAR_DAEMON)
         self.assertEqual({'low-0', 'low-1'}, self.shed())
         self.register('high-2', 1, NEAR_DAEMON)
@@ -101,7 +101,7 @@
 
     def test_is_shed_before_a_higher_tier(self) -> None:
         self.close_runners()
-        for number in range(ROOM):
+        for number in range(QUEUE_REQUESTS):
             self.queue.register(
                 make_entry(f'high-{number}', 1), NEAR_DAEMON, 0.0
             )
@@ -282,5 +282,9 @@
         'domain': 'd1',
     }
     return bundle.PoolModel.model_validate(
-        {'name': 'planners', 'runners': [runner], 'queue_requests': ROOM}
+        {
+            'name': 'planners',
+            'runners': [runner],
+            'queue_requests': QUEUE_REQUESTS,
+        }
     )
