--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -153,7 +153,7 @@
         served = self._served.get(message.shard)
         if served is None:
             return wire.Failed('', 'not the owner')
-        served.table.end(message, sender)
+        served.table.record_outcome(message, sender)
         return wire.Ack()
 
     def answer_report(
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -125,7 +125,9 @@
         """Return what is known of a key."""
         return self._claims.get((organisation, key))
 
-    def end(self, message: wire.ClaimEnd, sender: ids.Incarnation) -> None:
+    def record_outcome(
+        self, message: wire.ClaimEnd, sender: ids.Incarnation
+    ) -> None:
         """Note what its holder says became of a key."""
         claim_key = (message.organisation, message.key)
         claim = self._claims.get(claim_key)
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -169,7 +169,7 @@
     def _tell_end(self, item: model.GrantedClaim, end: wire.ClaimEnd) -> None:
         for owner in self.simulation.nodes:
             if owner.table is not None:
-                owner.table.end(end, item.node.incarnation)
+                owner.table.record_outcome(end, item.node.incarnation)
 
 
 class TestOwnershipRules(testtools.TestCase):
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -181,14 +181,14 @@
 
 
 def ignore_tickets(test: testtools.TestCase) -> None:
-    def end(
+    def record_outcome(
         table: claimtable.ClaimTable, message: wire.ClaimEnd, sender: ty.Any
     ) -> None:
         claim = table.find(message.organisation, message.key)
         if claim is not None and claim.holder == sender:
             claim.state = message.state
 
-    test.patch(claimtable.ClaimTable, 'end', end)
+    test.patch(claimtable.ClaimTable, 'record_outcome', record_outcome)
 
 
 def accept_released_reports(test: testtools.TestCase) -> None:
@@ -380,9 +380,9 @@
     simulation.claim(owner, holder, key)
     end = simulation.release(simulation.granted[-1])
     assert owner.table is not None
-    owner.table.end(end, holder.incarnation)
+    owner.table.record_outcome(end, holder.incarnation)
     assert simulation.claim(owner, holder, key) is wire.ClaimVerdict.GRANTED
-    owner.table.end(end, holder.incarnation)
+    owner.table.record_outcome(end, holder.incarnation)
     simulation.claim(owner, successor, key)
     simulation.check()
 
@@ -401,7 +401,7 @@
     simulation.claim(owner, first, key)
     end = simulation.release(simulation.granted[-1])
     assert owner.table is not None
-    owner.table.end(end, first.incarnation)
+    owner.table.record_outcome(end, first.incarnation)
     assert simulation.claim(owner, owner, key) is wire.ClaimVerdict.GRANTED
     simulation.restart(owner)
     simulation.now += 2.0
@@ -428,8 +428,8 @@
     item.is_released = False
     finished = dataclasses.replace(release, state=wire.ClaimState.FINISHED)
     assert owner.table is not None
-    owner.table.end(finished, holder.incarnation)
-    owner.table.end(release, holder.incarnation)
+    owner.table.record_outcome(finished, holder.incarnation)
+    owner.table.record_outcome(release, holder.incarnation)
     simulation.claim(owner, successor, key)
     simulation.check()
 
