--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -285,7 +285,9 @@
         reply = await self._call(entry.owner, query)
         return reply if isinstance(reply, wire.ClaimReply) else None
 
-    def end(self, kept: answers.Kept, state: wire.ClaimState) -> None:
+    def report_outcome(
+        self, kept: answers.Kept, state: wire.ClaimState
+    ) -> None:
         """Tell the owner what became of a key, in the background."""
         kept.state = state
         assert self._group is not None
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -488,7 +488,7 @@
         if problem is not None and not kept.is_claimed:
             # Refused by the claim owner, or copied from the holder. If the
             # owner granted it after we had given up, it is released.
-            self._claims.end(kept, wire.ClaimState.RELEASED)
+            self._claims.report_outcome(kept, wire.ClaimState.RELEASED)
             self._store.drop(kept)
             return
         if problem is None and not kept.is_claimed:
@@ -498,11 +498,11 @@
             return
         self._store.close(kept)
         if problem is None:
-            self._claims.end(kept, wire.ClaimState.FINISHED)
+            self._claims.report_outcome(kept, wire.ClaimState.FINISHED)
         elif problem.outcome is errors.Outcome.NOT_RUN:
-            self._claims.end(kept, wire.ClaimState.RELEASED)
+            self._claims.report_outcome(kept, wire.ClaimState.RELEASED)
         else:
-            self._claims.end(kept, wire.ClaimState.UNKNOWN)
+            self._claims.report_outcome(kept, wire.ClaimState.UNKNOWN)
 
     def _describe_fault(self, run: Run, error: Exception) -> errors.Problem:
         # A fault of ours, not of the caller's. Whatever it was, nothing
--- a/tests/test_claim_waits.py
+++ b/tests/test_claim_waits.py
@@ -35,7 +35,9 @@
         await anyio.sleep(self.delay_s)
         return wire.ClaimReply(self.verdict, EPOCH, OWNER, ticket='owner/1/9')
 
-    def end(self, kept: answers.Kept, state: wire.ClaimState) -> None:
+    def report_outcome(
+        self, kept: answers.Kept, state: wire.ClaimState
+    ) -> None:
         self.ends.append(state)
 
 
