--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -86,19 +86,21 @@
             self._finish(node, append)
 
     @stateful.rule(
-        owner=_NODE_INDEXES, giver=_NODE_INDEXES, times=_REPEAT_COUNTS
+        owner=_NODE_INDEXES, promiser=_NODE_INDEXES, times=_REPEAT_COUNTS
     )
-    def renew(self, owner: int, giver: int, times: int) -> None:
+    def renew(self, owner: int, promiser: int, times: int) -> None:
         nodes = self.simulation.nodes
         for _ in range(times):
             self.simulation.now += 0.2
-            model.exchange_promise(self.simulation, nodes[owner], nodes[giver])
+            model.exchange_promise(
+                self.simulation, nodes[owner], nodes[promiser]
+            )
             self.simulation.check()
 
-    @stateful.rule(owner=_NODE_INDEXES, giver=_NODE_INDEXES)
-    def ask(self, owner: int, giver: int) -> None:
+    @stateful.rule(owner=_NODE_INDEXES, promiser=_NODE_INDEXES)
+    def ask(self, owner: int, promiser: int) -> None:
         self.simulation.ask(
-            self.simulation.nodes[owner], self.simulation.nodes[giver]
+            self.simulation.nodes[owner], self.simulation.nodes[promiser]
         )
 
     @stateful.rule(pick=_INDEXES)
