--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -28,25 +28,34 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import (
-    asgi,
-    clocks,
-    hostlist,
-    ids,
-    metrics,
-    platformlog,
-    shutdown,
-    supervisor,
-    tracing,
-    wire,
-)
-from apricotlandingd import settings
-from apricotlandingd.configuration import bundlestore, logfollower, restating
+from apricotlanding import asgi
+from apricotlanding import clocks
+from apricotlanding import hostlist
+from apricotlanding import ids
+from apricotlanding import metrics
+from apricotlanding import platformlog
+from apricotlanding import shutdown
+from apricotlanding import supervisor
+from apricotlanding import tracing
+from apricotlanding import wire
+from apricotlandingd.configuration import bundlestore
+from apricotlandingd.configuration import logfollower
+from apricotlandingd.configuration import restating
 from apricotlandingd.operators import operatorapi
-from apricotlandingd.ownership import claims, leases, owners, shardview
-from apricotlandingd.peering import peerlink, peers
-from apricotlandingd.pools import poolclient, poolservice
-from apricotlandingd.requests import answers, attaching, entry, relay, runs
+from apricotlandingd.ownership import claims
+from apricotlandingd.ownership import leases
+from apricotlandingd.ownership import owners
+from apricotlandingd.ownership import shardview
+from apricotlandingd.peering import peerlink
+from apricotlandingd.peering import peers
+from apricotlandingd.pools import poolclient
+from apricotlandingd.pools import poolservice
+from apricotlandingd.requests import answers
+from apricotlandingd.requests import attaching
+from apricotlandingd.requests import entry
+from apricotlandingd.requests import relay
+from apricotlandingd.requests import runs
+from apricotlandingd import settings
 
 __all__ = ['Daemon']
 
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -19,7 +19,9 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import bundle, ids, wire
+from apricotlanding import bundle
+from apricotlanding import ids
+from apricotlanding import wire
 
 __all__ = ['Claim', 'ClaimTable', 'Deferral']
 
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/leases.py
@@ -18,7 +18,8 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import ids, wire
+from apricotlanding import ids
+from apricotlanding import wire
 from apricotlandingd.ownership import shardview
 
 __all__ = ['PromiseTable', 'Lease', 'find_serve_time']
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
@@ -25,7 +25,8 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import ids, records
+from apricotlanding import ids
+from apricotlanding import records
 
 __all__ = ['ShardEntry', 'ShardView', 'UnsettledEpoch']
 
--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -17,7 +17,9 @@
 import anyio
 import eliot
 
-from apricotlanding import bundle, clocks, webclient
+from apricotlanding import bundle
+from apricotlanding import clocks
+from apricotlanding import webclient
 from apricotlandingd.ownership import leases
 
 __all__ = ['reconcile_runner']
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -11,8 +11,13 @@
 
 import anyio
 
-from apricotlanding import clocks, errors, ids, supervisor, wire
-from apricotlandingd.ownership import owners, shardview
+from apricotlanding import clocks
+from apricotlanding import errors
+from apricotlanding import ids
+from apricotlanding import supervisor
+from apricotlanding import wire
+from apricotlandingd.ownership import owners
+from apricotlandingd.ownership import shardview
 
 __all__ = ['PoolClient', 'Ticket']
 
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -26,8 +26,13 @@
 import random
 import typing as ty
 
-from apricotlanding import bundle, ids, wire
-from apricotlandingd.pools import drainrate, policies, runnerstate, tierqueue
+from apricotlanding import bundle
+from apricotlanding import ids
+from apricotlanding import wire
+from apricotlandingd.pools import drainrate
+from apricotlandingd.pools import policies
+from apricotlandingd.pools import runnerstate
+from apricotlandingd.pools import tierqueue
 
 __all__ = ['GrantDecision', 'PoolQueue', 'ShedDecision']
 
--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -15,7 +15,9 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import bundle, ids, wire
+from apricotlanding import bundle
+from apricotlanding import ids
+from apricotlanding import wire
 
 __all__ = ['Assignment', 'RunnerState']
 
--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -13,7 +13,8 @@
 import itertools
 import typing as ty
 
-from apricotlanding import ids, wire
+from apricotlanding import ids
+from apricotlanding import wire
 
 __all__ = ['TierQueue', 'WaitingRequest']
 
--- a/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
@@ -16,7 +16,9 @@
 import expression
 import xxhash
 
-from apricotlanding import bundle, errors, ids
+from apricotlanding import bundle
+from apricotlanding import errors
+from apricotlanding import ids
 from apricotlandingd.pools import runnerstate
 
 __all__ = ['Head', 'Request', 'check_body', 'check_headers', 'hash_prefix']
--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -10,9 +10,12 @@
 
 import eliot
 
-from apricotlanding import errors, ids, wire
+from apricotlanding import errors
+from apricotlanding import ids
+from apricotlanding import wire
 from apricotlandingd.ownership import claims
-from apricotlandingd.peering import peerlink, peers
+from apricotlandingd.peering import peerlink
+from apricotlandingd.peering import peers
 from apricotlandingd.requests import answers
 
 __all__ = ['Attacher']
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -12,9 +12,15 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import bundle, ids, platformlog, records, wire
+from apricotlanding import bundle
+from apricotlanding import ids
+from apricotlanding import platformlog
+from apricotlanding import records
+from apricotlanding import wire
 from apricotlandingd.configuration import logfollower
-from apricotlandingd.ownership import claimtable, leases, shardview
+from apricotlandingd.ownership import claimtable
+from apricotlandingd.ownership import leases
+from apricotlandingd.ownership import shardview
 from apricotstandins import callers
 
 SHARD = ids.Shard('claims/0')
--- a/tests/test_claim_waits.py
+++ b/tests/test_claim_waits.py
@@ -3,13 +3,21 @@
 import typing as ty
 
 import anyio
-import testtools
 from opentelemetry import context
+import testtools
 
-from apricotlanding import bundle, clocks, errors, ids, metrics, tracing, wire
+from apricotlanding import bundle
+from apricotlanding import clocks
+from apricotlanding import errors
+from apricotlanding import ids
+from apricotlanding import metrics
+from apricotlanding import tracing
+from apricotlanding import wire
 from apricotlandingd.ownership import shardview
 from apricotlandingd.pools import poolclient
-from apricotlandingd.requests import admission, answers, runs
+from apricotlandingd.requests import admission
+from apricotlandingd.requests import answers
+from apricotlandingd.requests import runs
 
 OWNER: ty.Final = ids.Incarnation('owner/1')
 EPOCH: ty.Final = ids.Epoch(7)
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -2,11 +2,15 @@
 
 import os
 
+from hypothesis import settings
+from hypothesis import stateful
+from hypothesis import strategies
 import testtools
-from hypothesis import settings, stateful, strategies
 
+from apricotlanding import ids
+from apricotlanding import records
+from apricotlanding import wire
 import ownershipmodel as model
-from apricotlanding import ids, records, wire
 
 _NODE_INDEXES = strategies.integers(0, 2)
 _INDEXES = strategies.integers(0, 7)
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -12,10 +12,14 @@
 
 import testtools
 
-import ownershipmodel as model
-from apricotlanding import ids, records, wire
+from apricotlanding import ids
+from apricotlanding import records
+from apricotlanding import wire
 from apricotlandingd.configuration import logfollower
-from apricotlandingd.ownership import claimtable, leases, shardview
+from apricotlandingd.ownership import claimtable
+from apricotlandingd.ownership import leases
+from apricotlandingd.ownership import shardview
+import ownershipmodel as model
 
 Scenario = collections.abc.Callable[[model.Simulation], None]
 Removal = collections.abc.Callable[[testtools.TestCase], None]
