--- a/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/drainrate.py
@@ -1,41 +1,41 @@
-"""How fast a pool works off what waits.
+"""Measures how fast a pool completes requests.
 
-The scheduler (``poolqueue``) tells by it which requests cannot begin before
-their deadlines, and when those that it gives up should come back.
+With this rate the scheduler (``poolqueue``) finds requests that cannot start
+before their deadlines, and advises when a shed request may be retried.
 """
 
 import typing as ty
 
 __all__ = ['DrainRate']
 
-# Weight of the newest interval in the average.
+# Weight of the newest interval in the exponential moving average.
 _NEWEST_INTERVAL_WEIGHT = 0.3
-# Ends and seconds that make an interval.
+# An interval has at least this many finished requests and seconds.
 _MIN_INTERVAL_REQUESTS = 8
 _MIN_INTERVAL_S = 1.0
 
 
 @ty.final
 class DrainRate:
-    """Tokens that end in a second while the pool is saturated."""
+    """Tokens completed per second while the pool is saturated."""
 
     def __init__(self) -> None:
-        """Start unmeasured."""
-        # Prompt and output tokens a second; 0 while nothing was measured.
+        """Start without a measurement."""
+        # Prompt and output tokens per second; 0 before the first measurement.
         self.tokens_per_s = 0.0
         self._finished_tokens = 0
         self._finished_count = 0
         self._interval_started_at: float | None = None
 
     def record_finished(self, tokens: int) -> None:
-        """Count a request that has left its runner."""
+        """Count a request that has finished on its runner."""
         self._finished_tokens += tokens
         self._finished_count += 1
 
     def update(self, is_saturated: bool, now: float) -> None:
-        """Take the interval into the average, if it is long enough."""
+        """Add the interval to the average once it is long enough."""
         if not is_saturated:
-            # What ends now says nothing of what could.
+            # Without a backlog the completion rate is not the capacity.
             self._interval_started_at = None
             return
         if self._interval_started_at is None:
