--- a/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/engineorders.py
@@ -1,15 +1,16 @@
-"""Orders to engines: what they load and which role they take.
+"""Sends orders to engines: what to load and which role to take.
 
-The bundle declares the state of each runner; the owner of its pool orders it
-there, with the pool's epoch as fencing number. Orders say what the state is
-to be, never what to change, so that one may be repeated.
+The bundle declares the state of each runner. The owner of the pool orders the
+runner to that state, with the pool's epoch as fencing number. Orders name the
+target state and never a change, so they are idempotent.
 
-An engine that checks fencing numbers refuses the order of an owner that was
-replaced. For one that does not check, two things help. The owner serves only
-after every earlier owner's right has ended, and checks its own right before
-each order; so a late order can come only from a process that was stopped
-between that check and the sending. And the owner repeats its orders: whatever
-a late one has changed is put right within ``ORDER_REPEAT_INTERVAL_S``.
+An engine that checks fencing numbers rejects the orders of an owner that was
+replaced. For engines that do not check there are two safeguards. The owner
+serves only after the leases of all earlier owners have ended, and checks its
+own lease before each order; so a late order can only come from a process that
+was suspended between that check and the sending. And the owner repeats its
+orders, which corrects the effect of a late one within
+``ORDER_REPEAT_INTERVAL_S``.
 """
 
 import typing as ty
@@ -24,8 +25,8 @@
 
 __all__ = ['reconcile_runner']
 
-# Seconds between orders to an engine that does not check fencing numbers,
-# and between looks at what is declared.
+# Intervals of orders to an engine that does not check fencing numbers, and of
+# checks of the declared state.
 ORDER_REPEAT_INTERVAL_S = 3.0
 ORDER_CHECK_INTERVAL_S = 0.5
 _ORDER_TIMEOUT_S = 2.0
@@ -34,7 +35,7 @@
 
 
 class ConfiguredRunner(ty.Protocol):
-    """A runner as far as orders are concerned."""
+    """A runner with its present model in the bundle."""
 
     model: bundle.RunnerModel
 
@@ -42,7 +43,7 @@
 async def reconcile_runner(
     runner: ConfiguredRunner, lease: leases.Lease, client: webclient.WebClient
 ) -> None:
-    """Order a runner to its declared state, until cancelled."""
+    """Keep a runner in its declared state until cancelled."""
     applied: DeclaredState | None = None
     applied_at = float('-inf')
     while True:
@@ -73,6 +74,6 @@
         eliot.log_message('order:failed', runner=model.name, error=str(error))
         return False
     if status != 200:
-        # 409: a newer owner has given orders, and ours are void.
+        # 409: a newer owner has sent orders, and ours are rejected.
         eliot.log_message('order:refused', runner=model.name, status=status)
     return status == 200
