--- a/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/policies.py
@@ -1,12 +1,12 @@
 """Placement policies: which runner gets the next request of a pool.
 
-A policy is a function from the runners with room and a request to one of
-them. Decorators file it in the registry under the name that a bundle's pool
-gives. Beside the policy that the product is built for, ``prefix-aware``,
-stand the simple ones that it is measured against.
+A policy is a function that chooses one of the runners with room for a
+request. Decorators register it under the name that a pool of the bundle
+gives. ``prefix-aware`` is the policy for production; the others are the
+baselines that it is compared with.
 
-Whether the queue minds tiers belongs to the policy as well: ``first-come``
-exists to show what happens without them.
+A policy also says whether the queue has tiers: ``first-come`` exists to show
+what happens without them.
 """
 
 import collections.abc
@@ -24,38 +24,39 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """What a policy decides on."""
+    """Input of a policy."""
 
     # Runners with room; never empty.
     candidates: list[runnerstate.RunnerState]
     prompt_tokens: int
     output_tokens: int
     prefix: list[int]
-    # Time left until the answer is useless, in seconds.
+    # Time left until the deadline, in seconds.
     deadline_s: float
-    # For policies that draw.
+    # For policies that choose at random.
     rng: random.Random
     # Number of choices made in this pool so far.
     choice_count: int
-    # The present time, on the monotonic clock.
+    # Current monotonic time.
     now: float
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """A way to run a pool."""
+    """A placement policy and how its pool's queue works."""
 
     name: str
     choose: Choose
     # False: one queue in order of arrival.
     has_tiers: bool
-    # False: runners are filled without regard to what they can batch, as a
-    # balancer does that does not know.
+    # False: the batch limits of runners are ignored, as by a load balancer
+    # that does not know them.
     has_limits: bool
-    # True: among the first that wait, one whose prefix is cached goes first.
+    # True: of the first waiting requests, one whose prefix is cached is
+    # granted first.
     has_lookahead: bool
-    # True: short requests have slots that long ones may not take.
+    # True: some slots are reserved for short requests.
     has_short_slots: bool
 
 
@@ -69,11 +70,11 @@
     has_lookahead: bool = False,
     has_short_slots: bool = False,
 ) -> collections.abc.Callable[[Choose], Choose]:
-    """Return a decorator that files a policy under a name."""
+    """Return a decorator that registers a policy under a name."""
 
     def register_policy(choose: Choose) -> Choose:
         if name in _policies:
-            raise ValueError(f'policy {name!r} stands twice')
+            raise ValueError(f'policy {name!r} is registered twice')
         _policies[name] = Policy(
             name,
             choose,
@@ -99,36 +100,36 @@
 
 @register('random', has_tiers=False, has_limits=False)
 def choose_random(choice: Choice) -> runnerstate.RunnerState | None:
-    """Draw a runner."""
+    """Choose a random runner."""
     return choice.rng.choice(choice.candidates)
 
 
 @register('round-robin', has_tiers=False, has_limits=False)
 def choose_round_robin(choice: Choice) -> runnerstate.RunnerState | None:
-    """Take the runners in turn."""
+    """Choose the runners in turn."""
     return choice.candidates[choice.choice_count % len(choice.candidates)]
 
 
 @register('least-reported', has_tiers=False, has_limits=False)
 def choose_least_reported(choice: Choice) -> runnerstate.RunnerState | None:
-    """Take the runner that last reported the least load."""
+    """Choose the runner that last reported the least load."""
     return min(choice.candidates, key=lambda item: item.reported_requests)
 
 
 @register('first-come', has_tiers=False)
 def choose_first_come(choice: Choice) -> runnerstate.RunnerState | None:
-    """Take the least loaded runner with room, without tiers."""
+    """Choose the least loaded runner with room, without tiers."""
     return min(choice.candidates, key=lambda item: item.count_requests())
 
 
 @register('prefix-aware', has_lookahead=True, has_short_slots=True)
 def choose_earliest_finish(choice: Choice) -> runnerstate.RunnerState | None:
-    """Take the runner on which the request is expected to end first.
+    """Choose the runner on which the request is expected to end first.
 
-    Cached prompt blocks count as done, so that a prefix stays where it is
-    until its runner's queue costs more than the prefix saves. A runner on
-    which the request would end after its deadline gets it only if there is
-    no better one.
+    Cached prompt blocks need no prefill, so requests with a common prefix
+    stay on one runner until its queue costs more than the prefix saves. A
+    runner on which the request would miss its deadline is chosen only if
+    there is no better one.
     """
     best: runnerstate.RunnerState | None = None
     best_s = float('inf')
