--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -1,8 +1,8 @@
-"""Asking a pool's scheduler for a runner: the entry daemon's side.
+"""Client of a pool's scheduler, on the daemon where requests enter.
 
 Every request that waits or runs has a ``Ticket``. Tickets are registered
-with the owner of their pool, and again with each new owner; while there is
-none they simply wait here, until their deadline or until this daemon stops.
+with the owner of their pool, and again with each new owner. While there is no
+owner they wait here, until their deadline or until this daemon stops.
 """
 
 import collections.abc
@@ -21,26 +21,29 @@
 
 __all__ = ['PoolClient', 'Ticket']
 
-# Pushes a message to an incarnation; lost if there is no connection.
+# Sends an incarnation a message without reply; lost without a connection.
 Send = collections.abc.Callable[[ids.Incarnation, object], None]
 # Calls an incarnation; None if it does not answer.
 Call = collections.abc.Callable[
     [ids.Incarnation, object], collections.abc.Awaitable[object]
 ]
 
-# Waits until the log brings a record, at most so many seconds.
+# Waits for the next record of the log, at most so many seconds.
 WaitForChange = collections.abc.Callable[
     [float], collections.abc.Awaitable[None]
 ]
 
-# Longest time between two looks at who owns a pool, in seconds.
+# Longest interval between two checks of who owns the pools.
 REGISTER_INTERVAL_S = 0.5
 
 
 @ty.final
 @dataclasses.dataclass(slots=True, eq=False)
 class Ticket:
-    """One request at its pool's scheduler."""
+    """A request that waits for a runner of its pool or runs on one.
+
+    The pool's scheduler knows it by ``name``.
+    """
 
     name: str
     pool: ids.Pool
@@ -56,23 +59,23 @@
     # False while it waits for its claim; see ``poolqueue``.
     is_ready: bool = False
     avoid: list[ids.Runner] = dataclasses.field(default_factory=list)
-    # Where it runs now.
+    # Runner on which it runs now.
     runner: ids.Runner | None = None
     # The latest grant and when it expires.
     granted: ids.Runner | None = None
     granted_until: float = 0.0
-    # Set when the scheduler or this daemon has given it up.
+    # Set when the scheduler or this daemon has rejected it.
     problem: errors.Problem | None = None
-    # What to do when the runner that it runs on no longer answers.
+    # Called when the runner on which it runs no longer answers.
     on_runner_lost: collections.abc.Callable[[], None] = lambda: None
     changed: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
     def wake(self) -> None:
-        """Let the request's task look again."""
+        """Wake the request's task."""
         self.changed.set()
 
     def describe(self, now: float) -> wire.Registration:
-        """Return what the scheduler has to know."""
+        """Return the registration that the scheduler needs."""
         return wire.Registration(
             ticket=self.name,
             organisation=self.organisation,
@@ -108,7 +111,7 @@
         self._call = call
         self._wait_for_change = wait_for_change
         self._tickets: dict[ids.Pool, dict[str, Ticket]] = {}
-        # Owner's epoch that has all our tickets of a pool, by owner.
+        # Owner and epoch with which all our tickets of a pool are registered.
         self._registered: dict[
             ids.Pool, tuple[ids.Incarnation, ids.Epoch]
         ] = {}
@@ -146,15 +149,15 @@
     def add(self, ticket: Ticket) -> None:
         """Register a ticket; ``wait`` for its grant.
 
-        One that is not ready only takes its place in the queue and is
-        added again when it is.
+        A ticket that is not ready queues without being granted; it is added
+        again when it is ready.
         """
         tickets = self._tickets.setdefault(ticket.pool, {})
         tickets[ticket.name] = ticket
         self._register(ticket)
 
     async def wait(self, ticket: Ticket) -> ids.Runner:
-        """Wait for a runner; raises Refused when it is given up."""
+        """Wait for a runner; raises Refused if it is shed or too late."""
         while True:
             now = clocks.read_monotonic()
             if ticket.problem is not None:
@@ -179,16 +182,16 @@
             await ticket.changed.wait()
 
     def release(self, ticket: Ticket, message: wire.Finished) -> None:
-        """Say that the ticket's request has left its runner."""
+        """Report that a ticket's request has finished on its runner."""
         ticket.runner = None
         self._notify_owner(ticket.pool, message)
 
     def requeue(self, ticket: Ticket) -> None:
-        """Register a ticket whose runner did not take it."""
+        """Register a ticket again after an attempt that failed."""
         self._register(ticket)
 
     def remove(self, ticket: Ticket) -> None:
-        """Forget a ticket."""
+        """Remove a ticket and withdraw it from the scheduler."""
         tickets = self._tickets.get(ticket.pool, {})
         if tickets.pop(ticket.name, None) is not None:
             self._notify_owner(
@@ -196,9 +199,9 @@
             )
 
     def mark_unregistered(self, owner: ids.Incarnation) -> None:
-        """Register again with an owner whose connection was lost.
+        """Have all tickets registered with an owner again.
 
-        What was on its way may not have arrived.
+        Its connection was lost, perhaps with messages that were under way.
         """
         for pool, owner_epoch in list(self._registered.items()):
             if owner_epoch[0] == owner:
@@ -209,12 +212,12 @@
     def handle_grant(
         self, message: wire.Grant, sender: ids.Incarnation
     ) -> None:
-        """A runner has room for a ticket."""
+        """Handle a grant: a runner has room for a ticket."""
         ticket = self._find(message.pool, message.ticket)
         if ticket is None:
             return
         if ticket.runner is not None:
-            # A second grant, from a scheduler that did not know the first.
+            # A second grant, by a scheduler that did not know of the first.
             self._notify_started(ticket)
             return
         ticket.granted = message.runner
@@ -222,12 +225,12 @@
         ticket.wake()
 
     def handle_shed(self, message: wire.Shed, sender: ids.Incarnation) -> None:
-        """A ticket is given up."""
+        """Handle a shed ticket."""
         ticket = self._find(message.pool, message.ticket)
         if ticket is None:
             return
         if ticket.runner is not None:
-            # It began on the grant of a scheduler before this one.
+            # It was started on the grant of an earlier scheduler.
             self._notify_started(ticket)
             return
         entry = self._find_owner(message.pool)
@@ -245,7 +248,7 @@
     def handle_withdrawn(
         self, message: wire.Withdrawn, sender: ids.Incarnation
     ) -> None:
-        """A grant is void if it was not used."""
+        """Handle a withdrawn grant, which is void unless it was used."""
         ticket = self._find(message.pool, message.ticket)
         if ticket is None:
             return
@@ -296,7 +299,7 @@
             if not isinstance(reply, wire.Ack):
                 return
             self._registered[pool] = (entry.owner, entry.epoch)
-            # What was added while the call was under way.
+            # Tickets that were added during the call.
             for name, ticket in self._tickets.get(pool, {}).items():
                 if name not in tickets:
                     self._register(ticket)
@@ -306,7 +309,7 @@
     def _register(self, ticket: Ticket) -> None:
         entry = self._find_owner(ticket.pool)
         if entry is None or not self._is_registered(ticket.pool):
-            # It goes with all the others, as soon as there is an owner.
+            # ``_register_all`` registers it as soon as there is an owner.
             return
         now = clocks.read_monotonic()
         message = wire.Register(
--- a/tests/test_claim_waits.py
+++ b/tests/test_claim_waits.py
@@ -1,4 +1,4 @@
-"""Requests that are given up while their key is being claimed."""
+"""Requests that are shed while their key is being claimed."""
 
 import typing as ty
 
@@ -23,8 +23,8 @@
 EPOCH: ty.Final = ids.Epoch(7)
 POOL: ty.Final = ids.Pool('planners')
 DEADLINE_S: ty.Final = 20.0
-# Seconds in which a caller that was given up hears so, on a machine that is
-# busy; a tenth of its deadline.
+# A shed caller is answered within this time, also on a busy machine; a tenth
+# of its deadline.
 IMMEDIATE_LIMIT_S: ty.Final = DEADLINE_S / 10
 
 
@@ -34,7 +34,7 @@
     def __init__(self, delay_s: float, verdict: wire.ClaimVerdict) -> None:
         self.delay_s = delay_s
         self.verdict = verdict
-        # What the owner was told in the end.
+        # Outcomes that were reported to the owner.
         self.ends: list[wire.ClaimState] = []
 
     async def claim(
@@ -50,7 +50,7 @@
 
 
 class EarlierAnswers:
-    """The holder of a key, which has its answer."""
+    """Attacher to a holder that has the answer of the key."""
 
     async def copy(
         self, kept: answers.Kept, shard: ids.Shard, reply: wire.ClaimReply
@@ -77,7 +77,7 @@
 
 
 def make_request() -> admission.Request:
-    """Return work that may not run twice."""
+    """Return a request that may not run twice."""
     route = bundle.RouteModel.model_validate(
         {
             'name': 'report',
@@ -172,11 +172,11 @@
         return answer.end.problem
 
     def test_claim_that_is_granted_late_says_not_run(self) -> None:
-        # A caller hears "unknown" for work that never ran, and can't send it
-        # under another key. Its claim took longer than a tenth of a second,
-        # so the request waited in the queue meanwhile and was shed there;
-        # the claim was dropped, whose answer would have said that no earlier
-        # call had the key.
+        # Guards against "unknown" for a request that never ran, which its
+        # caller cannot send under another key. The claim takes longer than a
+        # tenth of a second, so the request waits in the queue and is shed
+        # there. The claim must not be abandoned: its reply shows that no
+        # earlier call had the key.
         claimed = SlowClaims(0.2, wire.ClaimVerdict.GRANTED)
         answer, took_s = self.shed(claimed)
         problem = self.find_problem(answer)
@@ -184,12 +184,12 @@
         self.assertEqual('APL201', problem.code)
         self.assertEqual(1.5, problem.retry_after_s)
         self.assertLess(took_s, IMMEDIATE_LIMIT_S)
-        # The key is free for the call that comes back.
+        # The key is free for a retry.
         self.assertEqual([wire.ClaimState.RELEASED], claimed.ends)
 
     def test_claim_of_a_key_that_ran_gives_its_answer(self) -> None:
-        # As above, but the caller asks again for work that has run: the
-        # answer is there, and costs the pool nothing.
+        # As above, but the caller retries a request that has run: its answer
+        # is kept, and costs the pool nothing.
         claimed = SlowClaims(0.2, wire.ClaimVerdict.FINISHED)
         answer, _ = self.shed(claimed)
         assert answer.end is not None
@@ -197,8 +197,8 @@
         self.assertEqual([b'the answer of the first call'], answer.chunks)
 
     def test_claim_owner_that_is_silent_is_not_waited_for(self) -> None:
-        # The caller must hear at once that it was given up, also when nobody
-        # can say whether an earlier call under its key ran.
+        # A shed caller must be answered at once, also when it is unknown
+        # whether an earlier call under its key ran.
         claimed = SlowClaims(DEADLINE_S, wire.ClaimVerdict.GRANTED)
         answer, took_s = self.shed(claimed)
         problem = self.find_problem(answer)
