--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolqueue.py
@@ -1,23 +1,23 @@
-"""The queue of one pool: who is next, where, and who is given up.
-
-Tiers are strict: nothing of a higher tier is shed while something of a lower
-tier waits, and nothing of a lower tier is granted what something of a higher
-tier could have. Long requests leave some slots to short ones, so a short one
-of a lower tier may begin while a long one waits. Within a tier ``tierqueue``
-keeps a fair order; of the next few of an organisation, one whose prefix the
-runner caches goes first.
-
-Engines have no priorities, so the wait is here and not there: a runner is
-granted only what its batch can hold.
-
-A request that still waits for its claim is *held*: it counts, and can be
-shed, but is not granted. Were it unknown here, ones of a higher tier would
-be shed while it waits elsewhere, and it would run when its claim comes.
-
-Shedding has one rule for all its reasons: only the lowest tier that waits is
-shed. Within it the organisation that waits with the most tokens for its
-weight gives its newest request. What was shed counts as waiting until the
-daemon that has it confirms; see ``_find_sheddable_tier``.
+"""The queue of one pool: which requests are granted or shed, and where.
+
+Tiers are strict: no request of a higher tier is shed while one of a lower
+tier waits, and none of a lower tier is granted what one of a higher tier
+could use. Long requests leave some slots to short ones, so a short request
+of a lower tier may start while a long one waits. Within a tier ``tierqueue``
+keeps a fair order; of the next few requests of an organisation, one whose
+prefix the runner caches is granted first.
+
+Engines have no priorities, so requests wait here and not in the engines: a
+runner is granted only what its batch can hold.
+
+A request that still waits for its claim is *held*: it counts and can be
+shed, but is not granted. If it were not queued, requests of a higher tier
+would be shed while it waits elsewhere, and it would run once it is claimed.
+
+Shedding follows one rule for all its reasons: only the lowest waiting tier
+is shed. Within it, the newest request is shed of the organisation that has
+the most waiting tokens for its weight. A shed request counts as waiting until
+its daemon confirms the shed; see ``_find_sheddable_tier``.
 """
 
 import collections
@@ -36,16 +36,16 @@
 
 __all__ = ['GrantDecision', 'PoolQueue', 'ShedDecision']
 
-# Seconds in which a grant has to be used.
+# A grant expires if it is not used within this time.
 GRANT_TIMEOUT_S = 1.0
-# Part of the expected time that a request needs before its deadline to be
-# begun at all.
+# A request is started only if at least this share of its estimated duration
+# is left before its deadline.
 MIN_ESTIMATE_SHARE = 0.7
-# How many of an organisation's requests are looked at for one whose prefix a
-# runner caches, and how often one may be passed over for that.
+# How many requests of an organisation are searched for a cached prefix, and
+# how often one of them may be overtaken for that reason.
 LOOKAHEAD_REQUESTS = 16
 MAX_OVERTAKES = 8
-# Bounds of the advice when to come back, in seconds.
+# Bounds of the advised delay before a retry.
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 30.0
 
@@ -62,12 +62,12 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class ShedDecision:
-    """A request is given up."""
+    """A request is shed."""
 
     waiting: tierqueue.WaitingRequest
     retry_after_s: float
-    # Not for want of room: it could not end before its deadline even if it
-    # began now.
+    # True if the reason is not load: it would miss its deadline even if it
+    # started now.
     is_late: bool = False
 
 
@@ -81,7 +81,7 @@
 
 @ty.final
 class PoolQueue:
-    """Decisions of one pool's scheduler."""
+    """Grants and sheds the requests of one pool."""
 
     def __init__(self, pool: bundle.PoolModel, seed: int = 0) -> None:
         """Start empty."""
@@ -95,13 +95,13 @@
         self._choice_count = 0
         self._waiting_tokens = 0
         self._waiting_short_tokens = 0
-        # Set while the queue is gone through, once a long one has no room.
+        # Set during ``_grant_all`` once a long request has no room.
         self._is_long_blocked = False
         self._drain_rate = drainrate.DrainRate()
         self.update_pool(pool)
 
     def update_pool(self, pool: bundle.PoolModel) -> None:
-        """Follow a change of configuration; work under way goes on."""
+        """Apply a change of configuration; running requests go on."""
         self.pool = pool
         self.policy = policies.find_policy(pool.policy)
         named = {ids.Runner(model.name): model for model in pool.runners}
@@ -134,7 +134,7 @@
             if queued.entry.is_ready or not entry.is_ready:
                 return
             self._drop_waiting(queued)
-        # A daemon that registers what was shed has not heard of it.
+        # A daemon that registers a shed request did not receive the shed.
         self._confirm_shed(entry.ticket)
         waiting = tierqueue.WaitingRequest(
             entry=entry,
@@ -150,23 +150,23 @@
         self._add_waiting(waiting)
 
     def start(self, message: wire.Started, now: float) -> None:
-        """Note that a grant is used."""
+        """Record that a grant was used."""
         granted = self._granted.get(message.ticket)
         if granted is not None and granted.runner == message.runner:
             granted.is_started = True
             return
         waiting = self._waiting.get(message.ticket)
         if waiting is not None:
-            # The grant of a scheduler before us.
+            # Granted by an earlier scheduler.
             self._drop_waiting(waiting)
         else:
-            # Shed by us, after it was begun on such a grant.
+            # Shed here, after it had started on such a grant.
             waiting = self._confirm_shed(message.ticket)
         if waiting is not None:
             self._assign_runner(waiting, message.runner, now, is_started=True)
 
     def finish(self, message: wire.Finished, now: float) -> None:
-        """Note that a request has left its runner."""
+        """Record that a request has finished on its runner."""
         granted = self._granted.pop(message.ticket, None)
         if granted is None:
             return
@@ -179,7 +179,7 @@
             runner.record_result(assignment, message, now)
 
     def withdraw(self, ticket: str) -> None:
-        """Forget a request that its daemon no longer wants to run."""
+        """Remove a request that its daemon no longer wants to run."""
         self._confirm_shed(ticket)
         waiting = self._waiting.get(ticket)
         if waiting is not None:
@@ -189,7 +189,7 @@
             self._revoke_grant(granted)
 
     def drop_sender(self, sender: ids.Incarnation) -> None:
-        """Forget what a daemon that is gone had waiting or running."""
+        """Remove all requests of a daemon that has disconnected."""
         for waiting in list(self._waiting.values()):
             if waiting.sender == sender:
                 self._drop_waiting(waiting)
@@ -199,10 +199,10 @@
                 self._revoke_grant(granted)
 
     def confirm_sheds(self, sender: ids.Incarnation) -> None:
-        """Take what was shed of a daemon's for confirmed.
+        """Treat all sheds of a daemon's requests as confirmed.
 
-        For one that is gone, or is about to register all that it has: its
-        confirmations may have been lost with a connection.
+        For a daemon that has disconnected or is about to register all its
+        requests: confirmations may have been lost with a connection.
         """
         for tier in self._tiers.values():
             for ticket, waiting in list(tier.unconfirmed.items()):
@@ -212,7 +212,7 @@
     def decide(
         self, now: float, may_shed: bool
     ) -> list[GrantDecision | ShedDecision]:
-        """Grant what can be granted; then shed what has to be."""
+        """Grant all requests with room, then shed what has to be shed."""
         self._drain_rate.update(bool(self._waiting), now)
         found: list[GrantDecision | ShedDecision] = []
         found.extend(self._grant_all(now))
@@ -221,7 +221,7 @@
         return found
 
     def expire_grants(self, now: float) -> list[GrantDecision]:
-        """Take back grants that were not used in time; return them."""
+        """Revoke grants that were not used in time; return them."""
         expired: list[GrantDecision] = []
         for granted in list(self._granted.values()):
             if granted.is_started or now < granted.expires_at:
@@ -231,7 +231,7 @@
         return expired
 
     def withdraw_grants(self, runner: ids.Runner) -> list[GrantDecision]:
-        """Take back a runner's grants that have not been used yet."""
+        """Revoke the unused grants of a runner; return them."""
         found: list[GrantDecision] = []
         for granted in list(self._granted.values()):
             if granted.is_started or granted.runner != runner:
@@ -249,7 +249,7 @@
         ]
 
     def estimate_retry_after_s(self) -> float:
-        """Return in how many seconds what waits now will have drained."""
+        """Return the seconds in which the waiting requests will drain."""
         if self._drain_rate.tokens_per_s <= 0.0:
             return MIN_RETRY_AFTER_S
         seconds = self._waiting_tokens / self._drain_rate.tokens_per_s
@@ -269,12 +269,12 @@
                     break
                 runner = self._choose_runner(options[0], now)
                 if runner is None and is_short:
-                    # Nothing may overtake it: were smaller requests let
-                    # past, a large one would wait for ever.
+                    # Nothing may overtake it: if smaller requests could, a
+                    # large one would starve.
                     return
                 if runner is None:
-                    # Nothing but short requests of lower tiers, which take
-                    # slots that it may not have.
+                    # Only short requests of lower tiers may follow, on
+                    # slots that a long one may not take.
                     self._is_long_blocked = True
                     break
                 waiting = self._choose_request(options, runner)
@@ -299,10 +299,10 @@
         waiting: tierqueue.WaitingRequest,
         usable: collections.abc.Iterable[runnerstate.RunnerState],
     ) -> bool:
-        # Long requests would hold every slot for seconds while hundreds of
-        # short ones, which take one for some milliseconds each, wait and
-        # miss their deadlines. So long ones never take the reserved slots,
-        # and while one waits short ones take no others.
+        # Otherwise long requests hold every slot for seconds while hundreds
+        # of short ones, which need one for some milliseconds each, miss
+        # their deadlines. So long requests never take the reserved slots,
+        # and while one waits short requests take no others.
         if not self.policy.has_short_slots:
             return True
         if waiting.is_short and not self._is_long_blocked:
@@ -322,10 +322,10 @@
         options: list[tierqueue.WaitingRequest],
         runner: runnerstate.RunnerState,
     ) -> tierqueue.WaitingRequest:
-        # Under load a single runner has room, and what it caches decides
-        # how long a prefill it gets: of the first few that wait, the one
-        # with the longest cached prefix. One that was passed over often is
-        # taken in any case, so that each waits for a bounded number.
+        # Under load a single runner has room, and its cache decides how
+        # long the prefill takes: so of the first few waiting requests the
+        # one with the longest cached prefix is chosen. One that was
+        # overtaken too often is chosen in any case, which bounds its wait.
         head = options[0]
         if (
             not self.policy.has_lookahead
@@ -355,10 +355,10 @@
         runner: runnerstate.RunnerState,
         now: float,
     ) -> bool:
-        # Begun now it would end after its deadline: its prefill and output
-        # would be thrown away, and those behind it would wait for nothing.
-        # It is nobody's lower tier that it yields to, so this is no
-        # shedding. The estimate may be wrong, so it is given some credit.
+        # A request that ends after its deadline wastes its prefill and
+        # output and delays those behind it. It is not dropped in favour of
+        # another tier, so the rule of shedding does not apply. The estimate
+        # may be too high, so only a share of it has to fit.
         if not self.policy.has_limits or not runner.has_measurements:
             return False
         entry = waiting.entry
@@ -407,7 +407,7 @@
         found = [
             runner for runner in usable if runner.has_room(waiting.tokens)
         ]
-        # Under load there mostly is none, and nothing more to look at.
+        # Under load mostly none has room, and the slots need no check.
         if found and not self._has_slot(waiting, usable):
             return []
         return found
@@ -459,15 +459,15 @@
         yield from self._shed_infeasible(now)
 
     def _shed_infeasible(self, now: float) -> ty.Iterator[ShedDecision]:
-        # What cannot begin before its deadline is told so at once. Only
-        # the lowest tier that waits: a request of a higher tier may be as
-        # hopeless, but it must not be given up before a lower one is.
+        # Sheds requests that cannot start before their deadline. Only of
+        # the lowest waiting tier: a request of a higher tier may not be
+        # able to start in time either, but must not be shed before these.
         tier = self._find_sheddable_tier()
         if tier is None or self._drain_rate.tokens_per_s <= 0.0:
             return
         lowest = sorted(tier.iterate(), key=lambda item: item.arrived_at)
         ahead = self._waiting_tokens - sum(item.tokens for item in lowest)
-        # Short ones have slots of their own: only short ones are ahead.
+        # Short requests have reserved slots: only short ones are ahead.
         short_ahead = self._waiting_short_tokens - sum(
             item.tokens for item in lowest if item.is_short
         )
@@ -491,11 +491,11 @@
         return self._waiting_tokens > self.pool.queue_tokens
 
     def _find_sheddable_tier(self) -> tierqueue.TierQueue | None:
-        # The lowest tier that waits, unless one below it has requests that
-        # were shed and not confirmed. A link that is cut loses decisions
-        # before anybody notices: the requests would be registered again and
-        # kept, while ones of a higher tier had been shed in their place.
-        # The wait ends with the confirmation or with the connection, and
+        # Returns the lowest waiting tier, or None if one below it has
+        # unconfirmed sheds. A link that fails loses decisions before the
+        # failure is detected: the requests would be registered again and
+        # kept, although ones of a higher tier were shed in their place. The
+        # wait ends with the confirmation or when the connection is lost;
         # then no shedding is allowed until that daemon has registered.
         for rank in sorted(self._tiers, reverse=True):
             tier = self._tiers[rank]
@@ -519,7 +519,7 @@
                 return waiting
         return None
 
-    # Book-keeping.
+    # Bookkeeping.
 
     def _add_waiting(self, waiting: tierqueue.WaitingRequest) -> None:
         tier = self._tiers.get(waiting.rank)
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -1,4 +1,4 @@
-"""Rules of a pool's queue, with time as an argument and no process."""
+"""Tests of a pool's queue, with time as an argument and no process."""
 
 import dataclasses
 import typing as ty
@@ -13,18 +13,18 @@
 
 NEAR_DAEMON = ids.Incarnation('entry-1/a')
 FAR_DAEMON = ids.Incarnation('entry-2/b')
-# Room for this many requests; no runner takes any.
+# Largest number of requests in the queue.
 QUEUE_REQUESTS = 2
 
 
 class TestUnconfirmedSheds(testtools.TestCase):
-    """A shed request counts as kept until its daemon confirms.
+    """A shed request counts as waiting until its daemon confirms the shed.
 
-    The link to a daemon is cut without anybody's notice and what the
-    scheduler sheds there is not heard of. It sheds that daemon's requests
-    of the lowest tier, then callers elsewhere of a higher tier; the link
-    heals, and the low ones, registered again, run. Seen in the tier matrix
-    at cut-entry, shedding.
+    Guards against shedding a higher tier while a lower one is kept: the link
+    to a daemon fails unnoticed, so its sheds of the lowest tier are lost.
+    The scheduler then sheds requests of a higher tier elsewhere; the link
+    recovers, and the low ones are registered again and run. Found by the
+    tier matrix at cut-entry, shedding.
     """
 
     def setUp(self) -> None:
@@ -34,7 +34,7 @@
             runner.is_leaving = True
         for number in range(QUEUE_REQUESTS):
             self.register(f'low-{number}', 4, FAR_DAEMON)
-        # Two above the limit: both of the low tier are shed.
+        # Two above the limit: both requests of the low tier are shed.
         for number in range(QUEUE_REQUESTS):
             self.register(f'high-{number}', 1, NEAR_DAEMON)
         self.assertEqual({'low-0', 'low-1'}, self.shed())
@@ -50,14 +50,14 @@
         self.assertEqual({'high-2'}, self.shed())
 
     def test_registered_again(self) -> None:
-        # The daemon has not heard of it: it is shed once more, and still
-        # nothing of the higher tier.
+        # The daemon did not receive the shed: the request is shed again, and
+        # still none of the higher tier.
         self.register('low-0', 4, FAR_DAEMON)
         self.assertEqual({'low-0'}, self.shed())
 
     def test_begun_on_an_earlier_grant(self) -> None:
-        # It runs on the grant of a scheduler before this one: it is no
-        # longer kept waiting in the place of others.
+        # It runs on the grant of an earlier scheduler: it no longer counts
+        # as waiting.
         runner = ids.Runner('planner-1')
         pool = ids.Pool('planners')
         self.queue.start(wire.Started(pool, 'low-0', runner), 1.0)
@@ -70,8 +70,8 @@
         self.assertEqual({'high-2'}, self.shed())
 
     def test_confirmation_was_lost(self) -> None:
-        # With a connection that broke; the daemon then registers all that
-        # it has, and the shed ones are not among it.
+        # The connection broke; the daemon then registers all its requests,
+        # without the shed ones.
         self.queue.confirm_sheds(FAR_DAEMON)
         self.assertEqual({'high-2'}, self.shed())
 
@@ -85,11 +85,13 @@
 
 
 class TestHeld(testtools.TestCase):
-    """A request that waits for its claim has a place in the queue.
+    """A request that waits for its claim is held in the queue.
 
-    The owner of its claim cannot be reached for a while. It waits at its
-    daemon, unknown to the scheduler, which sheds ones of a higher tier; the
-    claim comes and it runs. Seen in the tier matrix at cut-pair, filling.
+    Guards against shedding a higher tier while a lower one is kept: the
+    owner of a claim is unreachable for a while, and the request waits at its
+    daemon, unknown to the scheduler. The scheduler sheds requests of a higher
+    tier; then the claim is granted and the low one runs. Found by the tier
+    matrix at cut-pair, filling.
     """
 
     def setUp(self) -> None:
@@ -115,7 +117,7 @@
         self.assertEqual({'next'}, decide(self.queue))
 
     def test_is_granted_once_ready(self) -> None:
-        # Registered twice, as after a connection that broke.
+        # Registered twice, as after a lost connection.
         for _ in range(2):
             self.queue.register(make_entry('low', 4), FAR_DAEMON, 0.0)
         self.assertEqual({'low'}, decide(self.queue))
@@ -138,7 +140,7 @@
 
 
 class TestLookahead(testtools.TestCase):
-    """Of the first that wait, one whose prefix is cached goes first."""
+    """Of the first requests, one with a cached prefix is granted first."""
 
     cached: ty.Final = list(range(6))
 
@@ -167,8 +169,8 @@
         self.assertEqual(['cold', 'warm'], self.grant_all(2))
 
     def test_waits_for_a_bounded_number(self) -> None:
-        # However many warm ones arrive, a cold one is passed over so often
-        # and no more.
+        # A request without a cached prefix is overtaken at most
+        # ``MAX_OVERTAKES`` times, however many with one arrive.
         self.add('cold', [])
         for number in range(2 * poolqueue.MAX_OVERTAKES):
             self.add(f'warm-{number}', self.cached)
@@ -220,7 +222,7 @@
         self.assertEqual({'long-0', 'long-1', 'long-2', 'short-0'}, granted)
 
     def test_short_ones_take_no_slot_of_a_long_one_that_waits(self) -> None:
-        # Else they would fill the runner one by one as long ones end.
+        # Otherwise they would fill the runner as long ones finish.
         self.add_all('long', 5, tier=0, prompt_tokens=1000)
         self.add_all('short', 2, tier=4, prompt_tokens=10)
         decide(self.queue)
