--- a/packages/apricotlandingd/src/apricotlandingd/pools/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/__init__.py
@@ -1,5 +1,5 @@
-"""Which request of a pool goes next, and to which runner.
+"""Scheduling of the requests of a pool on its runners.
 
-``poolservice`` is what the owner of a pool does, ``poolqueue`` its queue, and
-``poolclient`` the side of the daemons that wait.
+``poolservice`` is the scheduler on the owner of a pool, ``poolqueue`` is its
+queue, and ``poolclient`` the client on the daemons where requests enter.
 """
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -1,15 +1,15 @@
 """Pool schedulers: the owner's side of a pool's queue.
 
-``PoolScheduler`` keeps a ``PoolQueue`` for each pool that this daemon owns and is
-the ``owners.Role`` of pools. For each such pool it runs two tasks for every
-runner, which read its load and its cache events, and one that decides
-whenever something has changed.
-
-A scheduler's state is soft: entry daemons register what they have with each
-new owner. Two schedulers at a time can overfill a runner for a moment, which
-is harmless. Shedding is not: two with half the queue each would shed a
-higher tier here and keep a lower one there. So a scheduler sheds only while
-its right is valid and once every live daemon has registered with it.
+``PoolScheduler`` keeps a ``PoolQueue`` for each pool that this daemon owns
+and is the ``owners.Role`` of pools. For each such pool it runs three tasks
+for every runner, which poll its load, poll its cache events and send it
+orders, and one that grants and sheds whenever something has changed.
+
+A scheduler's state is soft: entry daemons register their requests with each
+new owner. Two concurrent schedulers can overfill a runner for a moment, which
+is harmless. Concurrent shedding is not: with half the queue each, one would
+shed a higher tier while the other keeps a lower one. So a scheduler sheds
+only while its lease is valid and once every live daemon has registered.
 """
 
 import collections.abc
@@ -36,12 +36,12 @@
 
 __all__ = ['PoolScheduler']
 
-# Longest time between two decisions, in seconds.
+# Longest interval between two decisions.
 DECIDE_INTERVAL_S = 0.25
 LOAD_INTERVAL_S = 0.5
 LOAD_TIMEOUT_S = 0.75
-# A runner whose load report has failed for so long gets no work. With the
-# interval and the timeout this is noticed within 3 seconds.
+# A runner whose load reports have failed for this long gets no work. With the
+# interval and the timeout this is detected within 3 seconds.
 LOAD_SILENCE_LIMIT_S = 1.75
 EVENT_INTERVAL_S = 1.0
 
@@ -55,19 +55,19 @@
     def __init__(self, pool: bundle.PoolModel, lease: leases.Lease) -> None:
         self.queue = poolqueue.PoolQueue(pool)
         self.lease = lease
-        # Incarnations that have registered all that they have.
+        # Incarnations that have registered all their requests.
         self.registered: set[ids.Incarnation] = set()
         self.changed = anyio.Event()
         self.scope = anyio.CancelScope()
 
     def wake(self) -> None:
-        """Let the scheduler decide."""
+        """Wake the scheduler's task."""
         self.changed.set()
 
 
 @ty.final
 class PoolScheduler:
-    """The owner's side of pools; a role of ``owners``."""
+    """Schedules the pools that this daemon owns; a role of ``owners``."""
 
     def __init__(self, others: peers.Peers, counts: metrics.Metrics) -> None:
         """Start without a pool."""
@@ -92,7 +92,7 @@
     def begin(
         self, shard: ids.Shard, lease: leases.Lease, start: owners.StartContext
     ) -> None:
-        """Open a queue for a pool."""
+        """Create the queue of a pool."""
         config = self.find_bundle()
         assert config is not None
         name = _parse_pool(shard)
@@ -105,7 +105,7 @@
         self._group.start_soon(self._run_pool, name, served)
 
     def end(self, shard: ids.Shard) -> None:
-        """Stop deciding for a pool."""
+        """Stop scheduling a pool."""
         served = self._served.pop(_parse_pool(shard), None)
         if served is not None:
             served.scope.cancel()
@@ -123,8 +123,8 @@
         """Add all requests of a daemon."""
         served = self._served.get(message.pool)
         if served is None or served.lease.epoch != message.epoch:
-            # The daemon may have read in the log that we serve before we
-            # have: it asks again.
+            # The daemon may have read that we serve before we have read
+            # it ourselves; it retries.
             return wire.Failed('', 'not the owner in this epoch')
         served.queue.confirm_sheds(sender)
         self.handle_register(message, sender)
@@ -146,7 +146,7 @@
     def handle_started(
         self, message: wire.Started, sender: ids.Incarnation
     ) -> None:
-        """Note that a grant is used."""
+        """Record that a grant was used."""
         served = self._served.get(message.pool)
         if served is not None:
             served.queue.start(message, clocks.read_monotonic())
@@ -154,7 +154,7 @@
     def handle_finished(
         self, message: wire.Finished, sender: ids.Incarnation
     ) -> None:
-        """Note that a request has left its runner."""
+        """Record that a request has finished on its runner."""
         served = self._served.get(message.pool)
         if served is not None:
             served.queue.finish(message, clocks.read_monotonic())
@@ -163,21 +163,21 @@
     def handle_withdraw(
         self, message: wire.Withdraw, sender: ids.Incarnation
     ) -> None:
-        """Forget a request."""
+        """Remove a request."""
         served = self._served.get(message.pool)
         if served is not None:
             served.queue.withdraw(message.ticket)
             served.wake()
 
     def drop_sender(self, sender: ids.Incarnation) -> None:
-        """Forget the requests of a daemon whose connections are gone."""
+        """Remove the requests of a daemon that has disconnected."""
         for served in self._served.values():
             served.registered.discard(sender)
             served.queue.drop_sender(sender)
             served.wake()
 
     def update_bundle(self, config: bundle.Bundle) -> None:
-        """Follow a new bundle."""
+        """Apply a new bundle."""
         for name, served in self._served.items():
             model = config.pools.get(name)
             if model is not None:
@@ -201,7 +201,7 @@
             for name, served in self._served.items()
         }
 
-    # Deciding.
+    # Scheduling.
 
     async def _run_pool(self, name: ids.Pool, served: _ServedPool) -> None:
         with served.scope:
@@ -277,7 +277,7 @@
             ),
         )
 
-    # Following the runners.
+    # Monitoring the runners.
 
     async def _monitor_runners(self, served: _ServedPool) -> None:
         monitored: dict[ids.Runner, anyio.CancelScope] = {}
@@ -340,8 +340,8 @@
                         report['queued']
                     )
             except (webclient.WebError, KeyError, TypeError, ValueError):
-                # Its grants go on until it has been silent for a while: one
-                # lost report says nothing.
+                # A single lost report is no failure: it gets work until
+                # ``LOAD_SILENCE_LIMIT_S`` has passed.
                 pass
             silent_s = clocks.read_monotonic() - answered_at
             is_reporting = silent_s < LOAD_SILENCE_LIMIT_S
@@ -358,8 +358,8 @@
     def _withdraw_started(
         self, served: _ServedPool, runner: ids.Runner
     ) -> None:
-        # Its requests would wait for their deadlines. Those that may run
-        # twice and have shown nothing to their callers go elsewhere.
+        # Its requests would otherwise wait until their deadlines. Those that
+        # may run twice and have sent nothing to their callers are retried.
         for started in served.queue.list_started(runner):
             self.deliver(
                 started.waiting.sender,
@@ -389,7 +389,7 @@
                 for event in reply['events']:
                     _apply_event(runner, event)
         except (webclient.WebError, KeyError, TypeError, ValueError):
-            # Late or lost events cost prefix hits and nothing else.
+            # Late or lost events only cost prefix cache hits.
             pass
         await anyio.sleep(EVENT_INTERVAL_S)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: fenced where the engine checks, repaired where not."""
+"""Orders to engines: fenced if the engine checks, otherwise repeated."""
 
 import json
 import time
@@ -18,10 +18,9 @@
             self.wait_last(name, 'v7')
 
     def test_late_order_of_an_old_owner(self) -> None:
-        # The owner of the pool is replaced. An order of the old owner, that
-        # was sent but stuck on its way, arrives afterwards. Engine 1
-        # refuses it by its number; engine 2 takes it, and the new owner
-        # repeats its own.
+        # The owner of the pool is replaced, and an order of the old owner
+        # arrives late. Engine 1 rejects it by its fencing number; engine 2
+        # applies it, and the new owner repeats its own order.
         self.declare(2, 'v7')
         self.wait_last('planner-1', 'v7')
         owner = self.system.find_owner('pool/planners')
