--- a/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/runnerstate.py
@@ -1,14 +1,14 @@
-"""What a pool scheduler knows of one runner.
+"""A pool scheduler's view of one runner.
 
-Load reports are stale when they are read, so the scheduler counts what it
-granted itself and uses reports only for what it cannot know. The speed of a
-runner is learned from requests that ended: seconds for a prefill token and
-for an output token, as moving averages. A runner that nobody has measured is
-taken to be as fast as its generation's others.
+Load reports are stale when they are read, so the scheduler counts its own
+grants and uses reports only for what it cannot know. The speed of a runner is
+estimated from finished requests: seconds per prefill token and per output
+token, as exponential moving averages. A runner without measurements is
+assumed to have default speeds.
 
-The blocks that a runner caches are predicted from what was sent to it and
-corrected by its cache events, which come late and with gaps. A wrong
-prediction costs time and never correctness.
+The blocks that a runner caches are predicted from the requests sent to it and
+corrected by its cache events, which arrive late and with gaps. A wrong
+prediction costs time but never correctness.
 """
 
 import collections
@@ -21,32 +21,32 @@
 
 __all__ = ['Assignment', 'RunnerState']
 
-# Tokens in a cache block; the engines' and ours must agree.
+# Tokens in a cache block; must equal the block size of the engines.
 BLOCK_TOKENS = 16
-# Weight of the newest measurement in an average.
+# Weight of the newest measurement in an exponential moving average.
 _NEWEST_MEASUREMENT_WEIGHT = 0.2
-# Seconds a token before anything was measured.
+# Seconds per token before the first measurement.
 _PREFILL_TOKEN_S = 1.0 / 8000.0
 _OUTPUT_TOKEN_S = 0.006
-# Blocks remembered for each runner; more than an engine caches is of no use.
+# Limit of predicted blocks per runner; more than an engine caches is useless.
 _MAX_CACHED_BLOCKS = 8192
-# Seconds without work for a runner that failed a request.
+# How long a runner that failed a request gets no work.
 FAILURE_PAUSE_S = 1.0
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Assignment:
-    """One request's place on a runner."""
+    """A request that is assigned to a runner."""
 
     ticket: str
     tokens: int
     prompt_tokens: int
     # Prompt tokens that were not expected in the cache.
     uncached_tokens: int
-    # Seconds of other prefill expected before its own.
+    # Expected seconds of other prefill before its own.
     expected_wait_s: float
-    # Whether it may take the slots kept for short requests.
+    # Whether it may take the slots reserved for short requests.
     is_short: bool
 
 
@@ -55,24 +55,24 @@
     """One runner of a pool."""
 
     def __init__(self, model: bundle.RunnerModel) -> None:
-        """Start idle, cold and unmeasured."""
+        """Start idle, with an empty cache and without measurements."""
         self.name = ids.Runner(model.name)
         self.model = model
-        # What this scheduler has granted, by ticket.
+        # Requests that this scheduler has granted, by ticket.
         self.assigned: dict[str, Assignment] = {}
         # How many of these are short.
         self.short_count = 0
         self.is_leaving = False
-        # No grants before this time: it refused or failed.
+        # No grants before this time, after it rejected or failed a request.
         self.paused_until = float('-inf')
         # From its latest load report.
         self.reported_requests = 0
-        # False after load reports have failed for a while.
+        # False after load reports have failed for too long.
         self.is_reporting = True
         self.prefill_token_s = _PREFILL_TOKEN_S
         self.output_token_s = _OUTPUT_TOKEN_S
         self.has_measurements = False
-        # When the prefill of all that was sent is expected to be done.
+        # When the prefill of all assigned requests is expected to end.
         self._prefill_until = float('-inf')
         self._tokens = 0
         self._cached_blocks: collections.OrderedDict[int, None] = (
@@ -80,21 +80,21 @@
         )
 
     def count_requests(self) -> int:
-        """Return how many requests this scheduler has put here."""
+        """Return how many requests are assigned to it."""
         return len(self.assigned)
 
     def count_tokens(self) -> int:
-        """Return the tokens, prompt and output, of those requests."""
+        """Return the prompt and output tokens of those requests."""
         return self._tokens
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether it may be given work at all."""
+        """Tell whether it may get work at all."""
         if self.is_leaving or not self.is_reporting:
             return False
         return now >= self.paused_until
 
     def has_room(self, tokens: int) -> bool:
-        """Tell whether its batch can hold so many tokens more."""
+        """Tell whether its batch can hold so many more tokens."""
         if not self.assigned:
             return True
         if len(self.assigned) >= self.model.slots:
@@ -102,7 +102,7 @@
         return self._tokens + tokens <= self.model.batch_tokens
 
     def assign(self, assignment: Assignment, now: float) -> None:
-        """Count a request as being here from now on."""
+        """Count a request as assigned from now on."""
         self.release(assignment.ticket)
         self._prefill_until = (
             max(self._prefill_until, now)
@@ -113,7 +113,7 @@
         self.short_count += assignment.is_short
 
     def release(self, ticket: str) -> Assignment | None:
-        """Count a request as gone; None if it was not here."""
+        """Remove a request; return None if it was not assigned."""
         assignment = self.assigned.pop(ticket, None)
         if assignment is not None:
             self._tokens -= assignment.tokens
@@ -130,7 +130,7 @@
         return count * BLOCK_TOKENS
 
     def add_cached_blocks(self, blocks: list[int]) -> None:
-        """Expect these blocks in its cache."""
+        """Add blocks to its predicted cache."""
         for block in blocks:
             self._cached_blocks[block] = None
             self._cached_blocks.move_to_end(block)
@@ -138,20 +138,20 @@
             self._cached_blocks.popitem(last=False)
 
     def remove_cached_block(self, block: int) -> None:
-        """No longer expect a block in its cache."""
+        """Remove a block from its predicted cache."""
         self._cached_blocks.pop(block, None)
 
     def estimate_wait(self, now: float) -> float:
-        """Return seconds until the prefill that was sent here is done."""
+        """Return seconds until the assigned prefill is expected to end."""
         return max(self._prefill_until - now, 0.0)
 
     def estimate_seconds(
         self, prefill_tokens: int, output_tokens: int, now: float
     ) -> float:
-        """Return how long a request would take here, waiting included.
+        """Return the expected duration of a request, waiting included.
 
-        A prefill holds up the whole batch, so what was sent before and is
-        probably not prefilled yet comes first.
+        A prefill blocks the whole batch, so the prefill of earlier requests
+        that is probably still pending comes first.
         """
         slowdown = 1.0 + 0.08 * len(self.assigned)
         return (
@@ -163,7 +163,7 @@
     def record_result(
         self, assignment: Assignment, message: wire.Finished, now: float
     ) -> None:
-        """Learn from a request that ended."""
+        """Update the estimates with a request that has finished."""
         if not message.is_good:
             self.paused_until = now + FAILURE_PAUSE_S
             return
@@ -182,7 +182,7 @@
         self.has_measurements = True
         self.output_token_s += weight * (decode_s - self.output_token_s)
         if uncached < 4 * BLOCK_TOKENS or prefill_s <= 0.0:
-            # Too short to measure, or our expectation was off.
+            # Too short to measure, or the expected wait was too long.
             return
         token_s = prefill_s / uncached
         self.prefill_token_s += _NEWEST_MEASUREMENT_WEIGHT * (
