--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -1,10 +1,10 @@
 """The waiting requests of one tier, in fair order.
 
-Within a tier organisations share by weight: each has a virtual time that
-grows by the granted tokens over its weight, and the one that is furthest
-behind is next (weighted fair queueing). Within an organisation the order is
-that of arrival. ``poolqueue`` keeps one such queue for each tier and decides
-on what it returns.
+Organisations share a tier by weight (weighted fair queueing): each has a
+virtual time that grows by the granted tokens over its weight, and the one
+with the lowest virtual time is next. Within an organisation the order is that
+of arrival. ``poolqueue`` keeps one such queue for each tier and decides about
+the requests that it returns.
 """
 
 import collections
@@ -22,19 +22,19 @@
 @ty.final
 @dataclasses.dataclass(slots=True, eq=False)
 class WaitingRequest:
-    """A request that waits."""
+    """A waiting request."""
 
     entry: wire.Registration
     sender: ids.Incarnation
     # Monotonic times.
     arrived_at: float
     deadline_at: float
-    # Queue that it was put in; 0 for all under a policy without tiers.
+    # Rank of its tier's queue; 0 for all under a policy without tiers.
     rank: int
-    # Whether it may take the slots kept for short requests.
+    # Whether it may take the slots reserved for short requests.
     is_short: bool
     is_removed: bool = False
-    # How often a later one of its organisation was taken before it.
+    # How often a later request of its organisation was granted before it.
     overtaken_count: int = 0
 
     @property
@@ -61,16 +61,16 @@
         self.queues: dict[ids.Organisation, _OrganisationQueue] = {}
         # Requests that are not ready to be granted, by ticket.
         self.held: dict[str, WaitingRequest] = {}
-        # Held ones and those in lanes.
+        # Held requests and those in ``queues``.
         self.count = 0
-        # Shed requests, by ticket, that their daemons may still keep.
+        # Shed requests that their daemons have not confirmed, by ticket.
         self.unconfirmed: dict[str, WaitingRequest] = {}
         self._heap: list[tuple[float, int, ids.Organisation]] = []
         self._tie_breakers = itertools.count()
         self._virtual_clock = 0.0
 
     def add(self, waiting: WaitingRequest) -> None:
-        """Add a request, to be held if it is not ready."""
+        """Add a request; it is held if it is not ready."""
         self.count += 1
         if not waiting.entry.is_ready:
             self.held[waiting.entry.ticket] = waiting
@@ -83,14 +83,14 @@
             )
             self.queues[name] = queue
         if not queue.items:
-            # It had nothing to wait for: it does not save up turns.
+            # Organisations accumulate no credit while they are idle.
             queue.virtual_time = max(queue.virtual_time, self._virtual_clock)
             self._push(name, queue)
         queue.items.append(waiting)
         queue.tokens += waiting.tokens
 
     def _peek(self) -> WaitingRequest | None:
-        """Return who is next; None if nothing is ready."""
+        """Return the next request; None if none is ready."""
         while self._heap:
             at, _, name = self._heap[0]
             queue = self.queues[name]
@@ -101,9 +101,9 @@
         return None
 
     def list_next(self, limit: int) -> list[WaitingRequest]:
-        """Return the first few of the organisation whose turn it is.
+        """Return the first few requests of the next organisation.
 
-        In order of arrival; empty if nothing is ready.
+        In order of arrival; empty if none is ready.
         """
         head = self._peek()
         found: list[WaitingRequest] = []
@@ -117,7 +117,7 @@
         return found
 
     def remove_granted(self, waiting: WaitingRequest) -> None:
-        """Remove one that ``list_next`` has returned, as granted."""
+        """Remove a request that ``list_next`` returned, as granted."""
         heapq.heappop(self._heap)
         queue = self.queues[waiting.entry.organisation]
         self._virtual_clock = max(self._virtual_clock, queue.virtual_time)
@@ -128,7 +128,7 @@
             self._push(waiting.entry.organisation, queue)
 
     def discard(self, waiting: WaitingRequest) -> None:
-        """Mark a request as gone; its place is cleared later."""
+        """Mark a request as removed; it is dropped from its queue later."""
         waiting.is_removed = True
         self.count -= 1
         if self.held.pop(waiting.entry.ticket, None) is not None:
@@ -137,11 +137,11 @@
         queue.tokens -= waiting.tokens
 
     def find_shed_candidate(self) -> WaitingRequest | None:
-        """Return which request gives way first.
+        """Return the request to shed first.
 
-        The newest of the organisation that waits with the most tokens for
-        its weight; before it, one that could not begin now even if there
-        were room.
+        A held request, since it could not start even with room; otherwise
+        the newest request of the organisation that has the most waiting
+        tokens for its weight.
         """
         if self.held:
             return next(reversed(self.held.values()))
@@ -154,7 +154,7 @@
         return queue.items[-1]
 
     def iterate(self) -> ty.Iterator[WaitingRequest]:
-        """Yield all that wait, in no order."""
+        """Yield all waiting requests, in no order."""
         yield from self.held.values()
         for queue in self.queues.values():
             for waiting in queue.items:
