--- a/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/shardview.py
@@ -1,6 +1,6 @@
-"""Who owns each shard, as every reader of the log decides alike.
+"""Ownership of shards, which all readers of the log derive alike.
 
-A shard is something that has one owner at a time: a part of the claims
+A shard is a unit that has one owner at a time: a part of the claims
 (``claims/3``) or a pool's queue (``pool/planners``). The records of the log
 move it through *epochs*:
 
@@ -18,8 +18,8 @@
 
 Example: A takes and serves epoch 1 with successor B. C takes epoch 2; epoch
 1 is unsettled. C dies before it serves; B takes epoch 3. Epoch 2 is not
-unsettled, for C never served, and epoch 1 still is: B waits for A, as A's
-successor, however C died.
+unsettled, because C never served, but epoch 1 still is: B waits for A as A's
+successor, no matter how C died.
 """
 
 import dataclasses
@@ -34,11 +34,11 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnsettledEpoch:
-    """A replaced owner that may still grant."""
+    """An epoch whose owner was replaced and may still grant."""
 
     past: records.PastEpoch
-    # When this reader saw the first Take after it; not before the Take
-    # landed, so that waiting from here is never too short.
+    # When this reader saw the first Take after it. That is never before the
+    # Take was committed, so a wait from here is never too short.
     replaced_at: float
     # When this reader learned that the owner's process has ended.
     ended_at: float | None = None
@@ -47,7 +47,7 @@
 @ty.final
 @dataclasses.dataclass(slots=True)
 class ShardEntry:
-    """Present state of one shard."""
+    """Current state of one shard."""
 
     epoch: ids.Epoch
     owner: ids.Incarnation
@@ -55,18 +55,18 @@
     lease_s: float
     outage_limit_s: float
     # When this reader saw the Take of this epoch, and when it saw the
-    # present successor named.
+    # current successor named.
     taken_at: float
     successor_since: float
     is_serving: bool = False
-    # The owner has let go and nobody has taken over yet.
+    # The owner has released the shard and nobody has taken over yet.
     is_released: bool = False
     # When this reader learned that the owner's process has ended.
     ended_at: float | None = None
     unsettled: list[UnsettledEpoch] = dataclasses.field(default_factory=list)
 
     def describe(self, shard: ids.Shard) -> records.ShardState:
-        """Return the state as a record carries it."""
+        """Return the state in the form of a record."""
         return records.ShardState(
             shard=shard,
             epoch=self.epoch,
@@ -100,16 +100,16 @@
     """All shards, as far as the log has been read."""
 
     def __init__(self) -> None:
-        """Know nothing: the log is read from its beginning."""
+        """Start empty: the log is read from its beginning."""
         self.entries: dict[ids.Shard, ShardEntry] = {}
-        # True while what retention dropped has not been restated.
+        # True until the records that retention dropped have been restated.
         self.is_partial = False
         # True if the log was not read from its very beginning: a shard
-        # that is not known may have had owners long ago.
+        # without an entry may have had owners before.
         self.is_trimmed = False
         self._first = ids.Offset(0)
-        # Records read while the view is partial, to be applied once a
-        # restatement tells what came before them.
+        # Records read while the view is partial, to be applied after a
+        # restatement of the records before them.
         self._buffered: list[tuple[ids.Offset, records.Envelope, float]] = []
 
     def get(self, shard: ids.Shard) -> ShardEntry | None:
@@ -117,11 +117,11 @@
         return self.entries.get(shard)
 
     def describe(self) -> list[records.ShardState]:
-        """Return all states as records carry them."""
+        """Return all states in the form of records."""
         return [entry.describe(shard) for shard, entry in self.entries.items()]
 
     def begin(self, first: ids.Offset) -> None:
-        """Start over at ``first``, with a partial view."""
+        """Restart at ``first`` with a partial view."""
         self.entries.clear()
         self._buffered.clear()
         self._first = first
@@ -137,8 +137,8 @@
             return
         body = envelope.body
         if isinstance(body, records.OwnersRestated):
-            # A restatement made before the first record that we have
-            # leaves a gap between the two, in which anything may stand.
+            # A restatement older than the first record that we have leaves
+            # a gap between the two, with unknown records.
             if body.as_of >= self._first:
                 self._apply_restatement(body, now)
             return
@@ -176,9 +176,9 @@
             self._apply_release(body, sender)
 
     def _record_ended(self, sender: ids.Incarnation, now: float) -> None:
-        # A daemon that was restarted proves that the process before it has
+        # A record of a restarted daemon proves that its earlier process has
         # ended. Without this, an owner and a successor that die together
-        # would be waited for as if they could live on behind a cut.
+        # would be waited for as if they might be partitioned and running.
         for entry in self.entries.values():
             if entry.ended_at is None and ids.has_ended(entry.owner, sender):
                 entry.ended_at = now
