--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -1,19 +1,20 @@
 """The claims of one shard, as its owner keeps them.
 
 A claim ties an idempotency key to the one daemon that may run it. The table
-is in memory only. An owner that takes over from one that died learns what it
-can from the daemons' reports and answers *unknown* for every other key that
-the owner before it may have granted:
+is in memory only. An owner that takes over from one that died restores what
+it can from the daemons' reports and answers *unknown* for every other key
+that an earlier owner may have granted. A *cut-off* time decides which these
+are:
 
-* keys issued (their UUIDv7 time) before the *line* may have been granted by
+* Keys issued (their UUIDv7 time) before the cut-off may have been granted by
   an earlier owner. No owner grants a key before its own clock has reached
   the key's issue time, whatever the caller's clock says; and no earlier
-  owner granted after its right had ended. So the line is the moment when
-  the last earlier right ended, plus the allowance for host clocks twice:
+  owner granted after its lease had ended. So the cut-off is the time when
+  the last earlier lease ended, plus the allowance for host clocks twice:
   that owner's clock may have run ahead and ours may be behind.
-* keys issued after it cannot have been granted by an earlier owner.
+* Keys issued after it cannot have been granted by an earlier owner.
 
-An owner that received the whole table from the one before it has no line.
+An owner that received the whole table from its predecessor has no cut-off.
 """
 
 import dataclasses
@@ -25,21 +26,21 @@
 
 __all__ = ['Claim', 'ClaimTable', 'Deferral']
 
-# Seconds that a new owner waits for the daemons' reports.
+# How long a new owner waits for the daemons' reports.
 REPORT_TIMEOUT_S = 1.5
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
 class Claim:
-    """Who may run a key, and what became of it."""
+    """Which daemon may run a key, and the state of the key."""
 
     digest: bytes
     holder: ids.Incarnation
     state: wire.ClaimState
     # The holder's attempt.
     ticket: str
-    # Wall clock time after which the key is refused as expired, so that
+    # Wall clock time after which the key is rejected as expired, so that
     # the claim can be dropped.
     expires_at: float
 
@@ -50,7 +51,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deferral:
-    """A claim cannot be answered yet; ask again."""
+    """A claim cannot be decided yet and has to be tried again."""
 
     # Longest wait, in seconds; a report may end it sooner.
     seconds: float
@@ -68,15 +69,15 @@
     ) -> None:
         """Start without a claim.
 
-        ``cutoff_at`` is Unix time; None if no earlier owner can have granted a
-        key that this one does not know of.
+        ``cutoff_at`` is Unix time; None if no earlier owner can have granted
+        a key whose claim is missing here.
         """
         self.epoch = epoch
         self.window_s = limits.claim_window_s
         self.skew_s = limits.clock_skew_s
         self.max_ahead_s = limits.key_ahead_s
         self.cutoff_at = cutoff_at
-        # True once every live daemon has reported, or had time to.
+        # True once every live daemon has reported or the wait has ended.
         self.has_reports = cutoff_at is None
         self._claims: dict[ClaimKey, Claim] = {}
 
@@ -90,10 +91,10 @@
         sender: ids.Incarnation,
         wall: float,
     ) -> wire.ClaimReply | Deferral:
-        """Answer a claim, or say how long to wait.
+        """Decide a claim, or return how long to wait.
 
-        The caller has checked that the right to grant is valid, and checks
-        it again after this returns. ``wall`` is Unix time.
+        The caller has checked that the lease is valid, and checks it again
+        after this returns. ``wall`` is Unix time.
         """
         claim_key = (request.organisation, request.key)
         claim = self._claims.get(claim_key)
@@ -124,13 +125,13 @@
     def find(
         self, organisation: ids.Organisation, key: ids.Key
     ) -> Claim | None:
-        """Return what is known of a key."""
+        """Return the claim of a key; None if there is none."""
         return self._claims.get((organisation, key))
 
     def record_outcome(
         self, message: wire.ClaimEnd, sender: ids.Incarnation
     ) -> None:
-        """Note what its holder says became of a key."""
+        """Record the outcome of a key that its holder reports."""
         claim_key = (message.organisation, message.key)
         claim = self._claims.get(claim_key)
         if claim is None or claim.holder != sender:
@@ -138,16 +139,16 @@
         if claim.ticket != message.ticket:
             return
         if claim.state is not wire.ClaimState.HELD:
-            # The first word stands: a release that arrives after the end
+            # The first outcome counts: a release that arrives after the end
             # would let the key run again.
             return
-        # A released key stays in the table: before the line, a retry of a
-        # key that is not there would be told that the outcome is unknown,
-        # when we know that it was not run.
+        # A released key stays in the table: before the cut-off, a retry of a
+        # missing key would be answered "unknown", although we know that it
+        # was not run.
         claim.state = message.state
 
     def add_report(self, report: wire.ClaimReport, wall: float) -> None:
-        """Add what a daemon holds, or a predecessor's whole table."""
+        """Add a daemon's claims, or a predecessor's whole table."""
         for held in report.claims:
             claim_key = (held.organisation, held.key)
             if claim_key in self._claims:
@@ -156,8 +157,8 @@
                 held.state is wire.ClaimState.RELEASED
                 and not report.is_handover
             ):
-                # The owner before us may have granted the key to another
-                # daemon since: only the whole table tells.
+                # The previous owner may have granted the key to another
+                # daemon since; only its whole table shows that.
                 continue
             issued = ids.read_issue_time(held.key)
             base = wall if issued is None else issued
@@ -170,7 +171,7 @@
             )
 
     def list_claims(self) -> list[wire.HeldClaim]:
-        """Return the whole table, to hand it over."""
+        """Return the whole table, for a handover."""
         return [
             wire.HeldClaim(
                 claim_key[0],
@@ -184,7 +185,7 @@
         ]
 
     def drop_expired(self, wall: float) -> int:
-        """Drop claims whose keys are refused by now; return how many."""
+        """Drop claims whose keys have expired; return how many."""
         expired = [
             claim_key
             for claim_key, claim in self._claims.items()
@@ -214,7 +215,7 @@
                 wire.ClaimVerdict.FINISHED, claim.holder, 0.0, claim.ticket
             )
         if claim.holder == sender and claim.ticket == request.ticket:
-            # The reply to its claim was lost and it asks again.
+            # A retry: the reply to its first request was lost.
             return self._reply(wire.ClaimVerdict.GRANTED, sender)
         return self._reply(
             wire.ClaimVerdict.HELD, claim.holder, 0.0, claim.ticket
