--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -1,9 +1,9 @@
-"""Claims between daemons: asking for a key, and answering who asks.
+"""Claims between daemons: requesting a key, and answering requests.
 
 ``ClaimServer`` is the owner's side: it keeps a ``ClaimTable`` for each claims
 shard that this daemon owns and is the shard's ``owners.Role``.
-``ClaimClient`` is the entry daemon's side: it finds the owner, asks until it
-gets a word that it can rely on, and tells the owner what became of the key.
+``ClaimClient`` is the entry daemon's side: it finds the owner, retries until
+it gets a definite reply, and reports the outcome of the key to the owner.
 """
 
 import collections.abc
@@ -31,23 +31,23 @@
 __all__ = ['ClaimClient', 'ClaimServer']
 
 CALL_TIMEOUT_S = 1.0
-# Seconds for which a claim is tried before its caller is told to come back.
+# How long a claim is retried before its caller is told to retry later.
 CLAIM_TIMEOUT_S = 5.0
 RETRY_DELAY_S = 0.1
 RETRY_AFTER_S = 2.0
-# Claims in one part of a report.
+# Largest number of claims in one message of a report.
 MAX_REPORT_CLAIMS = 2000
 DROP_INTERVAL_S = 10.0
-# Allowance for host clocks, times this, past the end of the last earlier
-# right; see ``claimtable``.
+# The cut-off lies so many times the allowance for host clocks after the end
+# of the last earlier lease; see ``claimtable``.
 CUTOFF_SKEW_COUNT = 2
-# Seconds between attempts to tell an owner what became of a key.
+# Delay between attempts to report the outcome of a key to its owner.
 _END_RETRY_DELAY_S = 0.5
 
 
 @dataclasses.dataclass(slots=True)
 class _ServedShard:
-    # What this daemon keeps for one shard that it owns.
+    # A shard that this daemon owns, with its claims.
     lease: leases.Lease
     table: claimtable.ClaimTable
     reported: set[ids.Host]
@@ -56,13 +56,13 @@
 
 @ty.final
 class ClaimServer:
-    """The owner's side of claims; a role of ``owners``."""
+    """Answers claims as the owner of their shards; a role of ``owners``."""
 
     def __init__(self, others: peers.Peers) -> None:
         """Start without a shard."""
         self._peers = others
         self._served: dict[ids.Shard, _ServedShard] = {}
-        # Tables handed to us by owners that stop, by the epoch that ends.
+        # Tables received from owners that stop, by the epoch that ends.
         self._handed_over: dict[
             tuple[ids.Shard, ids.Epoch], list[wire.ClaimReport]
         ] = {}
@@ -72,7 +72,7 @@
         self._group: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Serve until cancelled: waits for reports, drops old claims."""
+        """Serve until cancelled: wait for reports, drop expired claims."""
         async with anyio.create_task_group() as group:
             self._group = group
             while True:
@@ -90,7 +90,7 @@
     def begin(
         self, shard: ids.Shard, lease: leases.Lease, start: owners.StartContext
     ) -> None:
-        """Open a table for a shard."""
+        """Create the table of a shard."""
         config = self.find_bundle()
         assert config is not None
         limits = config.limits
@@ -113,13 +113,13 @@
             self._group.start_soon(self._end_report_wait, shard, table)
 
     def end(self, shard: ids.Shard) -> None:
-        """Forget a shard's table."""
+        """Drop the table of a shard."""
         self._served.pop(shard, None)
 
     async def hand_over(
         self, shard: ids.Shard, successor: peerlink.Connection
     ) -> None:
-        """Give the whole table to the successor; raises PeerLost."""
+        """Send the whole table to the successor; raises PeerLost."""
         served = self._served.get(shard)
         if served is None or not served.table.has_reports:
             return
@@ -133,7 +133,7 @@
     async def answer_claim(
         self, request: wire.ClaimRequest, sender: ids.Incarnation
     ) -> wire.ClaimReply:
-        """Grant a key, or say why not."""
+        """Grant a key, or reply why not."""
         while True:
             served = self._served.get(request.shard)
             if served is None or not served.lease.is_valid(
@@ -150,15 +150,15 @@
             with anyio.move_on_after(reply.seconds):
                 await served.changed.wait()
         if not served.lease.is_valid(clocks.read_monotonic()):
-            # The process was stopped between the first check and here. The
-            # claim stays in a table that nobody will serve from again.
+            # The process was suspended after the first check. The claim
+            # stays in a table that is never served again.
             return _NOT_OWNER
         return reply
 
     def answer_end(
         self, message: wire.ClaimEnd, sender: ids.Incarnation
     ) -> wire.Ack | wire.Failed:
-        """Note what became of a key."""
+        """Record the outcome of a key."""
         served = self._served.get(message.shard)
         if served is None:
             return wire.Failed('', 'not the owner')
@@ -168,7 +168,7 @@
     def answer_report(
         self, report: wire.ClaimReport, sender: ids.Incarnation
     ) -> wire.Ack | wire.Failed:
-        """Take a daemon's claims, or a predecessor's table."""
+        """Add a daemon's claims, or a predecessor's table."""
         if report.is_handover:
             shard_epoch = (report.shard, report.epoch)
             self._handed_over.setdefault(shard_epoch, []).append(report)
@@ -186,7 +186,7 @@
     def answer_query(
         self, query: wire.ClaimQuery, sender: ids.Incarnation
     ) -> wire.ClaimReply:
-        """Say what is known of a key, without granting it."""
+        """Return the state of a key, without granting it."""
         served = self._served.get(query.shard)
         if served is None:
             return _NOT_OWNER
@@ -225,7 +225,7 @@
 _NOT_OWNER: ty.Final = wire.ClaimReply(
     wire.ClaimVerdict.NOT_OWNER, ids.Epoch(0)
 )
-# For a query GRANTED says that the key is free.
+# In the reply to a query GRANTED means that the key is free.
 _QUERY_VERDICTS: ty.Final = {
     wire.ClaimState.HELD: wire.ClaimVerdict.HELD,
     wire.ClaimState.FINISHED: wire.ClaimVerdict.FINISHED,
@@ -246,18 +246,18 @@
         server: ClaimServer,
         store: answers.AnswerStore,
     ) -> None:
-        """Prepare; ``run`` reports to new owners."""
+        """Start idle; ``run`` reports to owners."""
         self._incarnation = incarnation
         self._view = view
         self._peers = others
         self._server = server
         self._store = store
         self._group: anyio.abc.TaskGroup | None = None
-        # Epochs of shards whose owner has our report, or is getting it.
+        # Epochs of shards whose owner has our report, or is being sent it.
         self._reported: dict[ids.Shard, ids.Epoch] = {}
 
     async def run(self) -> None:
-        """Tell owners what became of keys, until cancelled."""
+        """Report the outcomes of keys to owners until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
             await anyio.sleep_forever()
@@ -265,10 +265,10 @@
     async def claim(
         self, request: wire.ClaimRequest, deadline_at: float
     ) -> wire.ClaimReply:
-        """Ask the owner for a key; raises Refused (NO_OWNER).
+        """Request a key from its owner; raises Refused (NO_OWNER).
 
-        The caller may be told ``not-run`` then: only this daemon can send
-        a key that was granted to it, and it will not.
+        The caller may be told ``not-run`` then: only this daemon could run
+        a key that was granted to it, and it does not.
         """
         give_up_at = min(
             deadline_at, clocks.read_monotonic() + CLAIM_TIMEOUT_S
@@ -285,7 +285,7 @@
         )
 
     async def query(self, query: wire.ClaimQuery) -> wire.ClaimReply | None:
-        """Ask the owner what it knows of a key; None if it is away."""
+        """Ask the owner for the state of a key; None without a reply."""
         entry = self._find_owner(query.shard)
         if entry is None:
             return None
@@ -297,7 +297,7 @@
     def report_outcome(
         self, kept: answers.Kept, state: wire.ClaimState
     ) -> None:
-        """Tell the owner what became of a key, in the background."""
+        """Report the outcome of a key to its owner, in the background."""
         kept.state = state
         assert self._group is not None
         self._group.start_soon(
@@ -305,7 +305,7 @@
         )
 
     def report_claims(self, shard: ids.Shard) -> None:
-        """Report what we hold of a shard if it has a new owner."""
+        """Report our claims of a shard if it has a new owner."""
         entry = self._view.get(shard)
         if entry is None or not entry.is_serving:
             return
@@ -339,8 +339,9 @@
     async def release_missing(self, attach: wire.Attach) -> None:
         """Release a claim of ours that we have no request for.
 
-        The owner granted it after we had given up asking. Nothing is here
-        that was not settled with the owner, so the request was not run.
+        The owner granted it after our request for it had timed out. A
+        request that was run is kept here until its outcome is settled with
+        the owner, so this one was not run.
         """
         await self._send_end(
             wire.ClaimEnd(
@@ -363,8 +364,8 @@
             await anyio.sleep(_END_RETRY_DELAY_S)
         kept.is_settled = True
         if state is wire.ClaimState.RELEASED:
-            # Until here a retry through this daemon found the answer
-            # "not-run"; from here on it may claim the key again.
+            # Until now a retry through this daemon was answered "not-run";
+            # from now on it may claim the key again.
             self._store.drop(kept)
         else:
             self._store.drop_oldest()
