--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -1,20 +1,20 @@
-"""Keeps ownership: takes shards, renews the right to grant, lets go.
+"""Takes shards, renews their leases and releases them.
 
-One task visits every shard a few times a second and whenever the log brings
-a record:
+One task visits every shard a few times a second and whenever a record of the
+log arrives:
 
 * a shard without an owner is taken by the live host that ranks first for it
-  (rendezvous hashing); the others wait, each a little longer;
-* the successor of an owner takes over when the owner has not asked for a
-  promise for ``takeover_after_s``; anybody, when owner and successor are both
-  out of reach;
+  (rendezvous hashing); each further host waits a little longer;
+* the successor of an owner takes over when the owner has not requested a
+  promise for ``takeover_after_s``; any host does when neither owner nor
+  successor is reachable;
 * the owner of a shard begins to serve when it has waited long enough
-  (``leases.find_serve_time``), and names another successor when the one it
-  has is silent.
+  (``leases.find_serve_time``), and names another successor when its present
+  one does not answer.
 
-A second task asks the successors for promises, five times a lease. What an
-owner does with a shard is up to a ``Role``, found by the shard's kind in a
-registry.
+A second task requests promises from the successors, five times per lease.
+What an owner does with a shard is defined by a ``Role``, which is registered
+by the shard's kind.
 """
 
 import collections.abc
@@ -47,14 +47,14 @@
 
 VISIT_INTERVAL_S = 0.25
 RENEWALS_PER_LEASE = 5
-# Extra seconds that each further rank waits before it takes a free shard.
+# Each further rank waits this much longer before it takes a free shard.
 RANK_DELAY_S = 1.0
-# A log that was read within this many seconds counts as reachable; a read
-# that finds nothing returns after one.
+# A log that was read within this time counts as reachable; a read that finds
+# nothing returns after one second.
 MAX_LOG_AGE_S = 2.5
-# A longer time between two visits means that this process was stopped.
+# A longer gap between two visits means that this process was suspended.
 MAX_VISIT_GAP_S = 0.75
-# Longest wait for a successor's acknowledgement of a table, in seconds.
+# Longest wait for a successor's acknowledgement of a table.
 HANDOVER_TIMEOUT_S = 5.0
 
 CLAIMS_KIND = 'claims'
@@ -78,7 +78,7 @@
 
 
 def list_shards(config: bundle.Bundle) -> list[ids.Shard]:
-    """Return all shards that a bundle calls for."""
+    """Return all shards that a bundle defines."""
     found = [
         make_claim_shard(number)
         for number in range(config.ownership.claim_shards)
@@ -90,29 +90,29 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartContext:
-    """Circumstances in which an owner begins to serve."""
+    """Conditions under which an owner begins to serve."""
 
     # True if no earlier owner can have served.
     is_first: bool
-    # Monotonic time by which every earlier owner's right had ended.
+    # Monotonic time by which every earlier owner's lease had ended.
     ended_at: float
 
 
 class Role(ty.Protocol):
-    """What the owner of a kind of shard does."""
+    """The work of an owner of one kind of shard."""
 
     def begin(
         self, shard: ids.Shard, lease: leases.Lease, start: StartContext
     ) -> None:
-        """Serve from now on, while the right is valid."""
+        """Serve from now on, while the lease is valid."""
 
     def end(self, shard: ids.Shard) -> None:
-        """Stop serving and forget."""
+        """Stop serving and drop the state."""
 
     async def hand_over(
         self, shard: ids.Shard, successor: peerlink.Connection
     ) -> None:
-        """Give the successor what it needs; raises PeerLost."""
+        """Send the successor the state it needs; raises PeerLost."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -120,15 +120,15 @@
     # A shard that this daemon owns.
     lease: leases.Lease
     is_serving: bool = False
-    # A task appends a record for it now.
+    # A task is appending a record for it.
     is_appending: bool = False
-    # Monotonic time by which every earlier owner's right has ended.
+    # Monotonic time by which every earlier owner's lease has ended.
     ended_at: float = 0.0
 
 
 @ty.final
 class OwnershipManager:
-    """One daemon's part in owning shards."""
+    """Takes, renews and releases the shards of one daemon."""
 
     def __init__(
         self,
@@ -138,7 +138,7 @@
         promises: leases.PromiseTable,
         others: peers.Peers,
     ) -> None:
-        """Prepare; ``run`` does the work."""
+        """Start without a shard; ``run`` does the work."""
         self.incarnation = incarnation
         self.host = ids.parse_host(incarnation)
         self.view = view
@@ -147,29 +147,30 @@
         self.find_bundle: collections.abc.Callable[
             [], bundle.Bundle | None
         ] = lambda: None
-        # False while this daemon must not take anything: it is draining,
-        # or its clock is off.
+        # False while this daemon must not take a shard: it is draining, or
+        # its clock is off.
         self.may_take: collections.abc.Callable[[], bool] = lambda: True
         self._follower = follower
         self._peers = others
         self._owned: dict[ids.Shard, _OwnedShard] = {}
         self._taking: set[ids.Shard] = set()
-        # Since when a shard has had nobody in reach who serves it.
+        # Since when neither owner nor successor of a shard is reachable.
         self._free_since: dict[ids.Shard, float] = {}
         self._renewing: set[ids.Incarnation] = set()
         self._group: anyio.abc.TaskGroup | None = None
         self._is_draining = False
-        # Set when somebody new has to be asked for promises.
+        # Set when a new promiser has to be asked for promises.
         self._renew_now = anyio.Event()
         self._visited_at: float | None = None
-        # Silence is counted from here at the earliest; see ``_detect_suspension``.
+        # Silence is counted from here at the earliest; see
+        # ``_detect_suspension``.
         self._resumed_at = float('-inf')
 
     async def run(self) -> None:
         """Keep ownership until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
-            # Tells the readers of the log that our host's earlier process
+            # Shows the readers of the log that our host's earlier process
             # has ended, whatever it owned.
             group.start_soon(supervisor.run_guarded, self._follower.confirm)
             group.start_soon(self._renew_forever)
@@ -185,7 +186,7 @@
         return sorted(self._owned)
 
     def find_needed_hosts(self) -> set[ids.Host]:
-        """Return the hosts that own shards or are to take them over."""
+        """Return the hosts of the owners and successors of all shards."""
         found: set[ids.Host] = set()
         for entry in self.view.entries.values():
             found.add(ids.parse_host(entry.owner))
@@ -196,7 +197,7 @@
     def answer_promise(
         self, request: wire.PromiseRequest, sender: ids.Incarnation
     ) -> wire.Promise:
-        """Promise not to take over for a lease, where that can be kept."""
+        """Promise not to take over for a lease, where that is possible."""
         now = clocks.read_monotonic()
         given = self.promises.give(request, self.view, now)
         confirmed = self._follower.confirmed_at
@@ -229,10 +230,10 @@
             await self._hand_over(shard)
 
     def _detect_suspension(self, now: float) -> None:
-        # This process was stopped for a while (SIGSTOP, a suspended host).
-        # The owners' requests are waiting in its sockets unread; without
-        # this it would take their silence for death, take their shards
-        # over, and every key issued before would be answered "unknown".
+        # This process was suspended (SIGSTOP, a suspended host). The
+        # owners' requests are unread in its sockets; without this it would
+        # assume that the owners had died and take their shards over, and
+        # every key issued before would be answered "unknown".
         visited_at, self._visited_at = self._visited_at, now
         if visited_at is not None and now - visited_at > MAX_VISIT_GAP_S:
             self._resumed_at = now
@@ -247,8 +248,8 @@
         )
 
     def _relinquish(self, shard: ids.Shard, owned: _OwnedShard) -> None:
-        # Somebody took the shard over. We stop first and say so second:
-        # the taker serves as soon as it reads the release.
+        # Another daemon took the shard over. Granting stops before the
+        # release is sent: the taker serves as soon as it reads it.
         owned.lease.is_relinquished = True
         del self._owned[shard]
         if not owned.is_serving:
@@ -284,7 +285,7 @@
         since = self._free_since.setdefault(shard, now)
         delay = RANK_DELAY_S * self._find_rank(shard)
         if entry is not None:
-            # Its successor goes first.
+            # Its successor may take it first.
             delay += entry.lease_s + 2 * RANK_DELAY_S
         return now >= since + delay
 
@@ -297,7 +298,7 @@
             self.promises.last_requested_at.get(
                 (shard, entry.epoch), float('-inf')
             ),
-            # One that was named just now has not been asked yet.
+            # A successor that was just named has not been asked yet.
             entry.successor_since,
             self._resumed_at,
         )
@@ -362,7 +363,7 @@
         elsewhere = [
             host for host in order if found[host].domain != self._peers.domain
         ]
-        # The same failure domain is better than nobody.
+        # A successor in the same failure domain is better than none.
         for host in elsewhere + order:
             return found[host].incarnation
         return None
@@ -457,8 +458,8 @@
         now: float,
     ) -> bool:
         if not self._is_log_fresh(now):
-            # A change of successor cannot be settled now, and while it is
-            # on its way the promises of both would be needed.
+            # A change of successor cannot be committed now, and until it is
+            # the promises of both would be needed.
             return False
         if entry.successor is None:
             return self._choose_successor(shard, set()) is not None
@@ -495,8 +496,8 @@
         entry = self.view.get(shard)
         if owned is None or entry is None or self._is_superseded(owned, entry):
             return
-        # From here on nothing is granted: what the successor is given must
-        # be all that there is.
+        # From here on nothing is granted: the successor must be sent the
+        # complete state.
         owned.lease.is_relinquished = True
         if owned.is_serving:
             await self._send_to_successor(shard, entry)
@@ -516,7 +517,7 @@
         try:
             await role.hand_over(shard, connection)
         except peerlink.PeerLost as error:
-            # It serves without the table, and says "unknown" more often.
+            # It serves without the table and answers "unknown" more often.
             eliot.log_message(
                 'shard:hand-over-failed', shard=shard, error=str(error)
             )
@@ -586,8 +587,8 @@
             self._renewing.discard(promiser)
 
     async def _confirm_forever(self) -> None:
-        # Owners and successors prove now and then that they have read the
-        # log to its end, well before the outage limit.
+        # Owners and successors prove regularly that they have read the log
+        # to its end, well before the outage limit.
         while True:
             limit = self._find_outage_limit()
             if limit is not None:
