--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -1,11 +1,12 @@
-"""A world of a few daemons, one shard and a log, in which time is a number.
+"""Simulation of a few daemons, one shard and a log, with simulated time.
 
 The rules under test are the real ones: ``LogFollower.take_batch``,
 ``ShardView``, ``PromiseTable``, ``Lease``, ``find_serve_time`` and
-``ClaimTable``. The world only decides what happens when: which appends land,
-late or never; who reads how far; which messages arrive, and when.
+``ClaimTable``. The simulation only decides the order of events: which appends
+are committed, late or never; who reads how far; which messages arrive, and
+when.
 
-After every step ``check`` looks for two owners with a valid right at the
+After every step ``check`` looks for two owners with a valid lease at the
 same time, and for a key with two grants that were not released.
 """
 
@@ -34,7 +35,7 @@
 
 
 class Violation(AssertionError):
-    """A promise of the system is broken."""
+    """A guarantee of the system is broken."""
 
 
 @dataclasses.dataclass(eq=False)
@@ -45,7 +46,7 @@
 
 @dataclasses.dataclass(eq=False)
 class PromiseCall:
-    """A promise on its way: asked for, or given as well."""
+    """A request for a promise in flight, or its reply."""
 
     owner: 'Node'
     promiser: 'Node'
@@ -81,7 +82,7 @@
         self.wall_offset = wall_offset
         self.sequence = 0
         self.is_dead = False
-        # Number of an append in doubt, by what it was.
+        # Sequence number of an unconfirmed append, by kind.
         self.unconfirmed_appends: dict[str, int] = {}
         self.sent_at: dict[int, float] = {}
         self.pending_successor: ids.Incarnation | None = None
@@ -91,7 +92,7 @@
 
 
 class Simulation:
-    """Everything that a step may touch."""
+    """State that a step may change."""
 
     def __init__(self, hosts: int = 3, skews: ty.Sequence[float] = ()) -> None:
         self.now = 0.0
@@ -125,7 +126,7 @@
         self.log.append((offset, append.envelope.encode()))
 
     def read(self, node: Node, count: int = 1_000_000) -> None:
-        """Let a node read some records and act as ``Owners`` would."""
+        """Let a node read records and act as ``OwnershipManager`` would."""
         for offset, data in self.log[node.follower.next :][:count]:
             batch = platformlog.LogBatch(
                 ids.Offset(0), ids.Offset(offset + 1), False, [(offset, data)]
@@ -229,7 +230,7 @@
         return call
 
     def deliver(self, call: PromiseCall) -> None:
-        """Bring a letter to its next reader."""
+        """Deliver the request of a call, or its reply."""
         promiser = call.promiser
         if call.given is None:
             if promiser.is_dead:
@@ -273,7 +274,7 @@
         return reply.verdict
 
     def report(self, owner: Node, sender: Node) -> None:
-        """Let a daemon tell a new owner what it holds."""
+        """Let a daemon report its claims to a new owner."""
         if owner.table is None or sender.is_dead:
             return
         held = [
@@ -296,7 +297,7 @@
         )
 
     def release(self, item: GrantedClaim) -> wire.ClaimEnd:
-        """Let a holder give up a key that it did not run."""
+        """Let a holder release a key that it did not run."""
         item.is_released = True
         return wire.ClaimEnd(
             SHARD,
@@ -323,11 +324,11 @@
         return node.lease.is_valid(self.now)
 
     def check(self) -> None:
-        """Raise Violation if a promise is broken."""
+        """Raise Violation if a guarantee is broken."""
         valid = [node for node in self.nodes if self.has_right(node)]
         if len(valid) > 1:
             names = [node.incarnation for node in valid]
-            raise Violation(f'two rights at {self.now}: {names}')
+            raise Violation(f'two valid leases at {self.now}: {names}')
         open_keys = [item.key for item in self.granted if not item.is_released]
         if len(set(open_keys)) < len(open_keys):
             raise Violation(f'a key was granted twice: {open_keys}')
@@ -344,7 +345,7 @@
 def start_serving(
     simulation: Simulation, owner: Node, successor: Node | None
 ) -> None:
-    """Bring an owner to serve, with everybody having read the log."""
+    """Let an owner serve, after all nodes have read the log."""
     append = simulation.take(owner, successor)
     assert append is not None
     settle(simulation, append)
@@ -356,7 +357,7 @@
 
 
 def settle(simulation: Simulation, append: Append) -> None:
-    """Land a record and let everybody read it."""
+    """Commit a record and let all nodes read it."""
     simulation.commit(append)
     for node in simulation.nodes:
         simulation.read(node)
@@ -365,7 +366,7 @@
 def exchange_promise(
     simulation: Simulation, owner: Node, promiser: Node
 ) -> None:
-    """Ask for a promise and get it, all at once."""
+    """Request a promise and receive it at once."""
     call = simulation.request_promise(owner, promiser)
     if call is not None:
         simulation.deliver(call)
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -1,4 +1,4 @@
-"""Any interleaving of takeovers, pauses, lost replies and outages is safe."""
+"""Safety under any interleaving of takeovers, pauses, losses and outages."""
 
 import os
 
@@ -15,7 +15,7 @@
 _NODE_INDEXES = strategies.integers(0, 2)
 _INDEXES = strategies.integers(0, 7)
 _DELAYS_S = strategies.sampled_from([0.05, 0.2, 0.6, 1.1, 2.5, 6.0, 11.0])
-# A successor, or nobody.
+# Index of a successor, or 3 for none.
 _SUCCESSORS = strategies.integers(0, 3)
 _MOSTLY_TRUE = strategies.sampled_from([True, True, False])
 _REPEAT_COUNTS = strategies.integers(1, 12)
@@ -26,7 +26,7 @@
 
 
 class OwnershipMachine(stateful.RuleBasedStateMachine):
-    """Three daemons that do what they may at the worst moments."""
+    """Three daemons that may act at any moment."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -40,15 +40,15 @@
         first, second, _ = self.simulation.nodes
         model.start_serving(self.simulation, first, second)
 
-    # Time and the log. Most steps come in a quick form, in which a daemon
-    # reaches the log, and a slow one, in which the record stays under way.
+    # Time and the log. Most steps have a quick form, in which the record is
+    # committed and read, and a slow one, in which it stays in flight.
 
     @stateful.rule(seconds=_DELAYS_S)
     def advance(self, seconds: float) -> None:
         self.simulation.now += seconds
 
     @stateful.rule(pick=_INDEXES)
-    def land(self, pick: int) -> None:
+    def commit(self, pick: int) -> None:
         if self.simulation.in_flight:
             in_flight = self.simulation.in_flight
             self.simulation.commit(in_flight[pick % len(in_flight)])
@@ -102,13 +102,13 @@
             self.simulation.check()
 
     @stateful.rule(owner=_NODE_INDEXES, promiser=_NODE_INDEXES)
-    def ask(self, owner: int, promiser: int) -> None:
-        self.simulation.ask(
+    def request_promise(self, owner: int, promiser: int) -> None:
+        self.simulation.request_promise(
             self.simulation.nodes[owner], self.simulation.nodes[promiser]
         )
 
     @stateful.rule(pick=_INDEXES)
-    def carry(self, pick: int) -> None:
+    def deliver(self, pick: int) -> None:
         if self.simulation.calls:
             calls = self.simulation.calls
             self.simulation.deliver(calls[pick % len(calls)])
@@ -146,16 +146,16 @@
         if held:
             item = held[pick % len(held)]
             self.ends.append((item, self.simulation.release(item)))
-            self._tell_end(*self.ends[-1])
+            self._record_outcome(*self.ends[-1])
 
     @stateful.rule(pick=_INDEXES)
-    def tell_again(self, pick: int) -> None:
-        # Its acknowledgement was lost, and it is told once more.
+    def repeat_outcome(self, pick: int) -> None:
+        # A retry after the acknowledgement was lost.
         if self.ends:
-            self._tell_end(*self.ends[pick % len(self.ends)])
+            self._record_outcome(*self.ends[pick % len(self.ends)])
 
     @stateful.invariant()
-    def keep_promises(self) -> None:
+    def check_guarantees(self) -> None:
         self.simulation.check()
 
     def _pick(self, node: int, successor: int) -> model.Node | None:
@@ -172,18 +172,20 @@
         for owner in self.simulation.nodes:
             self.simulation.claim(owner, self.simulation.nodes[asker], key)
 
-    def _tell_end(self, item: model.GrantedClaim, end: wire.ClaimEnd) -> None:
+    def _record_outcome(
+        self, item: model.GrantedClaim, end: wire.ClaimEnd
+    ) -> None:
         for owner in self.simulation.nodes:
             if owner.table is not None:
                 owner.table.record_outcome(end, item.node.incarnation)
 
 
 class TestOwnershipRules(testtools.TestCase):
-    """No interleaving gives two valid rights or two grants of a key."""
+    """No interleaving gives two valid leases or two grants of a key."""
 
     def test_any_interleaving(self) -> None:
-        # The same examples in every run: a verdict must not change by
-        # itself. ``make explore`` draws fresh ones.
+        # The same examples in every run, so that the result is repeatable.
+        # ``make explore`` draws new ones.
         count = int(os.environ.get('APRICOT_EXAMPLES', '300'))
         stateful.run_state_machine_as_test(
             OwnershipMachine,
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -1,9 +1,9 @@
 """Each safeguard of ownership and claims: safe with it, broken without.
 
-Every case is a story that was made to break the system. It is told twice:
-with the safeguard in place nothing is broken; with it removed the same story
-breaks a promise, which shows that the case can fail and that the safeguard
-is needed.
+Every case is a scenario that can break the system. It runs twice: with the
+safeguard in place no guarantee is broken; with it removed the same scenario
+breaks one, which shows that the case can fail and that the safeguard is
+needed.
 """
 
 import collections.abc
@@ -48,7 +48,7 @@
     promiser: model.Node,
     seconds: float,
 ) -> None:
-    """Let a pair go on while the log is out for both."""
+    """Let a pair renew its promises while neither reaches the log."""
     end = simulation.now + seconds
     while simulation.now < end:
         simulation.now += 0.2
@@ -69,7 +69,7 @@
 
 
 def take_and_serve(simulation: model.Simulation, node: model.Node) -> None:
-    """Let a node that reads the log take over as soon as it may."""
+    """Let a node take over and serve as soon as it may."""
     take(simulation, node)
     serve_when_allowed(simulation, node)
 
@@ -112,7 +112,7 @@
     def add_promiser(
         lease: leases.Lease, promiser: ty.Any, now: float
     ) -> None:
-        # As if the change of successor had been decided by sending it.
+        # As if the change of successor were committed once it is sent.
         if not lease.promisers:
             lease.promisers.add(promiser)
 
@@ -215,16 +215,15 @@
     test.patch(ids, 'has_ended', has_ended)
 
 
-# Stories.
+# Scenarios.
 
 
 @case(ignore_outage_limit)
 def pair_cut_off_from_log(simulation: model.Simulation) -> None:
-    """Owner and successor hear only each other; an outsider takes over.
+    """Owner and successor reach only each other; an outsider takes over.
 
-    The log is cut off for both, so neither reads the outsider's Take. They
-    renew as if nothing had happened and must stop by themselves before the
-    outsider begins.
+    Neither reaches the log, so neither reads the outsider's Take. They go on
+    renewing promises and must stop by themselves before the outsider serves.
     """
     owner, successor, outsider = simulation.nodes
     model.start_serving(simulation, owner, successor)
@@ -236,7 +235,7 @@
 
 @case(wait_short_as_outsider)
 def outsider_is_early(simulation: model.Simulation) -> None:
-    """An outsider that waited a lease only would meet the old owner."""
+    """An outsider that waits for one lease only overlaps the old owner."""
     owner, successor, outsider = simulation.nodes
     model.start_serving(simulation, owner, successor)
     take(simulation, outsider)
@@ -246,11 +245,11 @@
 
 @case(need_only_new_successor)
 def successor_change_lands_unseen(simulation: model.Simulation) -> None:
-    """The record that names another successor lands, its reply is lost.
+    """The record that names another successor is committed, its reply lost.
 
-    The new successor reads it and takes over at once, for it never promised
-    anything. The owner and the old successor, both cut off from the log, go
-    on with each other.
+    The new successor reads it and takes over at once, because it never
+    promised anything. The owner and the old successor, both cut off from the
+    log, go on renewing.
     """
     owner, old, new = simulation.nodes
     model.start_serving(simulation, owner, old)
@@ -270,10 +269,10 @@
 def record_lands_after_its_sender_gave_it_up(
     simulation: model.Simulation,
 ) -> None:
-    """A change of successor takes effect long after its sender's next one.
+    """A change of successor is committed after its sender's next record.
 
-    The owner read its next record back and counts on its old successor
-    again. Were the late record valid, the other host could take over at
+    The owner has read its next record back and relies on its old successor
+    again. If the late record were valid, the other host could take over at
     once.
     """
     owner, old, other = simulation.nodes
@@ -292,10 +291,10 @@
 
 @case(wait_for_last_taker_only)
 def taker_dies_while_waiting(simulation: model.Simulation) -> None:
-    """An outsider dies waiting; its successor must wait as long.
+    """An outsider dies while waiting; its successor must wait as long.
 
-    It never served, so its successor is nobody's successor as far as the
-    owner before is concerned, who is cut off with its own successor.
+    The outsider never served, so its successor is not the successor of the
+    owner before, which is cut off together with its own successor.
     """
     owner, successor, outsider, second_successor = simulation.nodes
     model.start_serving(simulation, owner, successor)
@@ -310,9 +309,9 @@
 
 @case(count_from_receipt)
 def promise_arrives_late(simulation: model.Simulation) -> None:
-    """A promise travels for nearly its whole length.
+    """A promise is delayed for nearly its whole length.
 
-    Counted from its arrival it would outlive what its giver promised.
+    Counted from its arrival it would last longer than was promised.
     """
     owner, successor, _ = simulation.nodes
     model.start_serving(simulation, owner, successor)
@@ -328,10 +327,10 @@
 
 @case(ignore_cutoff)
 def holder_dies_with_owner(simulation: model.Simulation) -> None:
-    """A key is granted, then owner and holder die; its caller tries again.
+    """A key is granted, then owner and holder die; its caller retries.
 
-    Nobody is left to report the grant. The key may have run: the new owner
-    must not grant it again.
+    No daemon is left to report the grant. The key may have run: the new
+    owner must not grant it again.
     """
     owner, successor, holder = simulation.nodes
     model.start_serving(simulation, owner, successor)
@@ -350,10 +349,10 @@
 
 @case(grant_early_keys)
 def clock_of_caller_is_ahead(simulation: model.Simulation) -> None:
-    """A phone's clock runs two seconds ahead, and its key with it.
+    """A caller's clock runs two seconds ahead, and its key with it.
 
-    Granted at once, the key would look as if it had been issued after the
-    owner died, and be granted again.
+    If the key were granted at once, it would seem to have been issued after
+    the owner died, and would be granted again.
     """
     owner, successor, holder = simulation.nodes
     model.start_serving(simulation, owner, successor)
@@ -376,7 +375,7 @@
     """A release is repeated because its acknowledgement was lost.
 
     In between the same daemon has claimed the key again, for the caller's
-    retry. The repeated release must not free the key under it.
+    retry. The repeated release must not release the new claim.
     """
     owner, successor, holder = simulation.nodes
     model.start_serving(simulation, owner, successor)
@@ -395,7 +394,7 @@
 def key_granted_elsewhere_before_owner_died(
     simulation: model.Simulation,
 ) -> None:
-    """One daemon released a key, another got it; then the owner died.
+    """One daemon released a key, another claimed it; then the owner died.
 
     The first reports "released" to the new owner, the second is cut off.
     """
@@ -419,9 +418,10 @@
 
 @case(ignore_tickets)
 def release_arrives_after_the_end(simulation: model.Simulation) -> None:
-    """A finished key is reported as missing later, and must stay finished.
+    """A finished key is later released, and must stay finished.
 
-    The holder has dropped the kept answer by then and cannot know better.
+    The holder has dropped the kept answer by then and does not know that the
+    key was run.
     """
     owner, successor, holder = simulation.nodes
     model.start_serving(simulation, owner, successor)
@@ -440,10 +440,10 @@
 
 @case(ignore_incarnation_order)
 def record_of_ended_process_lands_late(simulation: model.Simulation) -> None:
-    """A record of a process that is gone lands after its host's next one.
+    """A record of an ended process is committed after the next process's.
 
     The restarted daemon owns the shard by then, and is cut off from the log
-    with its successor. The late record must not make it look dead.
+    with its successor. The late record must not make it count as ended.
     """
     first, successor, outsider = simulation.nodes
     late = simulation.send(first, records.Mark())
@@ -459,7 +459,7 @@
 
 
 class TestSafeguards(testtools.TestCase):
-    """Each story is safe, and broken without its safeguard."""
+    """Each scenario is safe, and broken without its safeguard."""
 
 
 def _make_safe_test(item: Case) -> ty.Callable[[testtools.TestCase], None]:
