--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -25,17 +25,10 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import bundle
-from apricotlanding import clocks
-from apricotlanding import ids
-from apricotlanding import records
-from apricotlanding import supervisor
-from apricotlanding import wire
+from apricotlanding import bundle, clocks, ids, records, supervisor, wire
 from apricotlandingd.configuration import logfollower
-from apricotlandingd.ownership import leases
-from apricotlandingd.ownership import shardview
-from apricotlandingd.peering import peerlink
-from apricotlandingd.peering import peers
+from apricotlandingd.ownership import leases, shardview
+from apricotlandingd.peering import peerlink, peers
 
 __all__ = [
     'OwnershipManager',
@@ -277,7 +270,7 @@
         if entry is not None and entry.successor == self.incarnation:
             if entry.is_released:
                 return True
-            return self._has_gone_silent(shard, entry, now)
+            return self._is_owner_silent(shard, entry, now)
         if entry is not None and not entry.is_released:
             if self._is_reachable(entry):
                 self._free_since.pop(shard, None)
@@ -289,7 +282,7 @@
             delay += entry.lease_s + 2 * RANK_DELAY_S
         return now >= since + delay
 
-    def _has_gone_silent(
+    def _is_owner_silent(
         self, shard: ids.Shard, entry: shardview.ShardEntry, now: float
     ) -> bool:
         config = self.find_bundle()
