--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -14,18 +14,9 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import bundle
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import supervisor
-from apricotlanding import wire
-from apricotlandingd.ownership import claimtable
-from apricotlandingd.ownership import leases
-from apricotlandingd.ownership import owners
-from apricotlandingd.ownership import shardview
-from apricotlandingd.peering import peerlink
-from apricotlandingd.peering import peers
+from apricotlanding import bundle, clocks, errors, ids, supervisor, wire
+from apricotlandingd.ownership import claimtable, leases, owners, shardview
+from apricotlandingd.peering import peerlink, peers
 from apricotlandingd.requests import answers
 
 __all__ = ['ClaimClient', 'ClaimServer']
@@ -58,9 +49,9 @@
 class ClaimServer:
     """Answers claims as the owner of their shards; a role of ``owners``."""
 
-    def __init__(self, others: peers.Peers) -> None:
+    def __init__(self, peer_set: peers.Peers) -> None:
         """Start without a shard."""
-        self._peers = others
+        self._peers = peer_set
         self._served: dict[ids.Shard, _ServedShard] = {}
         # Tables received from owners that stop, by the epoch that ends.
         self._handed_over: dict[
@@ -242,14 +233,14 @@
         self,
         incarnation: ids.Incarnation,
         view: shardview.ShardView,
-        others: peers.Peers,
+        peer_set: peers.Peers,
         server: ClaimServer,
         store: answers.AnswerStore,
     ) -> None:
         """Start idle; ``run`` reports to owners."""
         self._incarnation = incarnation
         self._view = view
-        self._peers = others
+        self._peers = peer_set
         self._server = server
         self._store = store
         self._group: anyio.abc.TaskGroup | None = None
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -129,7 +129,7 @@
         follower: logfollower.LogFollower,
         view: shardview.ShardView,
         promises: leases.PromiseTable,
-        others: peers.Peers,
+        peer_set: peers.Peers,
     ) -> None:
         """Start without a shard; ``run`` does the work."""
         self.incarnation = incarnation
@@ -144,7 +144,7 @@
         # its clock is off.
         self.may_take: collections.abc.Callable[[], bool] = lambda: True
         self._follower = follower
-        self._peers = others
+        self._peers = peer_set
         self._owned: dict[ids.Shard, _OwnedShard] = {}
         self._taking: set[ids.Shard] = set()
         # Since when neither owner nor successor of a shard is reachable.
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -19,20 +19,18 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import bundle
-from apricotlanding import clocks
-from apricotlanding import hostlist
-from apricotlanding import ids
-from apricotlanding import metrics
-from apricotlanding import webclient
-from apricotlanding import wire
-from apricotlandingd.ownership import leases
-from apricotlandingd.ownership import owners
-from apricotlandingd.peering import peerlink
-from apricotlandingd.peering import peers
-from apricotlandingd.pools import engineorders
-from apricotlandingd.pools import poolqueue
-from apricotlandingd.pools import runnerstate
+from apricotlanding import (
+    bundle,
+    clocks,
+    hostlist,
+    ids,
+    metrics,
+    webclient,
+    wire,
+)
+from apricotlandingd.ownership import leases, owners
+from apricotlandingd.peering import peerlink, peers
+from apricotlandingd.pools import engineorders, poolqueue, runnerstate
 
 __all__ = ['PoolScheduler']
 
@@ -69,9 +67,9 @@
 class PoolScheduler:
     """Schedules the pools that this daemon owns; a role of ``owners``."""
 
-    def __init__(self, others: peers.Peers, counts: metrics.Metrics) -> None:
+    def __init__(self, peer_set: peers.Peers, counts: metrics.Metrics) -> None:
         """Start without a pool."""
-        self._peers = others
+        self._peers = peer_set
         self._metrics = counts
         self._served: dict[ids.Pool, _ServedPool] = {}
         self._group: anyio.abc.TaskGroup | None = None
