--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -67,10 +67,12 @@
 class PoolScheduler:
     """Schedules the pools that this daemon owns; a role of ``owners``."""
 
-    def __init__(self, peer_set: peers.Peers, counts: metrics.Metrics) -> None:
+    def __init__(
+        self, peer_set: peers.Peers, counters: metrics.Metrics
+    ) -> None:
         """Start without a pool."""
         self._peers = peer_set
-        self._metrics = counts
+        self._metrics = counters
         self._served: dict[ids.Pool, _ServedPool] = {}
         self._group: anyio.abc.TaskGroup | None = None
         self.find_bundle: collections.abc.Callable[
