--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -12,14 +12,10 @@
 
 import testtools
 
-from apricotlanding import ids
-from apricotlanding import records
-from apricotlanding import wire
-from apricotlandingd.configuration import logfollower
-from apricotlandingd.ownership import claimtable
-from apricotlandingd.ownership import leases
-from apricotlandingd.ownership import shardview
 import ownershipmodel as model
+from apricotlanding import ids, records, wire
+from apricotlandingd.configuration import logfollower
+from apricotlandingd.ownership import claimtable, leases, shardview
 
 Scenario = collections.abc.Callable[[model.Simulation], None]
 Removal = collections.abc.Callable[[testtools.TestCase], None]
@@ -266,7 +262,7 @@
 
 
 @case(accept_late_records)
-def record_lands_after_its_sender_gave_it_up(
+def record_is_committed_after_a_later_one(
     simulation: model.Simulation,
 ) -> None:
     """A change of successor is committed after its sender's next record.
