--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -240,7 +240,7 @@
 
 
 @case(need_only_new_successor)
-def successor_change_lands_unseen(simulation: model.Simulation) -> None:
+def successor_change_is_committed_unseen(simulation: model.Simulation) -> None:
     """The record that names another successor is committed, its reply lost.
 
     The new successor reads it and takes over at once, because it never
