--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -435,7 +435,9 @@
 
 
 @case(ignore_incarnation_order)
-def record_of_ended_process_lands_late(simulation: model.Simulation) -> None:
+def record_of_ended_process_is_committed_late(
+    simulation: model.Simulation,
+) -> None:
     """A record of an ended process is committed after the next process's.
 
     The restarted daemon owns the shard by then, and is cut off from the log
