--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -5,11 +5,8 @@
 
 import testtools
 
-from apricotlanding import bundle
-from apricotlanding import ids
-from apricotlanding import wire
-from apricotlandingd.pools import policies
-from apricotlandingd.pools import poolqueue
+from apricotlanding import bundle, ids, wire
+from apricotlandingd.pools import policies, poolqueue
 
 NEAR_DAEMON = ids.Incarnation('entry-1/a')
 FAR_DAEMON = ids.Incarnation('entry-2/b')
@@ -123,7 +120,7 @@
         self.assertEqual({'low'}, decide(self.queue))
         self.assertEqual(set(), decide(self.queue))
 
-    def test_old_word_does_not_hold_it_again(self) -> None:
+    def test_outdated_registration_does_not_hold_it_again(self) -> None:
         self.queue.register(make_entry('low', 4), FAR_DAEMON, 0.0)
         self.queue.register(
             make_entry('low', 4, is_ready=False), FAR_DAEMON, 0.0
