--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -52,7 +52,7 @@
         self.register('low-0', 4, FAR_DAEMON)
         self.assertEqual({'low-0'}, self.shed())
 
-    def test_begun_on_an_earlier_grant(self) -> None:
+    def test_started_on_an_earlier_grant(self) -> None:
         # It runs on the grant of an earlier scheduler: it no longer counts
         # as waiting.
         runner = ids.Runner('planner-1')
