--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -62,7 +62,7 @@
         self.assertEqual({'high-2'}, self.shed())
         self.assertEqual(1, self.queue.runners[runner].count_requests())
 
-    def test_daemon_is_gone(self) -> None:
+    def test_daemon_has_disconnected(self) -> None:
         self.queue.drop_sender(FAR_DAEMON)
         self.assertEqual({'high-2'}, self.shed())
 
