--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -127,7 +127,7 @@
         )
         self.assertEqual({'low'}, decide(self.queue))
 
-    def test_is_forgotten(self) -> None:
+    def test_is_withdrawn(self) -> None:
         self.queue.withdraw('low')
         self.assertEqual(0, sum(self.queue.count_by_tier().values()))
 
