--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -134,14 +134,16 @@
 def wait_for_last_taker_only(test: testtools.TestCase) -> None:
     apply_take = shardview.ShardView._apply_take
 
-    def apply_forgetful(view: shardview.ShardView, *arguments: ty.Any) -> None:
+    def apply_last_taker_only(
+        view: shardview.ShardView, *arguments: ty.Any
+    ) -> None:
         entry = view.entries.get(model.SHARD)
         if entry is not None:
             entry.unsettled = []
             entry.is_serving = True
         apply_take(view, *arguments)
 
-    test.patch(shardview.ShardView, '_apply_take', apply_forgetful)
+    test.patch(shardview.ShardView, '_apply_take', apply_last_taker_only)
 
 
 def count_from_receipt(test: testtools.TestCase) -> None:
