--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -122,13 +122,13 @@
 
     begin = logfollower.LogFollower.__init__
 
-    def begin_forgetful(
+    def begin_without_order(
         follower: logfollower.LogFollower, *arguments: ty.Any
     ) -> None:
         begin(follower, *arguments)
         follower._highest = Forgetful()
 
-    test.patch(logfollower.LogFollower, '__init__', begin_forgetful)
+    test.patch(logfollower.LogFollower, '__init__', begin_without_order)
 
 
 def wait_for_last_taker_only(test: testtools.TestCase) -> None:
