--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -116,7 +116,7 @@
 
 
 def accept_late_records(test: testtools.TestCase) -> None:
-    class Forgetful(dict[ty.Any, int]):
+    class NoSequences(dict[ty.Any, int]):
         def get(self, *_: ty.Any) -> int:
             return 0
 
@@ -126,7 +126,7 @@
         follower: logfollower.LogFollower, *arguments: ty.Any
     ) -> None:
         begin(follower, *arguments)
-        follower._highest = Forgetful()
+        follower._highest = NoSequences()
 
     test.patch(logfollower.LogFollower, '__init__', begin_without_order)
 
