--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -14,9 +14,18 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import bundle, clocks, errors, ids, supervisor, wire
-from apricotlandingd.ownership import claimtable, leases, owners, shardview
-from apricotlandingd.peering import peerlink, peers
+from apricotlanding import bundle
+from apricotlanding import clocks
+from apricotlanding import errors
+from apricotlanding import ids
+from apricotlanding import supervisor
+from apricotlanding import wire
+from apricotlandingd.ownership import claimtable
+from apricotlandingd.ownership import leases
+from apricotlandingd.ownership import owners
+from apricotlandingd.ownership import shardview
+from apricotlandingd.peering import peerlink
+from apricotlandingd.peering import peers
 from apricotlandingd.requests import answers
 
 __all__ = ['ClaimClient', 'ClaimServer']
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -19,18 +19,20 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import (
-    bundle,
-    clocks,
-    hostlist,
-    ids,
-    metrics,
-    webclient,
-    wire,
-)
-from apricotlandingd.ownership import leases, owners
-from apricotlandingd.peering import peerlink, peers
-from apricotlandingd.pools import engineorders, poolqueue, runnerstate
+from apricotlanding import bundle
+from apricotlanding import clocks
+from apricotlanding import hostlist
+from apricotlanding import ids
+from apricotlanding import metrics
+from apricotlanding import webclient
+from apricotlanding import wire
+from apricotlandingd.ownership import leases
+from apricotlandingd.ownership import owners
+from apricotlandingd.peering import peerlink
+from apricotlandingd.peering import peers
+from apricotlandingd.pools import engineorders
+from apricotlandingd.pools import poolqueue
+from apricotlandingd.pools import runnerstate
 
 __all__ = ['PoolScheduler']
 
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -203,7 +203,9 @@
         node.ended_at = at
         return self.send(node, records.Serving(SHARD, node.lease.epoch))
 
-    def name(self, node: Node, successor: Node | None) -> Append | None:
+    def name_successor(
+        self, node: Node, successor: Node | None
+    ) -> Append | None:
         if node.lease is None or not node.is_serving:
             return None
         if 'name' in node.unconfirmed_appends:
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -83,9 +83,13 @@
     @stateful.rule(
         node=_NODE_INDEXES, successor=_SUCCESSORS, is_quick=_MOSTLY_TRUE
     )
-    def name(self, node: int, successor: int, is_quick: bool) -> None:
+    def name_successor(
+        self, node: int, successor: int, is_quick: bool
+    ) -> None:
         actor = self.simulation.nodes[node]
-        append = self.simulation.name(actor, self._pick(node, successor))
+        append = self.simulation.name_successor(
+            actor, self._pick(node, successor)
+        )
         if is_quick:
             self._finish(node, append)
 
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -5,8 +5,11 @@
 
 import testtools
 
-from apricotlanding import bundle, ids, wire
-from apricotlandingd.pools import policies, poolqueue
+from apricotlanding import bundle
+from apricotlanding import ids
+from apricotlanding import wire
+from apricotlandingd.pools import policies
+from apricotlandingd.pools import poolqueue
 
 NEAR_DAEMON = ids.Incarnation('entry-1/a')
 FAR_DAEMON = ids.Incarnation('entry-2/b')
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -12,10 +12,14 @@
 
 import testtools
 
-import ownershipmodel as model
-from apricotlanding import ids, records, wire
+from apricotlanding import ids
+from apricotlanding import records
+from apricotlanding import wire
 from apricotlandingd.configuration import logfollower
-from apricotlandingd.ownership import claimtable, leases, shardview
+from apricotlandingd.ownership import claimtable
+from apricotlandingd.ownership import leases
+from apricotlandingd.ownership import shardview
+import ownershipmodel as model
 
 Scenario = collections.abc.Callable[[model.Simulation], None]
 Removal = collections.abc.Callable[[testtools.TestCase], None]
@@ -251,7 +255,7 @@
     """
     owner, old, new = simulation.nodes
     model.start_serving(simulation, owner, old)
-    change = simulation.name(owner, new)
+    change = simulation.name_successor(owner, new)
     assert change is not None
     simulation.commit(change)
     simulation.read(new)
@@ -275,7 +279,7 @@
     """
     owner, old, other = simulation.nodes
     model.start_serving(simulation, owner, old)
-    late = simulation.name(owner, other)
+    late = simulation.name_successor(owner, other)
     assert late is not None
     model.settle(simulation, simulation.send(owner, records.Mark()))
     simulation.commit(late)
