--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -116,11 +116,11 @@
             self.host_list,
             self.router,
         )
-        self.owners = owners.Owners(
+        self.owners = owners.OwnershipManager(
             self.incarnation,
             self.follower,
             self.view,
-            leases.PromiseBook(),
+            leases.PromiseTable(),
             self.peers,
         )
         self.restater = restating.Restater(
@@ -134,7 +134,7 @@
     def _build_requests(self) -> None:
         config = self.settings
         self.store = answers.AnswerStore(config.kept_answer_bytes)
-        self.claim_desk = claims.ClaimDesk(self.peers)
+        self.claim_desk = claims.ClaimServer(self.peers)
         self.claim_client = claims.ClaimClient(
             self.incarnation,
             self.view,
@@ -142,7 +142,7 @@
             self.claim_desk,
             self.store,
         )
-        self.pool_desk = poolservice.PoolDesk(self.peers, self.metrics)
+        self.pool_desk = poolservice.PoolScheduler(self.peers, self.metrics)
         self.pool_client = poolclient.PoolClient(
             self.incarnation,
             self.view,
@@ -190,8 +190,8 @@
         self.entry.is_ready = self.is_ready
         self.owners.may_take = self._may_take
         self.owners.roles = {
-            owners.CLAIMS: self.claim_desk,
-            owners.POOL: self.pool_desk,
+            owners.CLAIMS_KIND: self.claim_desk,
+            owners.POOL_KIND: self.pool_desk,
         }
         self.pool_desk.deliver = self._push
         self.bundles.on_change.append(self.pool_desk.update_bundle)
@@ -216,13 +216,13 @@
         router.slow[wire.ClaimRequest] = self.claim_desk.answer_claim
         router.streaming[wire.Attach] = self.attacher.serve
         router.pushes |= {
-            wire.Register: self.pool_desk.take_register,
-            wire.Started: self.pool_desk.take_started,
-            wire.Finished: self.pool_desk.take_finished,
-            wire.Withdraw: self.pool_desk.take_withdraw,
-            wire.Grant: self.pool_client.take_grant,
-            wire.Shed: self.pool_client.take_shed,
-            wire.Withdrawn: self.pool_client.take_withdrawn,
+            wire.Register: self.pool_desk.handle_register,
+            wire.Started: self.pool_desk.handle_started,
+            wire.Finished: self.pool_desk.handle_finished,
+            wire.Withdraw: self.pool_desk.handle_withdraw,
+            wire.Grant: self.pool_client.handle_grant,
+            wire.Shed: self.pool_client.handle_shed,
+            wire.Withdrawn: self.pool_client.handle_withdrawn,
         }
 
     # Running.
@@ -306,8 +306,8 @@
         while True:
             for shard in list(self.view.entries):
                 kind, _ = owners.parse_shard(shard)
-                if kind == owners.CLAIMS:
-                    self.claim_client.report_to(shard)
+                if kind == owners.CLAIMS_KIND:
+                    self.claim_client.report_claims(shard)
             await logfollower.wait_for_change(self.follower, REPORT_INTERVAL)
 
     # Stopping.
@@ -382,7 +382,7 @@
             return None
 
     def _forget_connection(self, incarnation: ids.Incarnation) -> None:
-        self.pool_client.forget_connection(incarnation)
+        self.pool_client.mark_unregistered(incarnation)
         if self.peers.find(incarnation) is None:
             self.pool_desk.drop_sender(incarnation)
 
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claimtable.py
@@ -1,19 +1,20 @@
 """The claims of one shard, as its owner keeps them.
 
 A claim ties an idempotency key to the one daemon that may run it. The table
-is in memory only. An owner that takes over from one that died learns what it
-can from the daemons' reports and answers *unknown* for every other key that
-the owner before it may have granted:
+is in memory only. An owner that takes over from one that died restores what
+it can from the daemons' reports and answers *unknown* for every other key
+that an earlier owner may have granted. A *cut-off* time decides which these
+are:
 
-* keys issued (their UUIDv7 time) before the *line* may have been granted by
+* Keys issued (their UUIDv7 time) before the cut-off may have been granted by
   an earlier owner. No owner grants a key before its own clock has reached
   the key's issue time, whatever the caller's clock says; and no earlier
-  owner granted after its right had ended. So the line is the moment when
-  the last earlier right ended, plus the allowance for host clocks twice:
+  owner granted after its lease had ended. So the cut-off is the time when
+  the last earlier lease ended, plus the allowance for host clocks twice:
   that owner's clock may have run ahead and ours may be behind.
-* keys issued after it cannot have been granted by an earlier owner.
+* Keys issued after it cannot have been granted by an earlier owner.
 
-An owner that received the whole table from the one before it has no line.
+An owner that received the whole table from its predecessor has no cut-off.
 """
 
 import dataclasses
@@ -23,34 +24,34 @@
 from apricotlanding import ids
 from apricotlanding import wire
 
-__all__ = ['Claim', 'ClaimTable', 'Pause']
+__all__ = ['Claim', 'ClaimTable', 'Deferral']
 
-# Seconds that a new owner waits for the daemons' reports.
-REPORT_WAIT = 1.5
+# How long a new owner waits for the daemons' reports.
+REPORT_TIMEOUT_S = 1.5
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
 class Claim:
-    """Who may run a key, and what became of it."""
+    """Which daemon may run a key, and the state of the key."""
 
     digest: bytes
     holder: ids.Incarnation
     state: wire.ClaimState
     # The holder's attempt.
     ticket: str
-    # Wall clock time after which the key is refused as expired, so that
+    # Wall clock time after which the key is rejected as expired, so that
     # the claim can be dropped.
-    expires: float
+    expires_at: float
 
 
-Place = tuple[ids.Organisation, ids.Key]
+ClaimKey = tuple[ids.Organisation, ids.Key]
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pause:
-    """A claim cannot be answered yet; ask again."""
+class Deferral:
+    """A claim cannot be decided yet and has to be tried again."""
 
     # Longest wait, in seconds; a report may end it sooner.
     seconds: float
@@ -64,21 +65,21 @@
         self,
         epoch: ids.Epoch,
         limits: bundle.Limits,
-        line: float | None,
+        cutoff_at: float | None,
     ) -> None:
         """Start without a claim.
 
-        ``line`` is Unix time; None if no earlier owner can have granted a
-        key that this one does not know of.
+        ``cutoff_at`` is Unix time; None if no earlier owner can have granted
+        a key whose claim is missing here.
         """
         self.epoch = epoch
         self.window_s = limits.claim_window_s
         self.skew_s = limits.clock_skew_s
-        self.ahead_s = limits.key_ahead_s
-        self.line = line
-        # True once every live daemon has reported, or had time to.
-        self.has_reports = line is None
-        self._claims: dict[Place, Claim] = {}
+        self.max_ahead_s = limits.key_ahead_s
+        self.cutoff_at = cutoff_at
+        # True once every live daemon has reported or the wait has ended.
+        self.has_reports = cutoff_at is None
+        self._claims: dict[ClaimKey, Claim] = {}
 
     def __len__(self) -> int:
         """Return the number of claims."""
@@ -89,14 +90,14 @@
         request: wire.ClaimRequest,
         sender: ids.Incarnation,
         wall: float,
-    ) -> wire.ClaimReply | Pause:
-        """Answer a claim, or say how long to wait.
+    ) -> wire.ClaimReply | Deferral:
+        """Decide a claim, or return how long to wait.
 
-        The caller has checked that the right to grant is valid, and checks
-        it again after this returns. ``wall`` is Unix time.
+        The caller has checked that the lease is valid, and checks it again
+        after this returns. ``wall`` is Unix time.
         """
-        place = (request.organisation, request.key)
-        claim = self._claims.get(place)
+        claim_key = (request.organisation, request.key)
+        claim = self._claims.get(claim_key)
         if claim is not None:
             return self._answer_known(claim, request, sender)
         issued = ids.read_issue_time(request.key)
@@ -105,12 +106,12 @@
             if refusal is not None:
                 return refusal
             if issued > wall:
-                return Pause(issued - wall)
-        if self._is_before_line(issued, wall):
+                return Deferral(issued - wall)
+        if self._is_before_cutoff(issued, wall):
             if not self.has_reports:
-                return Pause(REPORT_WAIT)
+                return Deferral(REPORT_TIMEOUT_S)
             return self._reply(wire.ClaimVerdict.UNKNOWN)
-        self._claims[place] = Claim(
+        self._claims[claim_key] = Claim(
             request.digest,
             sender,
             wire.ClaimState.HELD,
@@ -124,42 +125,44 @@
     def find(
         self, organisation: ids.Organisation, key: ids.Key
     ) -> Claim | None:
-        """Return what is known of a key."""
+        """Return the claim of a key; None if there is none."""
         return self._claims.get((organisation, key))
 
-    def end(self, message: wire.ClaimEnd, sender: ids.Incarnation) -> None:
-        """Note what its holder says became of a key."""
-        place = (message.organisation, message.key)
-        claim = self._claims.get(place)
+    def record_outcome(
+        self, message: wire.ClaimEnd, sender: ids.Incarnation
+    ) -> None:
+        """Record the outcome of a key that its holder reports."""
+        claim_key = (message.organisation, message.key)
+        claim = self._claims.get(claim_key)
         if claim is None or claim.holder != sender:
             return
         if claim.ticket != message.ticket:
             return
         if claim.state is not wire.ClaimState.HELD:
-            # The first word stands: a release that arrives after the end
+            # The first outcome counts: a release that arrives after the end
             # would let the key run again.
             return
-        # A released key stays in the table: before the line, a retry of a
-        # key that is not there would be told that the outcome is unknown,
-        # when we know that it was not run.
+        # A released key stays in the table: before the cut-off, a retry of a
+        # missing key would be answered "unknown", although we know that it
+        # was not run.
         claim.state = message.state
 
     def add_report(self, report: wire.ClaimReport, wall: float) -> None:
-        """Add what a daemon holds, or a predecessor's whole table."""
+        """Add a daemon's claims, or a predecessor's whole table."""
         for held in report.claims:
-            place = (held.organisation, held.key)
-            if place in self._claims:
+            claim_key = (held.organisation, held.key)
+            if claim_key in self._claims:
                 continue
             if (
                 held.state is wire.ClaimState.RELEASED
                 and not report.is_handover
             ):
-                # The owner before us may have granted the key to another
-                # daemon since: only the whole table tells.
+                # The previous owner may have granted the key to another
+                # daemon since; only its whole table shows that.
                 continue
             issued = ids.read_issue_time(held.key)
             base = wall if issued is None else issued
-            self._claims[place] = Claim(
+            self._claims[claim_key] = Claim(
                 held.digest,
                 held.holder,
                 held.state,
@@ -168,28 +171,28 @@
             )
 
     def list_claims(self) -> list[wire.HeldClaim]:
-        """Return the whole table, to hand it over."""
+        """Return the whole table, for a handover."""
         return [
             wire.HeldClaim(
-                place[0],
-                place[1],
+                claim_key[0],
+                claim_key[1],
                 claim.digest,
                 claim.state,
                 claim.holder,
                 claim.ticket,
             )
-            for place, claim in self._claims.items()
+            for claim_key, claim in self._claims.items()
         ]
 
     def drop_expired(self, wall: float) -> int:
-        """Drop claims whose keys are refused by now; return how many."""
+        """Drop claims whose keys have expired; return how many."""
         expired = [
-            place
-            for place, claim in self._claims.items()
-            if claim.expires < wall
+            claim_key
+            for claim_key, claim in self._claims.items()
+            if claim.expires_at < wall
         ]
-        for place in expired:
-            del self._claims[place]
+        for claim_key in expired:
+            del self._claims[claim_key]
         return len(expired)
 
     def _answer_known(
@@ -212,14 +215,14 @@
                 wire.ClaimVerdict.FINISHED, claim.holder, 0.0, claim.ticket
             )
         if claim.holder == sender and claim.ticket == request.ticket:
-            # The reply to its claim was lost and it asks again.
+            # A retry: the reply to its first request was lost.
             return self._reply(wire.ClaimVerdict.GRANTED, sender)
         return self._reply(
             wire.ClaimVerdict.HELD, claim.holder, 0.0, claim.ticket
         )
 
     def _check_age(self, issued: float, wall: float) -> wire.ClaimReply | None:
-        if issued > wall + self.ahead_s:
+        if issued > wall + self.max_ahead_s:
             return self._reply(
                 wire.ClaimVerdict.KEY_FROM_FUTURE, None, issued - wall
             )
@@ -229,13 +232,13 @@
             )
         return None
 
-    def _is_before_line(self, issued: float | None, wall: float) -> bool:
-        if self.line is None:
+    def _is_before_cutoff(self, issued: float | None, wall: float) -> bool:
+        if self.cutoff_at is None:
             return False
         if issued is None:
             # No issue time: it may be as old as the claim window.
-            return wall < self.line + self.window_s
-        return issued <= self.line
+            return wall < self.cutoff_at + self.window_s
+        return issued <= self.cutoff_at
 
     def _reply(
         self,
--- a/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/tierqueue.py
@@ -1,10 +1,10 @@
 """The waiting requests of one tier, in fair order.
 
-Within a tier organisations share by weight: each has a virtual time that
-grows by the granted tokens over its weight, and the one that is furthest
-behind is next (weighted fair queueing). Within an organisation the order is
-that of arrival. ``poolqueue`` keeps one such queue for each tier and decides
-on what it returns.
+Organisations share a tier by weight (weighted fair queueing): each has a
+virtual time that grows by the granted tokens over its weight, and the one
+with the lowest virtual time is next. Within an organisation the order is that
+of arrival. ``poolqueue`` keeps one such queue for each tier and decides about
+the requests that it returns.
 """
 
 import collections
@@ -16,26 +16,26 @@
 from apricotlanding import ids
 from apricotlanding import wire
 
-__all__ = ['TierQueue', 'Waiting']
+__all__ = ['TierQueue', 'WaitingRequest']
 
 
 @ty.final
 @dataclasses.dataclass(slots=True, eq=False)
-class Waiting:
-    """A request that waits."""
+class WaitingRequest:
+    """A waiting request."""
 
     entry: wire.Registration
     sender: ids.Incarnation
     # Monotonic times.
     arrived_at: float
     deadline_at: float
-    # Queue that it was put in; 0 for all under a policy without tiers.
+    # Rank of its tier's queue; 0 for all under a policy without tiers.
     rank: int
-    # Whether it may take the slots kept for short requests.
+    # Whether it may take the slots reserved for short requests.
     is_short: bool
-    is_gone: bool = False
-    # How often a later one of its organisation was taken before it.
-    passed: int = 0
+    is_removed: bool = False
+    # How often a later request of its organisation was granted before it.
+    overtaken_count: int = 0
 
     @property
     def tokens(self) -> int:
@@ -44,9 +44,9 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Lane:
+class _OrganisationQueue:
     # One organisation's queue in one tier.
-    items: collections.deque[Waiting]
+    items: collections.deque[WaitingRequest]
     virtual_time: float
     weight: float
     tokens: int = 0
@@ -58,113 +58,113 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self.lanes: dict[ids.Organisation, _Lane] = {}
+        self.queues: dict[ids.Organisation, _OrganisationQueue] = {}
         # Requests that are not ready to be granted, by ticket.
-        self.held: dict[str, Waiting] = {}
-        # Held ones and those in lanes.
+        self.held: dict[str, WaitingRequest] = {}
+        # Held requests and those in ``queues``.
         self.count = 0
-        # Shed requests, by ticket, that their daemons may still keep.
-        self.unconfirmed: dict[str, Waiting] = {}
+        # Shed requests that their daemons have not confirmed, by ticket.
+        self.unconfirmed: dict[str, WaitingRequest] = {}
         self._heap: list[tuple[float, int, ids.Organisation]] = []
-        self._ties = itertools.count()
-        self._floor = 0.0
+        self._tie_breakers = itertools.count()
+        self._virtual_clock = 0.0
 
-    def add(self, waiting: Waiting) -> None:
-        """Add a request, to be held if it is not ready."""
+    def add(self, waiting: WaitingRequest) -> None:
+        """Add a request; it is held if it is not ready."""
         self.count += 1
         if not waiting.entry.is_ready:
             self.held[waiting.entry.ticket] = waiting
             return
         name = waiting.entry.organisation
-        lane = self.lanes.get(name)
-        if lane is None:
-            lane = _Lane(
-                collections.deque(), self._floor, waiting.entry.weight
+        queue = self.queues.get(name)
+        if queue is None:
+            queue = _OrganisationQueue(
+                collections.deque(), self._virtual_clock, waiting.entry.weight
             )
-            self.lanes[name] = lane
-        if not lane.items:
-            # It had nothing to wait for: it does not save up turns.
-            lane.virtual_time = max(lane.virtual_time, self._floor)
-            self._push(name, lane)
-        lane.items.append(waiting)
-        lane.tokens += waiting.tokens
-
-    def _peek(self) -> Waiting | None:
-        """Return who is next; None if nothing is ready."""
+            self.queues[name] = queue
+        if not queue.items:
+            # Organisations accumulate no credit while they are idle.
+            queue.virtual_time = max(queue.virtual_time, self._virtual_clock)
+            self._push(name, queue)
+        queue.items.append(waiting)
+        queue.tokens += waiting.tokens
+
+    def _peek(self) -> WaitingRequest | None:
+        """Return the next request; None if none is ready."""
         while self._heap:
             at, _, name = self._heap[0]
-            lane = self.lanes[name]
-            self._skip_gone(lane)
-            if lane.items and at == lane.virtual_time:
-                return lane.items[0]
+            queue = self.queues[name]
+            self._drop_removed(queue)
+            if queue.items and at == queue.virtual_time:
+                return queue.items[0]
             heapq.heappop(self._heap)
         return None
 
-    def list_next(self, limit: int) -> list[Waiting]:
-        """Return the first few of the organisation whose turn it is.
+    def list_next(self, limit: int) -> list[WaitingRequest]:
+        """Return the first few requests of the next organisation.
 
-        In order of arrival; empty if nothing is ready.
+        In order of arrival; empty if none is ready.
         """
         head = self._peek()
-        found: list[Waiting] = []
+        found: list[WaitingRequest] = []
         if head is None:
             return found
-        for waiting in self.lanes[head.entry.organisation].items:
+        for waiting in self.queues[head.entry.organisation].items:
             if len(found) == limit:
                 break
-            if not waiting.is_gone:
+            if not waiting.is_removed:
                 found.append(waiting)
         return found
 
-    def take(self, waiting: Waiting) -> None:
-        """Remove one that ``list_next`` has returned, as granted."""
+    def remove_granted(self, waiting: WaitingRequest) -> None:
+        """Remove a request that ``list_next`` returned, as granted."""
         heapq.heappop(self._heap)
-        lane = self.lanes[waiting.entry.organisation]
-        self._floor = max(self._floor, lane.virtual_time)
-        lane.virtual_time += waiting.tokens / lane.weight
+        queue = self.queues[waiting.entry.organisation]
+        self._virtual_clock = max(self._virtual_clock, queue.virtual_time)
+        queue.virtual_time += waiting.tokens / queue.weight
         self.discard(waiting)
-        self._skip_gone(lane)
-        if lane.items:
-            self._push(waiting.entry.organisation, lane)
+        self._drop_removed(queue)
+        if queue.items:
+            self._push(waiting.entry.organisation, queue)
 
-    def discard(self, waiting: Waiting) -> None:
-        """Mark a request as gone; its place is cleared later."""
-        waiting.is_gone = True
+    def discard(self, waiting: WaitingRequest) -> None:
+        """Mark a request as removed; it is dropped from its queue later."""
+        waiting.is_removed = True
         self.count -= 1
         if self.held.pop(waiting.entry.ticket, None) is not None:
             return
-        lane = self.lanes[waiting.entry.organisation]
-        lane.tokens -= waiting.tokens
+        queue = self.queues[waiting.entry.organisation]
+        queue.tokens -= waiting.tokens
 
-    def find_excess(self) -> Waiting | None:
-        """Return which request gives way first.
+    def find_shed_candidate(self) -> WaitingRequest | None:
+        """Return the request to shed first.
 
-        The newest of the organisation that waits with the most tokens for
-        its weight; before it, one that could not begin now even if there
-        were room.
+        A held request, since it could not start even with room; otherwise
+        the newest request of the organisation that has the most waiting
+        tokens for its weight.
         """
         if self.held:
             return next(reversed(self.held.values()))
-        lanes = [lane for lane in self.lanes.values() if lane.tokens > 0]
-        if not lanes:
+        queues = [queue for queue in self.queues.values() if queue.tokens > 0]
+        if not queues:
             return None
-        lane = max(lanes, key=lambda item: item.tokens / item.weight)
-        while lane.items and lane.items[-1].is_gone:
-            lane.items.pop()
-        return lane.items[-1]
+        queue = max(queues, key=lambda item: item.tokens / item.weight)
+        while queue.items and queue.items[-1].is_removed:
+            queue.items.pop()
+        return queue.items[-1]
 
-    def iterate(self) -> ty.Iterator[Waiting]:
-        """Yield all that wait, in no order."""
+    def iterate(self) -> ty.Iterator[WaitingRequest]:
+        """Yield all waiting requests, in no order."""
         yield from self.held.values()
-        for lane in self.lanes.values():
-            for waiting in lane.items:
-                if not waiting.is_gone:
+        for queue in self.queues.values():
+            for waiting in queue.items:
+                if not waiting.is_removed:
                     yield waiting
 
-    def _push(self, name: ids.Organisation, lane: _Lane) -> None:
-        item = (lane.virtual_time, next(self._ties), name)
+    def _push(self, name: ids.Organisation, queue: _OrganisationQueue) -> None:
+        item = (queue.virtual_time, next(self._tie_breakers), name)
         heapq.heappush(self._heap, item)
 
-    def _skip_gone(self, lane: _Lane) -> None:
-        while lane.items and lane.items[0].is_gone:
-            lane.items.popleft()
+    def _drop_removed(self, queue: _OrganisationQueue) -> None:
+        while queue.items and queue.items[0].is_removed:
+            queue.items.popleft()
--- a/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
@@ -165,7 +165,7 @@
     """
     chain: list[int] = []
     hasher = xxhash.xxh3_64()
-    size = runnerstate.BLOCK
+    size = runnerstate.BLOCK_TOKENS
     for start in range(0, len(words) - size + 1, size):
         if len(chain) == _PREFIX_BLOCKS:
             break
--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -129,5 +129,5 @@
         # Finished or not: the answer may be kept there, and is not lost
         # because we are cut off from it.
         return errors.make_problem(
-            errors.Kind.HOLDER_UNREACHABLE, claims.RETRY_AFTER
+            errors.Kind.HOLDER_UNREACHABLE, claims.RETRY_AFTER_S
         )
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -300,7 +300,7 @@
     ) -> None:
         await anyio.sleep(HOLD_AFTER)
         self._pools.add(ticket)
-        await self._pools.wait_given_up(ticket)
+        await self._pools.wait_until_shed(ticket)
         # Confirmed now, whatever the claim says: it will not run, and until
         # then the scheduler may shed nothing of a higher tier.
         self._pools.remove(ticket)
@@ -380,7 +380,7 @@
                 )
             self._metrics.count('retried')
             ticket.avoid = [*ticket.avoid, runner]
-            self._pools.wait_again(ticket)
+            self._pools.requeue(ticket)
 
     async def _call_runner(
         self, run: Run, ticket: poolclient.Ticket, runner: ids.Runner
@@ -403,7 +403,7 @@
             run.state = RunState.SENT
             answer.runner = runner
             scope = anyio.CancelScope()
-            ticket.on_lost = functools.partial(_move_on, run, scope)
+            ticket.on_runner_lost = functools.partial(_move_on, run, scope)
             try:
                 with scope:
                     attempt = await self._relay.run(
@@ -490,7 +490,7 @@
         if problem is not None and not kept.is_claimed:
             # Refused by the claim owner, or copied from the holder. If the
             # owner granted it after we had given up, it is released.
-            self._claims.end(kept, wire.ClaimState.RELEASED)
+            self._claims.report_outcome(kept, wire.ClaimState.RELEASED)
             self._store.drop(kept)
             return
         if problem is None and not kept.is_claimed:
@@ -500,11 +500,11 @@
             return
         self._store.close(kept)
         if problem is None:
-            self._claims.end(kept, wire.ClaimState.FINISHED)
+            self._claims.report_outcome(kept, wire.ClaimState.FINISHED)
         elif problem.outcome is errors.Outcome.NOT_RUN:
-            self._claims.end(kept, wire.ClaimState.RELEASED)
+            self._claims.report_outcome(kept, wire.ClaimState.RELEASED)
         else:
-            self._claims.end(kept, wire.ClaimState.UNKNOWN)
+            self._claims.report_outcome(kept, wire.ClaimState.UNKNOWN)
 
     def _describe_fault(self, run: Run, error: Exception) -> errors.Problem:
         # A fault of ours, not of the caller's. Whatever it was, nothing
@@ -560,7 +560,7 @@
     if verdict is wire.ClaimVerdict.CLOCK_OFF:
         return errors.make_problem(
             errors.Kind.CLOCK_OFF,
-            claims.RETRY_AFTER,
+            claims.RETRY_AFTER_S,
             host='the claim owner',
         )
     return errors.make_problem(
--- a/tests/test_pool_queue.py
+++ b/tests/test_pool_queue.py
@@ -1,4 +1,4 @@
-"""Rules of a pool's queue, with time as an argument and no process."""
+"""Tests of a pool's queue, with time as an argument and no process."""
 
 import dataclasses
 import typing as ty
@@ -11,20 +11,20 @@
 from apricotlandingd.pools import policies
 from apricotlandingd.pools import poolqueue
 
-NEAR = ids.Incarnation('entry-1/a')
-FAR = ids.Incarnation('entry-2/b')
-# Room for this many requests; no runner takes any.
-ROOM = 2
+NEAR_DAEMON = ids.Incarnation('entry-1/a')
+FAR_DAEMON = ids.Incarnation('entry-2/b')
+# Largest number of requests in the queue.
+QUEUE_REQUESTS = 2
 
 
 class TestUnconfirmedSheds(testtools.TestCase):
-    """A shed request counts as kept until its daemon confirms.
+    """A shed request counts as waiting until its daemon confirms the shed.
 
-    The link to a daemon is cut without anybody's notice and what the
-    scheduler sheds there is not heard of. It sheds that daemon's requests
-    of the lowest tier, then callers elsewhere of a higher tier; the link
-    heals, and the low ones, registered again, run. Seen in the tier matrix
-    at cut-entry, shedding.
+    Guards against shedding a higher tier while a lower one is kept: the link
+    to a daemon fails unnoticed, so its sheds of the lowest tier are lost.
+    The scheduler then sheds requests of a higher tier elsewhere; the link
+    recovers, and the low ones are registered again and run. Found by the
+    tier matrix at cut-entry, shedding.
     """
 
     def setUp(self) -> None:
@@ -32,13 +32,13 @@
         self.queue = poolqueue.PoolQueue(make_pool())
         for runner in self.queue.runners.values():
             runner.is_leaving = True
-        for number in range(ROOM):
-            self.register(f'low-{number}', 4, FAR)
-        # Two above the limit: both of the low tier are shed.
-        for number in range(ROOM):
-            self.register(f'high-{number}', 1, NEAR)
+        for number in range(QUEUE_REQUESTS):
+            self.register(f'low-{number}', 4, FAR_DAEMON)
+        # Two above the limit: both requests of the low tier are shed.
+        for number in range(QUEUE_REQUESTS):
+            self.register(f'high-{number}', 1, NEAR_DAEMON)
         self.assertEqual({'low-0', 'low-1'}, self.shed())
-        self.register('high-2', 1, NEAR)
+        self.register('high-2', 1, NEAR_DAEMON)
 
     def test_higher_tier_waits_for_confirmation(self) -> None:
         self.assertEqual(set(), self.shed())
@@ -50,14 +50,14 @@
         self.assertEqual({'high-2'}, self.shed())
 
     def test_registered_again(self) -> None:
-        # The daemon has not heard of it: it is shed once more, and still
-        # nothing of the higher tier.
-        self.register('low-0', 4, FAR)
+        # The daemon did not receive the shed: the request is shed again, and
+        # still none of the higher tier.
+        self.register('low-0', 4, FAR_DAEMON)
         self.assertEqual({'low-0'}, self.shed())
 
-    def test_begun_on_an_earlier_grant(self) -> None:
-        # It runs on the grant of a scheduler before this one: it is no
-        # longer kept waiting in the place of others.
+    def test_started_on_an_earlier_grant(self) -> None:
+        # It runs on the grant of an earlier scheduler: it no longer counts
+        # as waiting.
         runner = ids.Runner('planner-1')
         pool = ids.Pool('planners')
         self.queue.start(wire.Started(pool, 'low-0', runner), 1.0)
@@ -65,14 +65,14 @@
         self.assertEqual({'high-2'}, self.shed())
         self.assertEqual(1, self.queue.runners[runner].count_requests())
 
-    def test_daemon_is_gone(self) -> None:
-        self.queue.drop_sender(FAR)
+    def test_daemon_has_disconnected(self) -> None:
+        self.queue.drop_sender(FAR_DAEMON)
         self.assertEqual({'high-2'}, self.shed())
 
     def test_confirmation_was_lost(self) -> None:
-        # With a connection that broke; the daemon then registers all that
-        # it has, and the shed ones are not among it.
-        self.queue.confirm_all(FAR)
+        # The connection broke; the daemon then registers all its requests,
+        # without the shed ones.
+        self.queue.confirm_sheds(FAR_DAEMON)
         self.assertEqual({'high-2'}, self.shed())
 
     def register(
@@ -85,44 +85,52 @@
 
 
 class TestHeld(testtools.TestCase):
-    """A request that waits for its claim has a place in the queue.
+    """A request that waits for its claim is held in the queue.
 
-    The owner of its claim cannot be reached for a while. It waits at its
-    daemon, unknown to the scheduler, which sheds ones of a higher tier; the
-    claim comes and it runs. Seen in the tier matrix at cut-pair, filling.
+    Guards against shedding a higher tier while a lower one is kept: the
+    owner of a claim is unreachable for a while, and the request waits at its
+    daemon, unknown to the scheduler. The scheduler sheds requests of a higher
+    tier; then the claim is granted and the low one runs. Found by the tier
+    matrix at cut-pair, filling.
     """
 
     def setUp(self) -> None:
         super().setUp()
         self.queue = poolqueue.PoolQueue(make_pool())
-        self.queue.register(make_entry('low', 4, is_ready=False), FAR, 0.0)
+        self.queue.register(
+            make_entry('low', 4, is_ready=False), FAR_DAEMON, 0.0
+        )
 
     def test_is_not_granted(self) -> None:
         self.assertEqual(set(), decide(self.queue))
 
     def test_is_shed_before_a_higher_tier(self) -> None:
         self.close_runners()
-        for number in range(ROOM):
-            self.queue.register(make_entry(f'high-{number}', 1), NEAR, 0.0)
+        for number in range(QUEUE_REQUESTS):
+            self.queue.register(
+                make_entry(f'high-{number}', 1), NEAR_DAEMON, 0.0
+            )
         self.assertEqual({'low'}, decide(self.queue))
 
     def test_does_not_hold_up_its_tier(self) -> None:
-        self.queue.register(make_entry('next', 4), FAR, 0.0)
+        self.queue.register(make_entry('next', 4), FAR_DAEMON, 0.0)
         self.assertEqual({'next'}, decide(self.queue))
 
     def test_is_granted_once_ready(self) -> None:
-        # Registered twice, as after a connection that broke.
+        # Registered twice, as after a lost connection.
         for _ in range(2):
-            self.queue.register(make_entry('low', 4), FAR, 0.0)
+            self.queue.register(make_entry('low', 4), FAR_DAEMON, 0.0)
         self.assertEqual({'low'}, decide(self.queue))
         self.assertEqual(set(), decide(self.queue))
 
-    def test_old_word_does_not_hold_it_again(self) -> None:
-        self.queue.register(make_entry('low', 4), FAR, 0.0)
-        self.queue.register(make_entry('low', 4, is_ready=False), FAR, 0.0)
+    def test_outdated_registration_does_not_hold_it_again(self) -> None:
+        self.queue.register(make_entry('low', 4), FAR_DAEMON, 0.0)
+        self.queue.register(
+            make_entry('low', 4, is_ready=False), FAR_DAEMON, 0.0
+        )
         self.assertEqual({'low'}, decide(self.queue))
 
-    def test_is_forgotten(self) -> None:
+    def test_is_withdrawn(self) -> None:
         self.queue.withdraw('low')
         self.assertEqual(0, sum(self.queue.count_by_tier().values()))
 
@@ -132,7 +140,7 @@
 
 
 class TestLookahead(testtools.TestCase):
-    """Of the first that wait, one whose prefix is cached goes first."""
+    """Of the first requests, one with a cached prefix is granted first."""
 
     cached: ty.Final = list(range(6))
 
@@ -141,7 +149,7 @@
         pool = make_pool().model_copy(update={'queue_requests': 100})
         self.queue = poolqueue.PoolQueue(pool)
         (self.runner,) = self.queue.runners.values()
-        self.runner.remember_blocks(self.cached)
+        self.runner.add_cached_blocks(self.cached)
         # One slot: one grant for each call of ``decide``.
         self.runner.model = self.runner.model.model_copy(update={'slots': 1})
 
@@ -161,13 +169,13 @@
         self.assertEqual(['cold', 'warm'], self.grant_all(2))
 
     def test_waits_for_a_bounded_number(self) -> None:
-        # However many warm ones arrive, a cold one is passed over so often
-        # and no more.
+        # A request without a cached prefix is overtaken at most
+        # ``MAX_OVERTAKES`` times, however many with one arrive.
         self.add('cold', [])
-        for number in range(2 * poolqueue.MOST_PASSED):
+        for number in range(2 * poolqueue.MAX_OVERTAKES):
             self.add(f'warm-{number}', self.cached)
-        order = self.grant_all(2 * poolqueue.MOST_PASSED + 1)
-        self.assertEqual(poolqueue.MOST_PASSED, order.index('cold'))
+        order = self.grant_all(2 * poolqueue.MAX_OVERTAKES + 1)
+        self.assertEqual(poolqueue.MAX_OVERTAKES, order.index('cold'))
 
     def test_policy_without_lookahead(self) -> None:
         self.queue.policy = policies.find_policy('first-come')
@@ -177,7 +185,7 @@
 
     def add(self, ticket: str, prefix: list[int], tier: int = 1) -> None:
         entry = dataclasses.replace(make_entry(ticket, tier), prefix=prefix)
-        self.queue.register(entry, NEAR, 0.0)
+        self.queue.register(entry, NEAR_DAEMON, 0.0)
 
     def grant_all(self, count: int) -> list[str]:
         order = []
@@ -214,7 +222,7 @@
         self.assertEqual({'long-0', 'long-1', 'long-2', 'short-0'}, granted)
 
     def test_short_ones_take_no_slot_of_a_long_one_that_waits(self) -> None:
-        # Else they would fill the runner one by one as long ones end.
+        # Otherwise they would fill the runner as long ones finish.
         self.add_all('long', 5, tier=0, prompt_tokens=1000)
         self.add_all('short', 2, tier=4, prompt_tokens=10)
         decide(self.queue)
@@ -240,7 +248,7 @@
                 make_entry(f'{name}-{number}', tier),
                 prompt_tokens=prompt_tokens,
             )
-            self.queue.register(entry, NEAR, 0.0)
+            self.queue.register(entry, NEAR_DAEMON, 0.0)
 
     def finish(self, ticket: str) -> None:
         pool = ids.Pool('planners')
@@ -279,5 +287,9 @@
         'domain': 'd1',
     }
     return bundle.PoolModel.model_validate(
-        {'name': 'planners', 'runners': [runner], 'queue_requests': ROOM}
+        {
+            'name': 'planners',
+            'runners': [runner],
+            'queue_requests': QUEUE_REQUESTS,
+        }
     )
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -1,9 +1,9 @@
 """Each safeguard of ownership and claims: safe with it, broken without.
 
-Every case is a story that was made to break the system. It is told twice:
-with the safeguard in place nothing is broken; with it removed the same story
-breaks a promise, which shows that the case can fail and that the safeguard
-is needed.
+Every case is a scenario that can break the system. It runs twice: with the
+safeguard in place no guarantee is broken; with it removed the same scenario
+breaks one, which shows that the case can fail and that the safeguard is
+needed.
 """
 
 import collections.abc
@@ -21,137 +21,151 @@
 from apricotlandingd.ownership import shardview
 import ownershipmodel as model
 
-Story = collections.abc.Callable[[model.World], None]
+Scenario = collections.abc.Callable[[model.Simulation], None]
 Removal = collections.abc.Callable[[testtools.TestCase], None]
 
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    story: Story
+    scenario: Scenario
     remove: Removal
 
 
 _cases: dict[str, Case] = {}
 
 
-def case(remove: Removal) -> collections.abc.Callable[[Story], Story]:
-    def file_story(story: Story) -> Story:
-        _cases[story.__name__] = Case(story, remove)
-        return story
+def case(remove: Removal) -> collections.abc.Callable[[Scenario], Scenario]:
+    def register_scenario(scenario: Scenario) -> Scenario:
+        _cases[scenario.__name__] = Case(scenario, remove)
+        return scenario
 
-    return file_story
+    return register_scenario
 
 
 def renew_for(
-    world: model.World, owner: model.Node, giver: model.Node, seconds: float
+    simulation: model.Simulation,
+    owner: model.Node,
+    promiser: model.Node,
+    seconds: float,
 ) -> None:
-    """Let a pair go on while the log is out for both."""
-    end = world.now + seconds
-    while world.now < end:
-        world.now += 0.2
-        model.exchange(world, owner, giver)
-        world.check()
+    """Let a pair renew its promises while neither reaches the log."""
+    end = simulation.now + seconds
+    while simulation.now < end:
+        simulation.now += 0.2
+        model.exchange_promise(simulation, owner, promiser)
+        simulation.check()
 
 
 def take(
-    world: model.World, node: model.Node, successor: model.Node | None = None
+    simulation: model.Simulation,
+    node: model.Node,
+    successor: model.Node | None = None,
 ) -> None:
     """Let a node take a shard and read its own record."""
-    append = world.take(node, successor)
+    append = simulation.take(node, successor)
     assert append is not None
-    world.land(append)
-    world.read(node)
+    simulation.commit(append)
+    simulation.read(node)
 
 
-def take_and_serve(world: model.World, node: model.Node) -> None:
-    """Let a node that reads the log take over as soon as it may."""
-    take(world, node)
-    serve_when_allowed(world, node)
+def take_and_serve(simulation: model.Simulation, node: model.Node) -> None:
+    """Let a node take over and serve as soon as it may."""
+    take(simulation, node)
+    serve_when_allowed(simulation, node)
 
 
-def serve_when_allowed(world: model.World, node: model.Node) -> None:
-    append = world.serve(node)
+def serve_when_allowed(simulation: model.Simulation, node: model.Node) -> None:
+    append = simulation.serve(node)
     if append is not None:
-        world.land(append)
-        world.read(node)
-    world.check()
+        simulation.commit(append)
+        simulation.read(node)
+    simulation.check()
 
 
 # Removals.
 
 
 def ignore_outage_limit(test: testtools.TestCase) -> None:
-    find_end = leases.Right.find_end
+    find_expiry = leases.Lease.find_expiry
 
-    def find_unlimited(right: leases.Right) -> float:
-        right.outage_limit_s = float('inf')
-        return find_end(right)
+    def find_unlimited(lease: leases.Lease) -> float:
+        lease.outage_limit_s = float('inf')
+        return find_expiry(lease)
 
-    test.patch(leases.Right, 'find_end', find_unlimited)
+    test.patch(leases.Lease, 'find_expiry', find_unlimited)
 
 
 def wait_short_as_outsider(test: testtools.TestCase) -> None:
     def find_short(
-        shard: ty.Any, entry: ty.Any, me: ty.Any, book: leases.PromiseBook
+        shard: ty.Any,
+        entry: ty.Any,
+        taker: ty.Any,
+        promises: leases.PromiseTable,
     ) -> float:
-        ends = [item.replaced_at + model.LEASE for item in entry.unsettled]
+        ends = [item.replaced_at + model.LEASE_S for item in entry.unsettled]
         return float(max([entry.taken_at, *ends]))
 
     test.patch(leases, 'find_serve_time', find_short)
 
 
 def need_only_new_successor(test: testtools.TestCase) -> None:
-    def require(right: leases.Right, giver: ty.Any, now: float) -> None:
-        # As if the change of successor had been decided by sending it.
-        if not right.required:
-            right.required.add(giver)
+    def add_promiser(
+        lease: leases.Lease, promiser: ty.Any, now: float
+    ) -> None:
+        # As if the change of successor were committed once it is sent.
+        if not lease.promisers:
+            lease.promisers.add(promiser)
 
-    test.patch(leases.Right, 'require', require)
+    test.patch(leases.Lease, 'add_promiser', add_promiser)
 
 
 def accept_late_records(test: testtools.TestCase) -> None:
-    class Forgetful(dict[ty.Any, int]):
+    class NoSequences(dict[ty.Any, int]):
         def get(self, *_: ty.Any) -> int:
             return 0
 
     begin = logfollower.LogFollower.__init__
 
-    def begin_forgetful(
+    def begin_without_order(
         follower: logfollower.LogFollower, *arguments: ty.Any
     ) -> None:
         begin(follower, *arguments)
-        follower._highest = Forgetful()
+        follower._highest = NoSequences()
 
-    test.patch(logfollower.LogFollower, '__init__', begin_forgetful)
+    test.patch(logfollower.LogFollower, '__init__', begin_without_order)
 
 
 def wait_for_last_taker_only(test: testtools.TestCase) -> None:
     apply_take = shardview.ShardView._apply_take
 
-    def apply_forgetful(view: shardview.ShardView, *arguments: ty.Any) -> None:
+    def apply_last_taker_only(
+        view: shardview.ShardView, *arguments: ty.Any
+    ) -> None:
         entry = view.entries.get(model.SHARD)
         if entry is not None:
             entry.unsettled = []
             entry.is_serving = True
         apply_take(view, *arguments)
 
-    test.patch(shardview.ShardView, '_apply_take', apply_forgetful)
+    test.patch(shardview.ShardView, '_apply_take', apply_last_taker_only)
 
 
 def count_from_receipt(test: testtools.TestCase) -> None:
-    carry = model.World.carry
+    deliver = model.Simulation.deliver
 
-    def carry_late(world: model.World, letter: model.Letter) -> None:
-        if letter.given is not None:
-            letter.sent_at = world.now
-        carry(world, letter)
+    def deliver_late(
+        simulation: model.Simulation, call: model.PromiseCall
+    ) -> None:
+        if call.given is not None:
+            call.sent_at = simulation.now
+        deliver(simulation, call)
 
-    test.patch(model.World, 'carry', carry_late)
+    test.patch(model.Simulation, 'deliver', deliver_late)
 
 
-def draw_no_line(test: testtools.TestCase) -> None:
+def ignore_cutoff(test: testtools.TestCase) -> None:
     test.patch(
-        claimtable.ClaimTable, '_is_before_line', lambda *arguments: False
+        claimtable.ClaimTable, '_is_before_cutoff', lambda *arguments: False
     )
 
 
@@ -165,7 +179,7 @@
         wall: float,
     ) -> ty.Any:
         reply = decide(table, request, sender, wall)
-        if isinstance(reply, claimtable.Pause) and table.has_reports:
+        if isinstance(reply, claimtable.Deferral) and table.has_reports:
             return decide(table, request, sender, wall + reply.seconds)
         return reply
 
@@ -173,17 +187,17 @@
 
 
 def ignore_tickets(test: testtools.TestCase) -> None:
-    def end(
+    def record_outcome(
         table: claimtable.ClaimTable, message: wire.ClaimEnd, sender: ty.Any
     ) -> None:
         claim = table.find(message.organisation, message.key)
         if claim is not None and claim.holder == sender:
             claim.state = message.state
 
-    test.patch(claimtable.ClaimTable, 'end', end)
+    test.patch(claimtable.ClaimTable, 'record_outcome', record_outcome)
 
 
-def believe_released_reports(test: testtools.TestCase) -> None:
+def accept_released_reports(test: testtools.TestCase) -> None:
     add_report = claimtable.ClaimTable.add_report
 
     def add_all(
@@ -195,7 +209,7 @@
     test.patch(claimtable.ClaimTable, 'add_report', add_all)
 
 
-def believe_late_words(test: testtools.TestCase) -> None:
+def ignore_incarnation_order(test: testtools.TestCase) -> None:
     def has_ended(earlier: ids.Incarnation, later: ids.Incarnation) -> bool:
         same_host = ids.parse_host(earlier) == ids.parse_host(later)
         return same_host and earlier != later
@@ -203,269 +217,279 @@
     test.patch(ids, 'has_ended', has_ended)
 
 
-# Stories.
+# Scenarios.
 
 
 @case(ignore_outage_limit)
-def pair_cut_off_from_log(world: model.World) -> None:
-    """Owner and successor hear only each other; an outsider takes over.
+def pair_cut_off_from_log(simulation: model.Simulation) -> None:
+    """Owner and successor reach only each other; an outsider takes over.
 
-    The log is cut off for both, so neither reads the outsider's Take. They
-    renew as if nothing had happened and must stop by themselves before the
-    outsider begins.
+    Neither reaches the log, so neither reads the outsider's Take. They go on
+    renewing promises and must stop by themselves before the outsider serves.
     """
-    owner, successor, outsider = world.nodes
-    model.start_serving(world, owner, successor)
-    take(world, outsider)
-    renew_for(world, owner, successor, 1.02 * model.OUTAGE_LIMIT)
-    serve_when_allowed(world, outsider)
+    owner, successor, outsider = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    take(simulation, outsider)
+    renew_for(simulation, owner, successor, 1.02 * model.OUTAGE_LIMIT_S)
+    serve_when_allowed(simulation, outsider)
     assert outsider.is_serving
 
 
 @case(wait_short_as_outsider)
-def outsider_is_early(world: model.World) -> None:
-    """An outsider that waited a lease only would meet the old owner."""
-    owner, successor, outsider = world.nodes
-    model.start_serving(world, owner, successor)
-    take(world, outsider)
-    renew_for(world, owner, successor, 2 * model.LEASE)
-    serve_when_allowed(world, outsider)
+def outsider_is_early(simulation: model.Simulation) -> None:
+    """An outsider that waits for one lease only overlaps the old owner."""
+    owner, successor, outsider = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    take(simulation, outsider)
+    renew_for(simulation, owner, successor, 2 * model.LEASE_S)
+    serve_when_allowed(simulation, outsider)
 
 
 @case(need_only_new_successor)
-def successor_change_lands_unseen(world: model.World) -> None:
-    """The record that names another successor lands, its reply is lost.
+def successor_change_is_committed_unseen(simulation: model.Simulation) -> None:
+    """The record that names another successor is committed, its reply lost.
 
-    The new successor reads it and takes over at once, for it never promised
-    anything. The owner and the old successor, both cut off from the log, go
-    on with each other.
+    The new successor reads it and takes over at once, because it never
+    promised anything. The owner and the old successor, both cut off from the
+    log, go on renewing.
     """
-    owner, old, new = world.nodes
-    model.start_serving(world, owner, old)
-    change = world.name(owner, new)
+    owner, old, new = simulation.nodes
+    model.start_serving(simulation, owner, old)
+    change = simulation.name_successor(owner, new)
     assert change is not None
-    world.land(change)
-    world.read(new)
-    renew_for(world, owner, old, 0.4)
-    take_and_serve(world, new)
-    world.now += 0.1
-    model.exchange(world, owner, old)
-    serve_when_allowed(world, new)
+    simulation.commit(change)
+    simulation.read(new)
+    renew_for(simulation, owner, old, 0.4)
+    take_and_serve(simulation, new)
+    simulation.now += 0.1
+    model.exchange_promise(simulation, owner, old)
+    serve_when_allowed(simulation, new)
     assert new.is_serving
 
 
 @case(accept_late_records)
-def record_lands_after_its_sender_gave_it_up(world: model.World) -> None:
-    """A change of successor takes effect long after its sender's next one.
+def record_is_committed_after_a_later_one(
+    simulation: model.Simulation,
+) -> None:
+    """A change of successor is committed after its sender's next record.
 
-    The owner read its next record back and counts on its old successor
-    again. Were the late record valid, the other host could take over at
+    The owner has read its next record back and relies on its old successor
+    again. If the late record were valid, the other host could take over at
     once.
     """
-    owner, old, other = world.nodes
-    model.start_serving(world, owner, old)
-    late = world.name(owner, other)
+    owner, old, other = simulation.nodes
+    model.start_serving(simulation, owner, old)
+    late = simulation.name_successor(owner, other)
     assert late is not None
-    model.settle(world, world.send(owner, records.Mark()))
-    world.land(late)
-    world.read(other)
-    renew_for(world, owner, old, 0.4)
-    take_and_serve(world, other)
-    world.now += 0.1
-    model.exchange(world, owner, old)
-    serve_when_allowed(world, other)
+    model.settle(simulation, simulation.send(owner, records.Mark()))
+    simulation.commit(late)
+    simulation.read(other)
+    renew_for(simulation, owner, old, 0.4)
+    take_and_serve(simulation, other)
+    simulation.now += 0.1
+    model.exchange_promise(simulation, owner, old)
+    serve_when_allowed(simulation, other)
 
 
 @case(wait_for_last_taker_only)
-def taker_dies_in_its_long_wait(world: model.World) -> None:
-    """An outsider dies waiting; its successor must wait as long.
+def taker_dies_while_waiting(simulation: model.Simulation) -> None:
+    """An outsider dies while waiting; its successor must wait as long.
 
-    It never served, so its successor is nobody's successor as far as the
-    owner before is concerned, who is cut off with its own successor.
+    The outsider never served, so its successor is not the successor of the
+    owner before, which is cut off together with its own successor.
     """
-    owner, successor, outsider, heir = world.nodes
-    model.start_serving(world, owner, successor)
-    take(world, outsider, heir)
-    world.read(heir)
-    world.restart(outsider)
-    renew_for(world, owner, successor, 2 * model.LEASE)
-    take_and_serve(world, heir)
-    renew_for(world, owner, successor, 2 * model.LEASE)
-    serve_when_allowed(world, heir)
+    owner, successor, outsider, second_successor = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    take(simulation, outsider, second_successor)
+    simulation.read(second_successor)
+    simulation.restart(outsider)
+    renew_for(simulation, owner, successor, 2 * model.LEASE_S)
+    take_and_serve(simulation, second_successor)
+    renew_for(simulation, owner, successor, 2 * model.LEASE_S)
+    serve_when_allowed(simulation, second_successor)
 
 
 @case(count_from_receipt)
-def promise_arrives_late(world: model.World) -> None:
-    """A promise travels for nearly its whole length.
+def promise_arrives_late(simulation: model.Simulation) -> None:
+    """A promise is delayed for nearly its whole length.
 
-    Counted from its arrival it would outlive what its giver promised.
+    Counted from its arrival it would last longer than was promised.
     """
-    owner, successor, _ = world.nodes
-    model.start_serving(world, owner, successor)
-    letter = world.ask(owner, successor)
-    assert letter is not None
-    world.carry(letter)
-    world.now += 0.9
-    world.carry(letter)
-    world.now += 0.2
-    take_and_serve(world, successor)
+    owner, successor, _ = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    call = simulation.request_promise(owner, successor)
+    assert call is not None
+    simulation.deliver(call)
+    simulation.now += 0.9
+    simulation.deliver(call)
+    simulation.now += 0.2
+    take_and_serve(simulation, successor)
     assert successor.is_serving
 
 
-@case(draw_no_line)
-def holder_dies_with_owner(world: model.World) -> None:
-    """A key is granted, then owner and holder die; its caller tries again.
+@case(ignore_cutoff)
+def holder_dies_with_owner(simulation: model.Simulation) -> None:
+    """A key is granted, then owner and holder die; its caller retries.
 
-    Nobody is left to report the grant. The key may have run: the new owner
-    must not grant it again.
+    No daemon is left to report the grant. The key may have run: the new
+    owner must not grant it again.
     """
-    owner, successor, holder = world.nodes
-    model.start_serving(world, owner, successor)
-    key = world.make_key()
-    assert world.claim(owner, holder, key) is wire.ClaimVerdict.GRANTED
-    world.restart(owner)
-    world.restart(holder)
-    world.now += 2.0
-    take_and_serve(world, successor)
+    owner, successor, holder = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    key = simulation.make_key()
+    assert simulation.claim(owner, holder, key) is wire.ClaimVerdict.GRANTED
+    simulation.restart(owner)
+    simulation.restart(holder)
+    simulation.now += 2.0
+    take_and_serve(simulation, successor)
     assert successor.table is not None
     successor.table.has_reports = True
-    verdict = world.claim(successor, world.nodes[2], key)
-    world.check()
+    verdict = simulation.claim(successor, simulation.nodes[2], key)
+    simulation.check()
     assert verdict is wire.ClaimVerdict.UNKNOWN
 
 
 @case(grant_early_keys)
-def callers_clock_is_ahead(world: model.World) -> None:
-    """A phone's clock runs two seconds ahead, and its key with it.
+def clock_of_caller_is_ahead(simulation: model.Simulation) -> None:
+    """A caller's clock runs two seconds ahead, and its key with it.
 
-    Granted at once, the key would look as if it had been issued after the
-    owner died, and be granted again.
+    If the key were granted at once, it would seem to have been issued after
+    the owner died, and would be granted again.
     """
-    owner, successor, holder = world.nodes
-    model.start_serving(world, owner, successor)
-    key = world.make_key(ahead_s=2.5)
-    world.claim(owner, holder, key)
-    world.restart(owner)
-    world.restart(holder)
-    world.now += 1.2
-    take_and_serve(world, successor)
+    owner, successor, holder = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    key = simulation.make_key(ahead_s=2.5)
+    simulation.claim(owner, holder, key)
+    simulation.restart(owner)
+    simulation.restart(holder)
+    simulation.now += 1.2
+    take_and_serve(simulation, successor)
     assert successor.table is not None
     successor.table.has_reports = True
-    world.now += 2.0
-    assert world.has_right(successor)
-    world.claim(successor, world.nodes[2], key)
-    world.check()
+    simulation.now += 2.0
+    assert simulation.has_right(successor)
+    simulation.claim(successor, simulation.nodes[2], key)
+    simulation.check()
 
 
 @case(ignore_tickets)
-def release_is_told_twice(world: model.World) -> None:
+def release_is_repeated(simulation: model.Simulation) -> None:
     """A release is repeated because its acknowledgement was lost.
 
     In between the same daemon has claimed the key again, for the caller's
-    retry. The repeated release must not free the key under it.
+    retry. The repeated release must not release the new claim.
     """
-    owner, successor, holder = world.nodes
-    model.start_serving(world, owner, successor)
-    key = world.make_key()
-    world.claim(owner, holder, key)
-    end = world.release(world.granted[-1])
+    owner, successor, holder = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    key = simulation.make_key()
+    simulation.claim(owner, holder, key)
+    end = simulation.release(simulation.granted[-1])
     assert owner.table is not None
-    owner.table.end(end, holder.incarnation)
-    assert world.claim(owner, holder, key) is wire.ClaimVerdict.GRANTED
-    owner.table.end(end, holder.incarnation)
-    world.claim(owner, successor, key)
-    world.check()
+    owner.table.record_outcome(end, holder.incarnation)
+    assert simulation.claim(owner, holder, key) is wire.ClaimVerdict.GRANTED
+    owner.table.record_outcome(end, holder.incarnation)
+    simulation.claim(owner, successor, key)
+    simulation.check()
 
 
-@case(believe_released_reports)
-def key_moved_on_before_owner_died(world: model.World) -> None:
-    """One daemon released a key, another got it; then the owner died.
+@case(accept_released_reports)
+def key_granted_elsewhere_before_owner_died(
+    simulation: model.Simulation,
+) -> None:
+    """One daemon released a key, another claimed it; then the owner died.
 
     The first reports "released" to the new owner, the second is cut off.
     """
-    owner, successor, first = world.nodes
-    model.start_serving(world, owner, successor)
-    key = world.make_key()
-    world.claim(owner, first, key)
-    end = world.release(world.granted[-1])
+    owner, successor, first = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    key = simulation.make_key()
+    simulation.claim(owner, first, key)
+    end = simulation.release(simulation.granted[-1])
     assert owner.table is not None
-    owner.table.end(end, first.incarnation)
-    assert world.claim(owner, owner, key) is wire.ClaimVerdict.GRANTED
-    world.restart(owner)
-    world.now += 2.0
-    take_and_serve(world, successor)
-    world.report(successor, first)
+    owner.table.record_outcome(end, first.incarnation)
+    assert simulation.claim(owner, owner, key) is wire.ClaimVerdict.GRANTED
+    simulation.restart(owner)
+    simulation.now += 2.0
+    take_and_serve(simulation, successor)
+    simulation.report(successor, first)
     assert successor.table is not None
     successor.table.has_reports = True
-    world.claim(successor, first, key)
-    world.check()
+    simulation.claim(successor, first, key)
+    simulation.check()
 
 
 @case(ignore_tickets)
-def release_arrives_after_the_end(world: model.World) -> None:
-    """A finished key is reported as missing later, and must stay finished.
+def release_arrives_after_the_end(simulation: model.Simulation) -> None:
+    """A finished key is later released, and must stay finished.
 
-    The holder has dropped the kept answer by then and cannot know better.
+    The holder has dropped the kept answer by then and does not know that the
+    key was run.
     """
-    owner, successor, holder = world.nodes
-    model.start_serving(world, owner, successor)
-    key = world.make_key()
-    world.claim(owner, holder, key)
-    item = world.granted[-1]
-    release = world.release(item)
+    owner, successor, holder = simulation.nodes
+    model.start_serving(simulation, owner, successor)
+    key = simulation.make_key()
+    simulation.claim(owner, holder, key)
+    item = simulation.granted[-1]
+    release = simulation.release(item)
     item.is_released = False
     finished = dataclasses.replace(release, state=wire.ClaimState.FINISHED)
     assert owner.table is not None
-    owner.table.end(finished, holder.incarnation)
-    owner.table.end(release, holder.incarnation)
-    world.claim(owner, successor, key)
-    world.check()
+    owner.table.record_outcome(finished, holder.incarnation)
+    owner.table.record_outcome(release, holder.incarnation)
+    simulation.claim(owner, successor, key)
+    simulation.check()
 
 
-@case(believe_late_words)
-def dead_process_speaks_late(world: model.World) -> None:
-    """A record of a process that is gone lands after its host's next one.
+@case(ignore_incarnation_order)
+def record_of_ended_process_is_committed_late(
+    simulation: model.Simulation,
+) -> None:
+    """A record of an ended process is committed after the next process's.
 
     The restarted daemon owns the shard by then, and is cut off from the log
-    with its successor. The late record must not make it look dead.
+    with its successor. The late record must not make it count as ended.
     """
-    first, successor, outsider = world.nodes
-    late = world.send(first, records.Mark())
-    owner = world.restart(first)
-    model.start_serving(world, owner, successor)
-    append = world.take(outsider, None)
+    first, successor, outsider = simulation.nodes
+    late = simulation.send(first, records.Mark())
+    owner = simulation.restart(first)
+    model.start_serving(simulation, owner, successor)
+    append = simulation.take(outsider, None)
     assert append is not None
-    world.land(append)
-    world.land(late)
-    world.read(outsider)
-    renew_for(world, owner, successor, 2 * model.LEASE)
-    serve_when_allowed(world, outsider)
+    simulation.commit(append)
+    simulation.commit(late)
+    simulation.read(outsider)
+    renew_for(simulation, owner, successor, 2 * model.LEASE_S)
+    serve_when_allowed(simulation, outsider)
 
 
 class TestSafeguards(testtools.TestCase):
-    """Each story is safe, and broken without its safeguard."""
+    """Each scenario is safe, and broken without its safeguard."""
 
 
 def _make_safe_test(item: Case) -> ty.Callable[[testtools.TestCase], None]:
     def test(self: testtools.TestCase) -> None:
-        item.story(_make_world(item))
+        item.scenario(_make_simulation(item))
 
     return test
 
 
-def _make_bare_test(item: Case) -> ty.Callable[[testtools.TestCase], None]:
+def _make_unguarded_test(
+    item: Case,
+) -> ty.Callable[[testtools.TestCase], None]:
     def test(self: testtools.TestCase) -> None:
         item.remove(self)
-        self.assertRaises(model.Violation, item.story, _make_world(item))
+        self.assertRaises(
+            model.Violation, item.scenario, _make_simulation(item)
+        )
 
     return test
 
 
-def _make_world(item: Case) -> model.World:
-    needs_fourth = item.story is taker_dies_in_its_long_wait
-    return model.World(hosts=4 if needs_fourth else 3)
+def _make_simulation(item: Case) -> model.Simulation:
+    needs_fourth = item.scenario is taker_dies_while_waiting
+    return model.Simulation(hosts=4 if needs_fourth else 3)
 
 
 for _name, _item in _cases.items():
     setattr(TestSafeguards, f'test_{_name}', _make_safe_test(_item))
-    setattr(TestSafeguards, f'test_{_name}_bare', _make_bare_test(_item))
+    setattr(TestSafeguards, f'test_{_name}_bare', _make_unguarded_test(_item))
