--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -10,7 +10,7 @@
 import dataclasses
 import typing as ty
 
-__all__ = ['NoticeLimit']
+__all__ = ['LogRateLimit']
 
 # Seconds between two notices of one key.
 INTERVAL: ty.Final = 60.0
@@ -35,7 +35,7 @@
 
 
 @ty.final
-class NoticeLimit:
+class LogRateLimit:
     """Lets one notice a key and interval through."""
 
     def __init__(self) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/foreigninput.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/foreigninput.py
@@ -46,7 +46,7 @@
     def __init__(self, found: measures.Measures) -> None:
         """Count into these measures."""
         self._measures = found
-        self._limit = logratelimit.NoticeLimit()
+        self._limit = logratelimit.LogRateLimit()
 
     def report(
         self, source: Source, key: str, detail: str, now: float
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -77,7 +77,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.limit = logratelimit.NoticeLimit()
+        self.limit = logratelimit.LogRateLimit()
 
     def test_one_notice_a_key_and_minute(self) -> None:
         self.assertEqual(0, self.limit.admit('a', 10.0))
