--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -13,7 +13,7 @@
 __all__ = ['LogRateLimit']
 
 # Seconds between two notices of one key.
-INTERVAL: ty.Final = 60.0
+LOG_INTERVAL_S: ty.Final = 60.0
 # Keys that are told apart. Further ones within an interval share one notice,
 # so that neither the memory nor the log grows with the number of keys that
 # somebody invents: 200 keys are 60 KB, and a tenth of the lines that the log
@@ -60,7 +60,7 @@
         if known is None:
             self._notices[key] = _Notice(now)
             return 0
-        if now - known.at < INTERVAL:
+        if now - known.at < LOG_INTERVAL_S:
             known.held += 1
             return None
         held = known.held
@@ -76,7 +76,7 @@
         if len(self._notices) < KEYS:
             return
         for key, notice in list(self._notices.items()):
-            if now - notice.at < INTERVAL:
+            if now - notice.at < LOG_INTERVAL_S:
                 # All that follow are newer.
                 return
             del self._notices[key]
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -102,8 +102,12 @@
     def test_keys_of_the_past_make_room(self) -> None:
         for number in range(logratelimit.KEYS):
             self.limit.admit(f'key {number}', 0.0)
-        self.assertEqual(0, self.limit.admit('new', logratelimit.INTERVAL))
-        self.assertIsNone(self.limit.admit('new', logratelimit.INTERVAL + 1))
+        self.assertEqual(
+            0, self.limit.admit('new', logratelimit.LOG_INTERVAL_S)
+        )
+        self.assertIsNone(
+            self.limit.admit('new', logratelimit.LOG_INTERVAL_S + 1)
+        )
 
     def test_endless_keys_take_no_memory(self) -> None:
         long = 'k' * 100_000
