--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -18,7 +18,7 @@
 # so that neither the memory nor the log grows with the number of keys that
 # somebody invents: 200 keys are 60 KB, and a tenth of the lines that the log
 # takes in a single second.
-KEYS: ty.Final = 200
+MAX_KEYS: ty.Final = 200
 # The key that those share.
 OTHERS: ty.Final = 'others'
 # Characters of a key that count; longer ones that begin alike are one key.
@@ -54,7 +54,7 @@
         key = key[:KEY_LENGTH]
         if key not in self._notices:
             self._drop_oldest(now)
-        if key not in self._notices and len(self._notices) >= KEYS:
+        if key not in self._notices and len(self._notices) >= MAX_KEYS:
             key = OTHERS
         known = self._notices.get(key)
         if known is None:
@@ -73,7 +73,7 @@
         return len(self._notices)
 
     def _drop_oldest(self, now: float) -> None:
-        if len(self._notices) < KEYS:
+        if len(self._notices) < MAX_KEYS:
             return
         for key, notice in list(self._notices.items()):
             if now - notice.at < LOG_INTERVAL_S:
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -96,11 +96,11 @@
             for number in range(10_000)
             if self.limit.admit(f'key {number}', number / 1000) is not None
         ]
-        self.assertEqual(logratelimit.KEYS + 1, len(given))
-        self.assertEqual(logratelimit.KEYS + 1, self.limit.count_keys())
+        self.assertEqual(logratelimit.MAX_KEYS + 1, len(given))
+        self.assertEqual(logratelimit.MAX_KEYS + 1, self.limit.count_keys())
 
     def test_keys_of_the_past_make_room(self) -> None:
-        for number in range(logratelimit.KEYS):
+        for number in range(logratelimit.MAX_KEYS):
             self.limit.admit(f'key {number}', 0.0)
         self.assertEqual(
             0, self.limit.admit('new', logratelimit.LOG_INTERVAL_S)
