--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -20,7 +20,7 @@
 # takes in a single second.
 MAX_KEYS: ty.Final = 200
 # The key that those share.
-OTHERS: ty.Final = 'others'
+OVERFLOW_KEY: ty.Final = 'others'
 # Characters of a key that count; longer ones that begin alike are one key.
 KEY_LENGTH: ty.Final = 120
 
@@ -55,7 +55,7 @@
         if key not in self._notices:
             self._drop_oldest(now)
         if key not in self._notices and len(self._notices) >= MAX_KEYS:
-            key = OTHERS
+            key = OVERFLOW_KEY
         known = self._notices.get(key)
         if known is None:
             self._notices[key] = _Notice(now)
