--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -22,7 +22,7 @@
 # The key that those share.
 OVERFLOW_KEY: ty.Final = 'others'
 # Characters of a key that count; longer ones that begin alike are one key.
-KEY_LENGTH: ty.Final = 120
+MAX_KEY_CHARACTERS: ty.Final = 120
 
 
 @ty.final
@@ -51,7 +51,7 @@
         A notice that is to be given gets the number of those that were held
         back before it.
         """
-        key = key[:KEY_LENGTH]
+        key = key[:MAX_KEY_CHARACTERS]
         if key not in self._notices:
             self._drop_oldest(now)
         if key not in self._notices and len(self._notices) >= MAX_KEYS:
