--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
@@ -25,7 +25,7 @@
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
 
-__all__ = ['GroupUses']
+__all__ = ['GroupUsage']
 
 # Part of the allowance, over all groups, that is divided equally: a group at
 # which an organisation's callers begin to ask can serve the first of them.
@@ -37,7 +37,7 @@
 
 
 @ty.final
-class GroupUses:
+class GroupUsage:
     """Units asked for and handed out a second in each other group."""
 
     def __init__(self) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -62,7 +62,7 @@
         self._others = others
         self._started_at = now
         self._is_listed = False
-        self._group_uses = groupusage.GroupUses()
+        self._group_uses = groupusage.GroupUsage()
         self._used = averages.Rates(USED_TIME)
 
     def set_slack(self, slack_units: float) -> None:
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -129,7 +129,7 @@
         )
         buckets = quotas.Quotas(0.0, 0.0)
         gatewayparts.take_units(buckets, FESTIN, 10.0, 0.0, 0.0)
-        uses = groupusage.GroupUses()
+        uses = groupusage.GroupUsage()
 
         def take(state: messages.HostState, now: float) -> None:
             buckets.hear(state.incarnation, state.usage, now)
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -78,8 +78,8 @@
 
     def make_uses(
         self, asked: tuple[float, ...]
-    ) -> list[groupusage.GroupUses]:
-        found = [groupusage.GroupUses() for _ in asked]
+    ) -> list[groupusage.GroupUsage]:
+        found = [groupusage.GroupUsage() for _ in asked]
         for own, uses in enumerate(found):
             for group, units in enumerate(asked):
                 if group != own:
@@ -100,7 +100,7 @@
         self.assertGreater(self.find_parts((900, 0, 0, 0))[0], 0.85)
 
     def test_group_that_heard_nobody_takes_an_equal_part(self) -> None:
-        part = groupusage.GroupUses().find_part(FESTIN, 5000.0, 4)
+        part = groupusage.GroupUsage().find_part(FESTIN, 5000.0, 4)
         self.assertEqual(0.25, part)
 
     def test_groups_together_hand_out_the_allowance_once(self) -> None:
