--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
@@ -68,7 +68,7 @@
         self._asked[group] = asked
         self._used[group] = used
 
-    def has_heard_all(self, own: int, groups: int) -> bool:
+    def has_received_all(self, own: int, groups: int) -> bool:
         """Tell whether each other group was heard."""
         return all(
             group in self._asked for group in range(groups) if group != own
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -228,7 +228,9 @@
 
     def _has_heard_all(self) -> bool:
         partition = self._others.partition
-        return self._group_uses.has_heard_all(partition.own, partition.count)
+        return self._group_uses.has_received_all(
+            partition.own, partition.count
+        )
 
     def _widen_terms(
         self,
