--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
@@ -82,7 +82,7 @@
         """Return the units that all other groups hand out a second."""
         return _sum_units(self._used, name, groups)
 
-    def find_part(
+    def find_share(
         self,
         organisation: catalogue.Organisation,
         own_asked: float,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -283,7 +283,7 @@
         if count == 1:
             return 1.0
         asked = self._find_asked(organisation.name, now)
-        part = self._group_uses.find_part(organisation, asked, count)
+        part = self._group_uses.find_share(organisation, asked, count)
         if now < self._find_settled_time():
             return min(part, 1 / count)
         return part
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -151,7 +151,7 @@
         self.assertTrue(0 <= host.find_silent_share() < 1)
         for rank in host.list_waiting(ids.Pool('pool')):
             self.assertTrue(math.isfinite(rank.on_time_by))
-        self.assertTrue(0 <= uses.find_part(FESTIN, 1.0, 2) <= 1)
+        self.assertTrue(0 <= uses.find_share(FESTIN, 1.0, 2) <= 1)
         wait = gatewayparts.take_units(buckets, FESTIN, 1e9, 0.0, now)
         self.assertTrue(wait is None or 0 < wait < math.inf)
         good = test_foreign_messages.make_state(
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -88,7 +88,7 @@
 
     def find_parts(self, asked: tuple[float, ...]) -> list[float]:
         return [
-            uses.find_part(FESTIN, own, len(asked))
+            uses.find_share(FESTIN, own, len(asked))
             for uses, own in zip(self.make_uses(asked), asked, strict=True)
         ]
 
@@ -100,7 +100,7 @@
         self.assertGreater(self.find_parts((900, 0, 0, 0))[0], 0.85)
 
     def test_group_that_heard_nobody_takes_an_equal_part(self) -> None:
-        part = groupusage.GroupUsage().find_part(FESTIN, 5000.0, 4)
+        part = groupusage.GroupUsage().find_share(FESTIN, 5000.0, 4)
         self.assertEqual(0.25, part)
 
     def test_groups_together_hand_out_the_allowance_once(self) -> None:
@@ -111,7 +111,7 @@
         total = 0.0
         for step in range(500):
             for heard, bucket in zip(uses, buckets, strict=True):
-                part = heard.find_part(FESTIN, 800, 4)
+                part = heard.find_share(FESTIN, 800, 4)
                 if (
                     gatewayparts.take_units(
                         bucket, FESTIN, 10, 0.0, step / 100, part
