--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
@@ -29,7 +29,7 @@
 
 # Part of the allowance, over all groups, that is divided equally: a group at
 # which an organisation's callers begin to ask can serve the first of them.
-EQUAL_PART = 0.15
+EQUAL_SHARE = 0.15
 # Seconds for which what a settled host said of its group stands against one
 # that has just started: hosts of a group are heard in turn, each group about
 # three times a second.
@@ -92,7 +92,7 @@
 
         ``own_asked`` is what is asked for in this group, in units a second.
         """
-        equal = organisation.units_per_s * EQUAL_PART / groups
+        equal = organisation.units_per_s * EQUAL_SHARE / groups
         others = [
             asked.get(organisation.name, 0.0)
             for group, asked in self._asked.items()
