--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
@@ -33,7 +33,7 @@
 # Seconds for which what a settled host said of its group stands against one
 # that has just started: hosts of a group are heard in turn, each group about
 # three times a second.
-STANDING_TIME = 1.0
+SETTLED_USAGE_MAX_AGE_S = 1.0
 
 
 @ty.final
@@ -63,7 +63,10 @@
         """
         if is_settled:
             self._settled_at[group] = now
-        elif now - self._settled_at.get(group, -math.inf) < STANDING_TIME:
+        elif (
+            now - self._settled_at.get(group, -math.inf)
+            < SETTLED_USAGE_MAX_AGE_S
+        ):
             return
         self._asked[group] = asked
         self._used[group] = used
