--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -11,7 +11,7 @@
 handing out at the same time. For each peer that is silent the bucket is
 drained at an equal share of the rate, so hosts that are cut off from each
 other hand out the allowance once between them. In a large system a group has
-its part of the allowance besides (``groupusage``); ``Terms`` say which of the
+its part of the allowance besides (``groupusage``); ``AllowanceShare`` say which of the
 two these buckets are for.
 """
 
@@ -23,7 +23,7 @@
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import averages, buckets
 
-__all__ = ['SLACK_SHARE', 'Quotas', 'Terms', 'Usage']
+__all__ = ['SLACK_SHARE', 'Quotas', 'AllowanceShare', 'Usage']
 
 # Share of the operators' slack that a bucket may hold beyond its burst. All
 # hosts may overrun by what they hand out before they hear of each other,
@@ -51,7 +51,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Terms:
+class AllowanceShare:
     """What of an allowance this host may count on."""
 
     # Share of the hosts that are not heard, and so not counted on.
@@ -114,7 +114,7 @@
         self,
         organisation: catalogue.Organisation,
         cost: float,
-        terms: Terms,
+        terms: AllowanceShare,
         now: float,
     ) -> float | None:
         """Return seconds until there are enough units; None if there are.
@@ -265,7 +265,7 @@
     def _refill(
         self,
         organisation: catalogue.Organisation,
-        terms: Terms,
+        terms: AllowanceShare,
         now: float,
     ) -> buckets.Bucket:
         silent_share = terms.silent_share
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -75,12 +75,12 @@
 
     def find_terms(
         self, organisation: catalogue.Organisation, now: float
-    ) -> quotas.Terms:
+    ) -> quotas.AllowanceShare:
         """Return which part of an allowance is for this host's group."""
         silent = self._others.find_unheard_share()
         if not self.knows_hosts(now):
             silent = 1.0
-        return quotas.Terms(
+        return quotas.AllowanceShare(
             silent_share=silent,
             group_part=self._find_group_part(organisation, now),
             reserve=-self._find_ahead(now),
@@ -102,7 +102,7 @@
         self,
         organisation: catalogue.Organisation,
         cost: float,
-        part: quotas.Terms,
+        part: quotas.AllowanceShare,
         now: float,
     ) -> float | None:
         """Hand out units, or return seconds until there are enough.
@@ -118,7 +118,7 @@
             self._charge(organisation, cost, now)
         return wait
 
-    def find_keeper_terms(self, now: float) -> quotas.Terms:
+    def find_keeper_terms(self, now: float) -> quotas.AllowanceShare:
         """Return what a host that keeps an allowance for all may count on."""
         silent = self._others.find_unheard_share()
         if not self.knows_hosts(now):
@@ -126,7 +126,7 @@
         ahead = 0.0
         if now - self._started_at < UNSETTLED_TIME:
             ahead = self._slack * AHEAD_SHARE * (1 - silent)
-        return quotas.Terms(silent_share=silent, reserve=-ahead)
+        return quotas.AllowanceShare(silent_share=silent, reserve=-ahead)
 
     def note_handed_out(
         self, organisation: catalogue.Organisation, cost: float, now: float
@@ -235,9 +235,9 @@
     def _widen_terms(
         self,
         organisation: catalogue.Organisation,
-        part: quotas.Terms,
+        part: quotas.AllowanceShare,
         now: float,
-    ) -> quotas.Terms:
+    ) -> quotas.AllowanceShare:
         # From the part for this host's group to the whole allowance.
         if not self._is_divided():
             return part
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -3,12 +3,9 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway import dialect
+from apricotlanding import addresses, ids
+from apricotlandingd.gateway import catalogue, dialect
+from apricotlandingd.gateway.decisions import quotas, waiting
 
 __all__ = [
     'POOL',
@@ -84,7 +81,7 @@
     group_part: float = 1.0,
 ) -> float | None:
     """Hand out units, or return seconds until there are enough."""
-    terms = quotas.Terms(silent_share, group_part)
+    terms = quotas.AllowanceShare(silent_share, group_part)
     wait = buckets.find_wait(organisation, cost, terms, now)
     if wait is None:
         buckets.charge(organisation, cost)
