--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -57,7 +57,7 @@
     # Share of the hosts that are not heard, and so not counted on.
     silent_share: float = 0.0
     # Part of the allowance that these buckets are for.
-    group_part: float = 1.0
+    group_share: float = 1.0
     # Units a second that others hand out and that are not heard one by one.
     drain: float = 0.0
     # Units that must be left over: others may have handed them out since
@@ -134,11 +134,11 @@
         # ones; now equal parts. The slack bears this, so that nobody is
         # refused what the organisation is owed.
         largest = self._note_largest(organisation.name, cost, now)
-        needed = max(needed, min(largest, self._slack * terms.group_part))
+        needed = max(needed, min(largest, self._slack * terms.group_share))
         needed += terms.reserve
         if bucket.level >= needed:
             return None
-        rate = organisation.units_per_s * terms.group_part
+        rate = organisation.units_per_s * terms.group_share
         rate *= max(0.1, 1 - terms.silent_share)
         return max(SHORTEST_RETURN, (needed - bucket.level) / rate)
 
@@ -269,7 +269,7 @@
         now: float,
     ) -> buckets.Bucket:
         silent_share = terms.silent_share
-        size = (organisation.burst_units + self._slack) * terms.group_part
+        size = (organisation.burst_units + self._slack) * terms.group_share
         bucket = self._buckets.get(organisation.name)
         is_young = now - self._started_at <= YOUNG
         if bucket is None:
@@ -289,7 +289,7 @@
             bucket.first_share += more
             bucket.assume(size * buckets.FIRST_PART * more)
         bucket.size = size
-        rate = organisation.units_per_s * terms.group_part
+        rate = organisation.units_per_s * terms.group_share
         bucket.rate = rate * (1 - silent_share) - terms.drain
         for use in self._kept.pop(organisation.name, ()):
             bucket.count(use)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -82,7 +82,7 @@
             silent = 1.0
         return quotas.AllowanceShare(
             silent_share=silent,
-            group_part=self._find_group_part(organisation, now),
+            group_share=self._find_group_part(organisation, now),
             reserve=-self._find_ahead(now),
         )
 
@@ -251,7 +251,7 @@
         unseen = asked * UNSEEN_TIME - self._slack * UNSEEN_SHARE
         return dataclasses.replace(
             part,
-            group_part=1.0,
+            group_share=1.0,
             drain=self._group_uses.sum_used(name, count),
             reserve=part.reserve + max(0.0, unseen),
         )
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -78,10 +78,10 @@
     cost: float,
     silent_share: float,
     now: float,
-    group_part: float = 1.0,
+    group_share: float = 1.0,
 ) -> float | None:
     """Hand out units, or return seconds until there are enough."""
-    terms = quotas.AllowanceShare(silent_share, group_part)
+    terms = quotas.AllowanceShare(silent_share, group_share)
     wait = buckets.find_wait(organisation, cost, terms, now)
     if wait is None:
         buckets.charge(organisation, cost)
