--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -59,7 +59,7 @@
     # Part of the allowance that these buckets are for.
     group_share: float = 1.0
     # Units a second that others hand out and that are not heard one by one.
-    drain: float = 0.0
+    remote_units_per_s: float = 0.0
     # Units that must be left over: others may have handed them out since
     # they were heard. Below zero, so many may be handed out ahead.
     reserve: float = 0.0
@@ -290,7 +290,7 @@
             bucket.assume(size * buckets.FIRST_PART * more)
         bucket.size = size
         rate = organisation.units_per_s * terms.group_share
-        bucket.rate = rate * (1 - silent_share) - terms.drain
+        bucket.rate = rate * (1 - silent_share) - terms.remote_units_per_s
         for use in self._kept.pop(organisation.name, ()):
             bucket.count(use)
         bucket.refill(now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -252,7 +252,7 @@
         return dataclasses.replace(
             part,
             group_share=1.0,
-            drain=self._group_uses.sum_used(name, count),
+            remote_units_per_s=self._group_uses.sum_used(name, count),
             reserve=part.reserve + max(0.0, unseen),
         )
 
