--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -199,7 +199,7 @@
         """Tell whether a peer's totals are known."""
         return peer in self._heard
 
-    def skip(self, peer: ids.Incarnation, usage: Usage) -> None:
+    def set_baseline(self, peer: ids.Incarnation, usage: Usage) -> None:
         """Remember a peer's totals whose use counts elsewhere."""
         self._heard[peer] = usage
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -190,8 +190,8 @@
     def hear(self, state: messages.HostState, now: float) -> None:
         """Take what another host handed out, or what its group does."""
         if not self._others.partition.is_near(state.host):
-            self.buckets.skip(state.incarnation, state.usage)
-            self._parts.skip(state.incarnation, state.usage)
+            self.buckets.set_baseline(state.incarnation, state.usage)
+            self._parts.set_baseline(state.incarnation, state.usage)
             group = self._others.partition.find_group(state.host)
             self._group_uses.hear(
                 group,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -19,14 +19,15 @@
 
 import anyio
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    allowances,
+    candidates,
+    messages,
+)
 
 __all__ = ['Question', 'SharedAllowances']
 
@@ -237,7 +238,7 @@
         if is_new or self._kept.has_heard(process):
             self._kept.hear(process, usage, now, is_new)
         else:
-            self._kept.skip(process, usage)
+            self._kept.set_baseline(process, usage)
 
     def _hand_out(
         self, organisation: catalogue.Organisation, cost: float, now: float
