--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -195,7 +195,7 @@
             bucket.refill(now)
         return {name: item.level for name, item in self._buckets.items()}
 
-    def has_heard(self, peer: ids.Incarnation) -> bool:
+    def has_totals(self, peer: ids.Incarnation) -> bool:
         """Tell whether a peer's totals are known."""
         return peer in self._heard
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -217,7 +217,7 @@
         self, news: allowancemessages.KeeperNews, now: float
     ) -> None:
         """Take what another host that keeps allowances has handed out."""
-        if not self._kept.has_heard(news.incarnation):
+        if not self._kept.has_totals(news.incarnation):
             self.hear(news.incarnation, news.before, False, now)
         self.hear(news.incarnation, news.usage, False, now)
 
@@ -235,7 +235,7 @@
         """
         if process == self._incarnation:
             return
-        if is_new or self._kept.has_heard(process):
+        if is_new or self._kept.has_totals(process):
             self._kept.hear(process, usage, now, is_new)
         else:
             self._kept.set_baseline(process, usage)
