--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -31,7 +31,7 @@
 SLACK_SHARE = 0.25
 # Seconds after the start of a process in which peers that are heard for the
 # first time are those that ran before it, whose totals are of the past.
-YOUNG = 3.0
+STARTUP_PERIOD_S = 3.0
 # Seconds over which the units asked for are averaged: long enough for a caller
 # that comes every second or two, short against the operators' window.
 ASKED_TIME = 2.0
@@ -171,7 +171,7 @@
         may; half full, hosts that restart one after another hand out more
         than the operators allow.
         """
-        if now - self._started_at > YOUNG:
+        if now - self._started_at > STARTUP_PERIOD_S:
             return
         for name, level in levels.items():
             if name in self._adopted:
@@ -221,7 +221,7 @@
         self._heard[peer] = usage
         sign = buckets.Sign.MORE
         if before is None:
-            is_past = now - self._started_at <= YOUNG and not is_new
+            is_past = now - self._started_at <= STARTUP_PERIOD_S and not is_new
             sign = buckets.Sign.PAST if is_past else buckets.Sign.FIRST
         for name, total in usage.items():
             units = total - (before.get(name, 0.0) if before else 0.0)
@@ -271,7 +271,7 @@
         silent_share = terms.silent_share
         size = (organisation.burst_units + self._slack) * terms.group_share
         bucket = self._buckets.get(organisation.name)
-        is_young = now - self._started_at <= YOUNG
+        is_young = now - self._started_at <= STARTUP_PERIOD_S
         if bucket is None:
             bucket = buckets.Bucket(0.0, self._started_at)
             self._buckets[organisation.name] = bucket
