--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -34,7 +34,7 @@
 STARTUP_PERIOD_S = 3.0
 # Seconds over which the units asked for are averaged: long enough for a caller
 # that comes every second or two, short against the operators' window.
-ASKED_TIME = 2.0
+DEMAND_AVERAGING_TIME_S = 2.0
 # Seconds for which the largest request of an organisation counts: as long as a
 # caller that was refused takes to come back, and to be gone.
 LARGEST_TIME = 10.0
@@ -86,7 +86,7 @@
         self._kept: dict[ids.Organisation, collections.deque[buckets.Use]] = {}
         # What this process handed out.
         self.usage: Usage = {}
-        self._asked = averages.Rates(ASKED_TIME)
+        self._asked = averages.Rates(DEMAND_AVERAGING_TIME_S)
         # The largest request of late, and when it came.
         self._largest: dict[ids.Organisation, tuple[float, float]] = {}
         # Levels that peers stated, and when, for buckets that do not exist
