--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -37,7 +37,7 @@
 DEMAND_AVERAGING_TIME_S = 2.0
 # Seconds for which the largest request of an organisation counts: as long as a
 # caller that was refused takes to come back, and to be gone.
-LARGEST_TIME = 10.0
+LARGEST_COST_WINDOW_S = 10.0
 # What peers hand out of a bucket that nobody here has asked for is kept in
 # steps of so many seconds, and so many of them: eight seconds, in which most
 # buckets are full again.
@@ -257,7 +257,7 @@
         self, name: ids.Organisation, cost: float, now: float
     ) -> float:
         largest, at = self._largest.get(name, (0.0, now))
-        if cost >= largest or now - at > LARGEST_TIME:
+        if cost >= largest or now - at > LARGEST_COST_WINDOW_S:
             largest, at = cost, now
         self._largest[name] = (largest, at)
         return largest
