--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -41,7 +41,7 @@
 # What peers hand out of a bucket that nobody here has asked for is kept in
 # steps of so many seconds, and so many of them: eight seconds, in which most
 # buckets are full again.
-KEPT_INTERVAL = 0.25
+PENDING_USE_INTERVAL_S = 0.25
 KEPT_USES = 32
 # Units by organisation.
 Usage = dict[ids.Organisation, float]
@@ -243,7 +243,7 @@
         if (
             last is not None
             and last.sign is use.sign is buckets.Sign.MORE
-            and use.at - last.at < KEPT_INTERVAL
+            and use.at - last.at < PENDING_USE_INTERVAL_S
         ):
             kept[-1] = buckets.Use(last.at, last.units + use.units, use.sign)
             return
