--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -42,7 +42,7 @@
 # steps of so many seconds, and so many of them: eight seconds, in which most
 # buckets are full again.
 PENDING_USE_INTERVAL_S = 0.25
-KEPT_USES = 32
+MAX_PENDING_USES = 32
 # Units by organisation.
 Usage = dict[ids.Organisation, float]
 # Shortest time after which a refused caller is asked to come back, seconds.
@@ -238,7 +238,9 @@
 
     def _keep(self, name: ids.Organisation, use: buckets.Use) -> None:
         # The bucket's rate and size are known with the first request here.
-        kept = self._kept.setdefault(name, collections.deque(maxlen=KEPT_USES))
+        kept = self._kept.setdefault(
+            name, collections.deque(maxlen=MAX_PENDING_USES)
+        )
         last = kept[-1] if kept else None
         if (
             last is not None
