--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -46,7 +46,7 @@
 # Units by organisation.
 Usage = dict[ids.Organisation, float]
 # Shortest time after which a refused caller is asked to come back, seconds.
-SHORTEST_RETURN = 0.2
+MIN_RETRY_DELAY_S = 0.2
 
 
 @ty.final
@@ -140,7 +140,7 @@
             return None
         rate = organisation.units_per_s * terms.group_share
         rate *= max(0.1, 1 - terms.silent_share)
-        return max(SHORTEST_RETURN, (needed - bucket.level) / rate)
+        return max(MIN_RETRY_DELAY_S, (needed - bucket.level) / rate)
 
     def charge(
         self, organisation: catalogue.Organisation, cost: float
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/waiting.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/waiting.py
@@ -36,7 +36,7 @@
 # that they have left.
 RETURN_SHARE = 0.32
 # Shortest time to come back, in seconds: less only repeats the question.
-SHORTEST_RETURN = 0.1
+MIN_RETRY_DELAY_S = 0.1
 
 
 class Rank(ty.NamedTuple):
@@ -141,6 +141,6 @@
     caller accepts: refused together, callers that come back together would
     only make the next burst.
     """
-    longest = max(SHORTEST_RETURN, left_s * RETURN_SHARE)
-    shortest = min(max(SHORTEST_RETURN, wait_s), longest * 0.6)
+    longest = max(MIN_RETRY_DELAY_S, left_s * RETURN_SHARE)
+    shortest = min(max(MIN_RETRY_DELAY_S, wait_s), longest * 0.6)
     return spread.uniform(shortest, longest)
