--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -10,12 +10,12 @@
 import enum
 import typing as ty
 
-__all__ = ['FIRST_PART', 'Bucket', 'Sign', 'Use']
+__all__ = ['INITIAL_FILL_RATIO', 'Bucket', 'Sign', 'Use']
 
 # Part of a bucket that is full at the start of a process. Operators allow a
 # tenth of the burst and a slack beyond the allowance; two halves of a burst
 # within a window stay below that, two whole ones do not.
-FIRST_PART = 0.5
+INITIAL_FILL_RATIO = 0.5
 
 
 class Sign(enum.Enum):
@@ -81,7 +81,7 @@
             self.level -= use.units
         elif use.sign is Sign.FIRST:
             # It may have handed all of this out just now.
-            first = self.size * FIRST_PART
+            first = self.size * INITIAL_FILL_RATIO
             self.level -= min(use.units, max(0.0, self.level) + first)
         else:
             # It ran before this process, or started beside it. What it has
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -289,7 +289,7 @@
             # heard says what it handed out, and its share is for all.
             more = 1 - silent_share - bucket.first_share
             bucket.first_share += more
-            bucket.assume(size * buckets.FIRST_PART * more)
+            bucket.assume(size * buckets.INITIAL_FILL_RATIO * more)
         bucket.size = size
         rate = organisation.units_per_s * terms.group_share
         bucket.rate = rate * (1 - silent_share) - terms.remote_units_per_s
