--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -2,7 +2,7 @@
 
 All hosts share the bucket and each keeps a copy (``quotas``): it takes out
 what it hands out itself, and what its peers say. What that means for the level
-depends on when it was handed out, before this host started or since; ``Sign``
+depends on when it was handed out, before this host started or since; ``UseKind``
 tells the cases apart.
 """
 
@@ -10,7 +10,7 @@
 import enum
 import typing as ty
 
-__all__ = ['INITIAL_FILL_RATIO', 'Bucket', 'Sign', 'Use']
+__all__ = ['INITIAL_FILL_RATIO', 'Bucket', 'UseKind', 'Use']
 
 # Part of a bucket that is full at the start of a process. Operators allow a
 # tenth of the burst and a slack beyond the allowance; two halves of a burst
@@ -18,7 +18,7 @@
 INITIAL_FILL_RATIO = 0.5
 
 
-class Sign(enum.Enum):
+class UseKind(enum.Enum):
     """What a peer's total tells."""
 
     # The peer handed this out since it was heard last.
@@ -37,7 +37,7 @@
     # When it was heard.
     at: float
     units: float
-    sign: Sign
+    sign: UseKind
 
 
 @ty.final
@@ -77,9 +77,9 @@
         # while would else be filled after the peer's use is taken out, and
         # that use would be lost.
         self.refill(use.at)
-        if use.sign is Sign.MORE:
+        if use.sign is UseKind.MORE:
             self.level -= use.units
-        elif use.sign is Sign.FIRST:
+        elif use.sign is UseKind.FIRST:
             # It may have handed all of this out just now.
             first = self.size * INITIAL_FILL_RATIO
             self.level -= min(use.units, max(0.0, self.level) + first)
