--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -22,7 +22,7 @@
     """What a peer's total tells."""
 
     # The peer handed this out since it was heard last.
-    MORE = 'more'
+    INCREMENT = 'more'
     # All of a process that started lately, or was not heard for long.
     FIRST = 'first'
     # All of a process that ran before this one started.
@@ -77,7 +77,7 @@
         # while would else be filled after the peer's use is taken out, and
         # that use would be lost.
         self.refill(use.at)
-        if use.sign is UseKind.MORE:
+        if use.sign is UseKind.INCREMENT:
             self.level -= use.units
         elif use.sign is UseKind.FIRST:
             # It may have handed all of this out just now.
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -219,7 +219,7 @@
         lately = Usage()
         before = self._heard.get(peer)
         self._heard[peer] = usage
-        sign = buckets.UseKind.MORE
+        sign = buckets.UseKind.INCREMENT
         if before is None:
             is_past = now - self._started_at <= STARTUP_PERIOD_S and not is_new
             sign = buckets.UseKind.PAST if is_past else buckets.UseKind.FIRST
@@ -227,7 +227,7 @@
             units = total - (before.get(name, 0.0) if before else 0.0)
             if units == 0.0:
                 continue
-            if sign is buckets.UseKind.MORE:
+            if sign is buckets.UseKind.INCREMENT:
                 lately[name] = units
             bucket = self._buckets.get(name)
             if bucket is None:
@@ -244,7 +244,7 @@
         last = kept[-1] if kept else None
         if (
             last is not None
-            and last.sign is use.sign is buckets.UseKind.MORE
+            and last.sign is use.sign is buckets.UseKind.INCREMENT
             and use.at - last.at < PENDING_USE_INTERVAL_S
         ):
             kept[-1] = buckets.Use(last.at, last.units + use.units, use.sign)
