--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -24,7 +24,7 @@
     # The peer handed this out since it was heard last.
     INCREMENT = 'more'
     # All of a process that started lately, or was not heard for long.
-    FIRST = 'first'
+    FIRST_TOTAL = 'first'
     # All of a process that ran before this one started.
     PAST = 'past'
 
@@ -79,7 +79,7 @@
         self.refill(use.at)
         if use.sign is UseKind.INCREMENT:
             self.level -= use.units
-        elif use.sign is UseKind.FIRST:
+        elif use.sign is UseKind.FIRST_TOTAL:
             # It may have handed all of this out just now.
             first = self.size * INITIAL_FILL_RATIO
             self.level -= min(use.units, max(0.0, self.level) + first)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -222,7 +222,11 @@
         sign = buckets.UseKind.INCREMENT
         if before is None:
             is_past = now - self._started_at <= STARTUP_PERIOD_S and not is_new
-            sign = buckets.UseKind.PAST if is_past else buckets.UseKind.FIRST
+            sign = (
+                buckets.UseKind.PAST
+                if is_past
+                else buckets.UseKind.FIRST_TOTAL
+            )
         for name, total in usage.items():
             units = total - (before.get(name, 0.0) if before else 0.0)
             if units == 0.0:
