--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -26,7 +26,7 @@
     # All of a process that started lately, or was not heard for long.
     FIRST_TOTAL = 'first'
     # All of a process that ran before this one started.
-    PAST = 'past'
+    EARLIER_TOTAL = 'past'
 
 
 @ty.final
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -223,7 +223,7 @@
         if before is None:
             is_past = now - self._started_at <= STARTUP_PERIOD_S and not is_new
             sign = (
-                buckets.UseKind.PAST
+                buckets.UseKind.EARLIER_TOTAL
                 if is_past
                 else buckets.UseKind.FIRST_TOTAL
             )
