--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -37,7 +37,7 @@
     # When it was heard.
     at: float
     units: float
-    sign: UseKind
+    kind: UseKind
 
 
 @ty.final
@@ -77,9 +77,9 @@
         # while would else be filled after the peer's use is taken out, and
         # that use would be lost.
         self.refill(use.at)
-        if use.sign is UseKind.INCREMENT:
+        if use.kind is UseKind.INCREMENT:
             self.level -= use.units
-        elif use.sign is UseKind.FIRST_TOTAL:
+        elif use.kind is UseKind.FIRST_TOTAL:
             # It may have handed all of this out just now.
             first = self.size * INITIAL_FILL_RATIO
             self.level -= min(use.units, max(0.0, self.level) + first)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -219,10 +219,10 @@
         lately = Usage()
         before = self._heard.get(peer)
         self._heard[peer] = usage
-        sign = buckets.UseKind.INCREMENT
+        kind = buckets.UseKind.INCREMENT
         if before is None:
             is_past = now - self._started_at <= STARTUP_PERIOD_S and not is_new
-            sign = (
+            kind = (
                 buckets.UseKind.EARLIER_TOTAL
                 if is_past
                 else buckets.UseKind.FIRST_TOTAL
@@ -231,13 +231,13 @@
             units = total - (before.get(name, 0.0) if before else 0.0)
             if units == 0.0:
                 continue
-            if sign is buckets.UseKind.INCREMENT:
+            if kind is buckets.UseKind.INCREMENT:
                 lately[name] = units
             bucket = self._buckets.get(name)
             if bucket is None:
-                self._keep(name, buckets.Use(now, units, sign))
+                self._keep(name, buckets.Use(now, units, kind))
             else:
-                bucket.count(buckets.Use(now, units, sign))
+                bucket.count(buckets.Use(now, units, kind))
         return lately
 
     def _keep(self, name: ids.Organisation, use: buckets.Use) -> None:
@@ -248,10 +248,10 @@
         last = kept[-1] if kept else None
         if (
             last is not None
-            and last.sign is use.sign is buckets.UseKind.INCREMENT
+            and last.kind is use.kind is buckets.UseKind.INCREMENT
             and use.at - last.at < PENDING_USE_INTERVAL_S
         ):
-            kept[-1] = buckets.Use(last.at, last.units + use.units, use.sign)
+            kept[-1] = buckets.Use(last.at, last.units + use.units, use.kind)
             return
         kept.append(use)
 
