--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -10,7 +10,7 @@
 import enum
 import typing as ty
 
-__all__ = ['INITIAL_FILL_RATIO', 'Bucket', 'UseKind', 'Use']
+__all__ = ['INITIAL_FILL_RATIO', 'Bucket', 'UseKind', 'PeerUse']
 
 # Part of a bucket that is full at the start of a process. Operators allow a
 # tenth of the burst and a slack beyond the allowance; two halves of a burst
@@ -31,7 +31,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Use:
+class PeerUse:
     """Units that a peer handed out."""
 
     # When it was heard.
@@ -71,7 +71,7 @@
         self.level = level - lost
         self.updated_at = now
 
-    def count(self, use: Use) -> None:
+    def count(self, use: PeerUse) -> None:
         """Take out what a peer handed out."""
         # Filled up to then first: a bucket that nobody here has asked for a
         # while would else be filled after the peer's use is taken out, and
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -83,7 +83,9 @@
         self.set_slack(slack_units)
         self._buckets: dict[ids.Organisation, buckets.Bucket] = {}
         # What peers handed out of buckets that do not exist here yet.
-        self._kept: dict[ids.Organisation, collections.deque[buckets.Use]] = {}
+        self._kept: dict[
+            ids.Organisation, collections.deque[buckets.PeerUse]
+        ] = {}
         # What this process handed out.
         self.usage: Usage = {}
         self._asked = averages.Rates(DEMAND_AVERAGING_TIME_S)
@@ -235,12 +237,12 @@
                 lately[name] = units
             bucket = self._buckets.get(name)
             if bucket is None:
-                self._keep(name, buckets.Use(now, units, kind))
+                self._keep(name, buckets.PeerUse(now, units, kind))
             else:
-                bucket.count(buckets.Use(now, units, kind))
+                bucket.count(buckets.PeerUse(now, units, kind))
         return lately
 
-    def _keep(self, name: ids.Organisation, use: buckets.Use) -> None:
+    def _keep(self, name: ids.Organisation, use: buckets.PeerUse) -> None:
         # The bucket's rate and size are known with the first request here.
         kept = self._kept.setdefault(
             name, collections.deque(maxlen=MAX_PENDING_USES)
@@ -251,7 +253,9 @@
             and last.kind is use.kind is buckets.UseKind.INCREMENT
             and use.at - last.at < PENDING_USE_INTERVAL_S
         ):
-            kept[-1] = buckets.Use(last.at, last.units + use.units, use.kind)
+            kept[-1] = buckets.PeerUse(
+                last.at, last.units + use.units, use.kind
+            )
             return
         kept.append(use)
 
