--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -55,7 +55,7 @@
     assumed: float = 0.0
     # Part of the first units that was assumed so far: those of hosts that are
     # not heard are left to them.
-    first_share: float = 0.0
+    initial_share: float = 0.0
     # Units that peers handed out before they were heard, and that were not
     # taken out yet, for want of assumed ones.
     past: float = 0.0
@@ -95,7 +95,7 @@
         """Take the level that a peer states for the bucket that all share."""
         self.level = level
         self.assumed = 0.0
-        self.first_share = 1.0
+        self.initial_share = 1.0
 
     def assume(self, units: float) -> None:
         """Add first units; nobody has said yet that they are gone."""
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -290,13 +290,13 @@
             if stated is not None:
                 bucket.adopt(stated[0])
                 bucket.updated_at = stated[1]
-        if is_young and 1 - silent_share > bucket.first_share:
+        if is_young and 1 - silent_share > bucket.initial_share:
             # Of the first units, too, hosts that are not heard have their
             # share: forty hosts that started together handed a first part out
             # twelve times before they heard each other. A host that is
             # heard says what it handed out, and its share is for all.
-            more = 1 - silent_share - bucket.first_share
-            bucket.first_share += more
+            more = 1 - silent_share - bucket.initial_share
+            bucket.initial_share += more
             bucket.assume(size * buckets.INITIAL_FILL_RATIO * more)
         bucket.size = size
         rate = organisation.units_per_s * terms.group_share
