--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -58,7 +58,7 @@
     initial_share: float = 0.0
     # Units that peers handed out before they were heard, and that were not
     # taken out yet, for want of assumed ones.
-    past: float = 0.0
+    deferred: float = 0.0
 
     def refill(self, now: float) -> None:
         """Add what has come in until now."""
@@ -88,7 +88,7 @@
             # handed out is gone from the bucket that they share: rolling
             # restarts within the operators' window would else add a first
             # part each, and so would hosts that start together.
-            self.past += use.units
+            self.deferred += use.units
             self._settle()
 
     def adopt(self, level: float) -> None:
@@ -104,7 +104,7 @@
         self._settle()
 
     def _settle(self) -> None:
-        gone = min(self.past, self.assumed)
-        self.past -= gone
+        gone = min(self.deferred, self.assumed)
+        self.deferred -= gone
         self.assumed -= gone
         self.level -= gone
