--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -97,7 +97,7 @@
         self.assumed = 0.0
         self.initial_share = 1.0
 
-    def assume(self, units: float) -> None:
+    def add_initial(self, units: float) -> None:
         """Add first units; nobody has said yet that they are gone."""
         self.level += units
         self.assumed += units
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -297,7 +297,7 @@
             # heard says what it handed out, and its share is for all.
             more = 1 - silent_share - bucket.initial_share
             bucket.initial_share += more
-            bucket.assume(size * buckets.INITIAL_FILL_RATIO * more)
+            bucket.add_initial(size * buckets.INITIAL_FILL_RATIO * more)
         bucket.size = size
         rate = organisation.units_per_s * terms.group_share
         bucket.rate = rate * (1 - silent_share) - terms.remote_units_per_s
