--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -89,7 +89,7 @@
             # restarts within the operators' window would else add a first
             # part each, and so would hosts that start together.
             self.deferred += use.units
-            self._settle()
+            self._deduct_deferred()
 
     def adopt(self, level: float) -> None:
         """Take the level that a peer states for the bucket that all share."""
@@ -101,9 +101,9 @@
         """Add first units; nobody has said yet that they are gone."""
         self.level += units
         self.assumed += units
-        self._settle()
+        self._deduct_deferred()
 
-    def _settle(self) -> None:
+    def _deduct_deferred(self) -> None:
         gone = min(self.deferred, self.assumed)
         self.deferred -= gone
         self.assumed -= gone
