--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -17,13 +17,9 @@
 import eliot
 
 from apricotlanding import ids
-from apricotlandingd.gateway.decisions import placement
-from apricotlandingd.gateway.decisions import places
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.decisions import placement, places, waiting
+from apricotlandingd.gateway.runners import directory, health, pace
 
 __all__ = ['Others', 'Scheduler', 'Selection']
 
@@ -170,7 +166,7 @@
         self.places.release(runner)
         self.pump_service(service, now)
 
-    def note_hold(self, service: ids.Pool, held_s: float) -> None:
+    def note_hold_time(self, service: ids.Pool, held_s: float) -> None:
         """Learn how long a request held its place.
 
         Only for those that ran to their end: a runner that refuses at once
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -12,19 +12,17 @@
 import random
 import typing as ty
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
-from apricotlandingd.gateway.runners import starts
+from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
+from apricotlandingd.gateway.hosts import messages, placemessages
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    observations,
+    pace,
+    starts,
+)
 
 __all__ = ['Coordinator', 'Outgoing']
 
@@ -371,7 +369,7 @@
         if start is None:
             return
         if item.kind is observations.Kind.HOLD:
-            schedule.decisions.note_hold(request.service, item.seconds)
+            schedule.decisions.note_hold_time(request.service, item.seconds)
             return
         if item.kind is observations.Kind.FIRST:
             schedule.decisions.note_part(item.part, start, now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -17,20 +17,21 @@
 
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
-from apricotlandingd.gateway.runners import starts
+from apricotlanding import addresses, ids
+from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
+from apricotlandingd.gateway.hosts import (
+    candidates,
+    coordinator,
+    messages,
+    placemessages,
+)
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    observations,
+    pace,
+    starts,
+)
 
 __all__ = ['Dispatcher']
 
@@ -191,7 +192,7 @@
             seen, service, start, self._paces, self._health, now
         )
         if seen.kind is observations.Kind.HOLD:
-            self._local.note_hold(service, seen.seconds)
+            self._local.note_hold_time(service, seen.seconds)
         if seen.kind is observations.Kind.FIRST:
             self._local.note_part(seen.part, start, now)
         if not self._hosts.is_divided():
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -6,19 +6,22 @@
 
 import testtools
 
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import gatewayparts
 import placesplay
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import subsets, waiting
+from apricotlandingd.gateway.hosts import (
+    candidates,
+    coordinator,
+    messages,
+    placemessages,
+)
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    observations,
+    pace,
+)
 
 HOSTS, RUNNERS = 60, 24
 
@@ -228,13 +231,13 @@
         # Guards against callers of a quick service that a new coordinator
         # refuses because it takes each place to be held for a second.
         found = placesplay.Play(placesplay.Load(hosts=1), 1).make_scheduler()
-        found.note_hold(gatewayparts.POOL, 0.05)
+        found.note_hold_time(gatewayparts.POOL, 0.05)
         self.assertAlmostEqual(0.05, found.find_hold(gatewayparts.POOL))
-        found.note_hold(gatewayparts.POOL, 0.15)
+        found.note_hold_time(gatewayparts.POOL, 0.15)
         self.assertAlmostEqual(0.1, found.find_hold(gatewayparts.POOL))
         for _ in range(200):
-            found.note_hold(gatewayparts.POOL, 0.05)
-        found.note_hold(gatewayparts.POOL, 1.05)
+            found.note_hold_time(gatewayparts.POOL, 0.05)
+        found.note_hold_time(gatewayparts.POOL, 1.05)
         self.assertAlmostEqual(0.1, found.find_hold(gatewayparts.POOL), 2)
 
 
