--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -174,10 +174,10 @@
         """
         self._held[service] += 1
         weight = max(HOLD_WEIGHT, 1 / self._held[service])
-        before = self.find_hold(service)
+        before = self.find_hold_time(service)
         self._holds[service] = before + (held_s - before) * weight
 
-    def find_hold(self, service: ids.Pool) -> float:
+    def find_hold_time(self, service: ids.Pool) -> float:
         """Return the seconds for which a place is held on average."""
         return self._holds.get(service, FIRST_HOLD)
 
@@ -342,7 +342,7 @@
     ) -> None:
         total = sum(entry.slots for entry in view.entries)
         free = view.count_free()
-        hold = self.find_hold(service)
+        hold = self.find_hold_time(service)
         # Those that wait here and go first. One that is refused is out of
         # the way of the next.
         kept = 0.0
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -123,12 +123,12 @@
         spread: random.Random,
         is_stopping: collections.abc.Callable[[], bool],
         knows_runners: collections.abc.Callable[[], bool],
-        find_hold: collections.abc.Callable[[ids.Pool], float],
+        find_hold_time: collections.abc.Callable[[ids.Pool], float],
     ) -> None:
         """Start without subsets.
 
         While ``knows_runners`` says no, this host answers nobody.
-        ``find_hold`` returns how long this host's own requests hold a place
+        ``find_hold_time`` returns how long this host's own requests hold a place
         of a service, for subsets of which nothing is known yet.
         """
         self._host = host
@@ -139,7 +139,7 @@
         self._spread = spread
         self._is_stopping = is_stopping
         self._knows_runners = knows_runners
-        self._find_hold = find_hold
+        self._find_hold = find_hold_time
         self._schedules: dict[subsets.Subset, _Schedule] = {}
         # The last host that could not reach a runner, and when.
         self._missed: dict[ids.RunnerStart, tuple[int, float]] = {}
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -232,13 +232,13 @@
         # refuses because it takes each place to be held for a second.
         found = placesplay.Play(placesplay.Load(hosts=1), 1).make_scheduler()
         found.note_hold_time(gatewayparts.POOL, 0.05)
-        self.assertAlmostEqual(0.05, found.find_hold(gatewayparts.POOL))
+        self.assertAlmostEqual(0.05, found.find_hold_time(gatewayparts.POOL))
         found.note_hold_time(gatewayparts.POOL, 0.15)
-        self.assertAlmostEqual(0.1, found.find_hold(gatewayparts.POOL))
+        self.assertAlmostEqual(0.1, found.find_hold_time(gatewayparts.POOL))
         for _ in range(200):
             found.note_hold_time(gatewayparts.POOL, 0.05)
         found.note_hold_time(gatewayparts.POOL, 1.05)
-        self.assertAlmostEqual(0.1, found.find_hold(gatewayparts.POOL), 2)
+        self.assertAlmostEqual(0.1, found.find_hold_time(gatewayparts.POOL), 2)
 
 
 class TestLostCoordinators(testtools.TestCase):
