--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -181,7 +181,7 @@
         """Return the seconds for which a place is held on average."""
         return self._holds.get(service, FIRST_HOLD)
 
-    def assume_hold(self, service: ids.Pool, held_s: float) -> None:
+    def set_hold_time(self, service: ids.Pool, held_s: float) -> None:
         """Take an average that another scheduler has learned."""
         self._holds[service] = held_s
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -202,7 +202,7 @@
                 )
             )
             held_s = self._find_hold(subset.service)
-            found.decisions.assume_hold(subset.service, held_s)
+            found.decisions.set_hold_time(subset.service, held_s)
             self._schedules[subset] = found
         return found
 
