--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -198,7 +198,7 @@
         for runner in set(self._loads) - runners:
             del self._loads[runner]
 
-    def note_part(
+    def note_cached_prefix(
         self, part: str, runner: ids.RunnerStart, now: float
     ) -> None:
         """Remember that a runner has read a prompt's last part."""
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -372,7 +372,7 @@
             schedule.decisions.note_hold_time(request.service, item.seconds)
             return
         if item.kind is observations.Kind.FIRST:
-            schedule.decisions.note_part(item.part, start, now)
+            schedule.decisions.note_cached_prefix(item.part, start, now)
         if request.host == self._host:
             # This host has learned from it already.
             return
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -194,7 +194,7 @@
         if seen.kind is observations.Kind.HOLD:
             self._local.note_hold_time(service, seen.seconds)
         if seen.kind is observations.Kind.FIRST:
-            self._local.note_part(seen.part, start, now)
+            self._local.note_cached_prefix(seen.part, start, now)
         if not self._hosts.is_divided():
             return
         subset = self._find_subset(start)
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -7,22 +7,14 @@
 import anyio
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlanding import webclient
-from apricotlandingd.gateway.decisions import places
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
+import gatewayparts
+from apricotlanding import addresses, ids, webclient
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.requests import runnerclient
-from apricotlandingd.gateway.requests import runnerclients
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.decisions import places, scheduler, waiting
+from apricotlandingd.gateway.hosts import mesh, messages
+from apricotlandingd.gateway.requests import runnerclient, runnerclients
+from apricotlandingd.gateway.runners import directory, health, pace
 from apricotplatform import registrations
-import gatewayparts
 
 RUNNER = ids.Runner('r1')
 # Unix milliseconds: two starts of the runner.
@@ -283,7 +275,7 @@
         reborn = gatewayparts.make_start('b', 2)
         for start, seconds in ((quick, 0.05), (slow, 0.9), (reborn, 0.9)):
             paces.note_first(gatewayparts.POOL, start, 0, seconds)
-        found.note_part('p', slow, 0.0)
+        found.note_cached_prefix('p', slow, 0.0)
         self.assertEqual(slow, self.choose(found))
         runners.update(gatewayparts.make_entry('b', birth=2))
         self.assertEqual(quick, self.choose(found))
