--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -32,7 +32,7 @@
 # Parts that are remembered, in all.
 PARTS = 4000
 # Seconds that a place is held on average, before any request has ended.
-FIRST_HOLD = 1.0
+INITIAL_HOLD_TIME_S = 1.0
 # Least weight of the newest request in the average: the first ones count more,
 # so that what was assumed before any is soon forgotten.
 HOLD_WEIGHT = 0.05
@@ -179,7 +179,7 @@
 
     def find_hold_time(self, service: ids.Pool) -> float:
         """Return the seconds for which a place is held on average."""
-        return self._holds.get(service, FIRST_HOLD)
+        return self._holds.get(service, INITIAL_HOLD_TIME_S)
 
     def set_hold_time(self, service: ids.Pool, held_s: float) -> None:
         """Take an average that another scheduler has learned."""
