--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -35,7 +35,7 @@
 INITIAL_HOLD_TIME_S = 1.0
 # Least weight of the newest request in the average: the first ones count more,
 # so that what was assumed before any is soon forgotten.
-HOLD_WEIGHT = 0.05
+MIN_HOLD_TIME_WEIGHT = 0.05
 # Seconds for which a runner's own statement of its load is used.
 LOAD_TIME = 1.0
 # Seconds that a request waits when its service has no runner at all.
@@ -173,7 +173,7 @@
         would make the wait of all others look short.
         """
         self._held[service] += 1
-        weight = max(HOLD_WEIGHT, 1 / self._held[service])
+        weight = max(MIN_HOLD_TIME_WEIGHT, 1 / self._held[service])
         before = self.find_hold_time(service)
         self._holds[service] = before + (held_s - before) * weight
 
