--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -26,7 +26,7 @@
 # Seconds for which a free place is left to a peer whose request goes first.
 # Peers hear of it within a few milliseconds; one that does not take it by
 # then is gone, or cannot use it.
-YIELD_TIME = 0.05
+YIELD_TIMEOUT_S = 0.05
 # Seconds for which a runner is taken to keep a prompt's last part.
 PART_TIME = 10.0
 # Parts that are remembered, in all.
@@ -312,7 +312,7 @@
 
     def _is_yield_over(self, service: ids.Pool, now: float) -> bool:
         since = self._yielded_at.setdefault(service, now)
-        return now - since > YIELD_TIME
+        return now - since > YIELD_TIMEOUT_S
 
     def _choose(
         self, ticket: waiting.Ticket, view: '_View', now: float
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -6,23 +6,15 @@
 import anyio
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlanding import retrybudget
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
+import gatewayparts
+from apricotlanding import addresses, ids, retrybudget
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import groups
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.decisions import quotas, scheduler, waiting
+from apricotlandingd.gateway.hosts import groups, mesh, messages
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.requests import streams
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import directory, health, pace
 from apricotstandins import processes
-import gatewayparts
 
 FESTIN = gatewayparts.make_organisation(100.0)
 
@@ -138,7 +130,7 @@
         mine = self.enter(0.0, tier=1)
         self.others.ranks = [waiting.Rank(0, 0, False, 1.0)]
         self.release(full[0], 0.1)
-        self.scheduler.pump(0.1 + scheduler.YIELD_TIME * 1.5)
+        self.scheduler.pump(0.1 + scheduler.YIELD_TIMEOUT_S * 1.5)
         self.assertIsInstance(mine.decision, waiting.Grant)
 
     def test_hopeless_request_is_refused_at_once(self) -> None:
