--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -28,7 +28,7 @@
 # then is gone, or cannot use it.
 YIELD_TIMEOUT_S = 0.05
 # Seconds for which a runner is taken to keep a prompt's last part.
-PART_TIME = 10.0
+CACHED_PREFIX_MAX_AGE_S = 10.0
 # Parts that are remembered, in all.
 PARTS = 4000
 # Seconds that a place is held on average, before any request has ended.
@@ -335,7 +335,7 @@
         self, part: str, runner: ids.RunnerStart, now: float
     ) -> bool:
         read_at = self._parts.get((part, runner))
-        return read_at is not None and now - read_at < PART_TIME
+        return read_at is not None and now - read_at < CACHED_PREFIX_MAX_AGE_S
 
     def _refuse(
         self, service: ids.Pool, queue: '_Queue', view: '_View', now: float
