--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -30,7 +30,7 @@
 # Seconds for which a runner is taken to keep a prompt's last part.
 CACHED_PREFIX_MAX_AGE_S = 10.0
 # Parts that are remembered, in all.
-PARTS = 4000
+MAX_CACHED_PREFIXES = 4000
 # Seconds that a place is held on average, before any request has ended.
 INITIAL_HOLD_TIME_S = 1.0
 # Least weight of the newest request in the average: the first ones count more,
@@ -206,7 +206,7 @@
             return
         self._parts[(part, runner)] = now
         self._parts.move_to_end((part, runner))
-        if len(self._parts) > PARTS:
+        if len(self._parts) > MAX_CACHED_PREFIXES:
             self._parts.popitem(last=False)
 
     def has_place(
