--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -37,7 +37,7 @@
 # so that what was assumed before any is soon forgotten.
 MIN_HOLD_TIME_WEIGHT = 0.05
 # Seconds for which a runner's own statement of its load is used.
-LOAD_TIME = 1.0
+LOAD_MAX_AGE_S = 1.0
 # Seconds that a request waits when its service has no runner at all.
 # Registrations that are on their way arrive within this.
 EMPTY_WAIT = 0.3
@@ -389,7 +389,7 @@
         # use their share, so that hosts cut off from each other do not
         # overfill the runner.
         load = self._loads.get(entry.start)
-        if load is not None and now - load.at < LOAD_TIME:
+        if load is not None and now - load.at < LOAD_MAX_AGE_S:
             return max(0, load.stated - load.own)
         return int(entry.slots * silent)
 
