--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -40,7 +40,7 @@
 LOAD_MAX_AGE_S = 1.0
 # Seconds that a request waits when its service has no runner at all.
 # Registrations that are on their way arrive within this.
-EMPTY_WAIT = 0.3
+NO_RUNNER_TIMEOUT_S = 0.3
 
 
 class Selection(ty.Protocol):
@@ -402,5 +402,5 @@
     ticket: waiting.Ticket, wait_s: float, places: int, now: float
 ) -> bool:
     if places == 0:
-        return now - ticket.arrived_at > EMPTY_WAIT
+        return now - ticket.arrived_at > NO_RUNNER_TIMEOUT_S
     return now + wait_s > ticket.useful_until
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -176,7 +176,7 @@
             )
         ticket = self.enter(0.0)
         self.assertIsNone(ticket.decision)
-        self.scheduler.pump(scheduler.EMPTY_WAIT + 0.1)
+        self.scheduler.pump(scheduler.NO_RUNNER_TIMEOUT_S + 0.1)
         self.assertIsInstance(ticket.decision, waiting.Refusal)
 
     def test_host_that_hears_nobody_uses_its_share(self) -> None:
