--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -21,7 +21,7 @@
 from apricotlandingd.gateway.decisions import placement, places, waiting
 from apricotlandingd.gateway.runners import directory, health, pace
 
-__all__ = ['Others', 'Scheduler', 'Selection']
+__all__ = ['Others', 'Scheduler', 'RunnerFilter']
 
 # Seconds for which a free place is left to a peer whose request goes first.
 # Peers hear of it within a few milliseconds; one that does not take it by
@@ -43,7 +43,7 @@
 NO_RUNNER_TIMEOUT_S = 0.3
 
 
-class Selection(ty.Protocol):
+class RunnerFilter(ty.Protocol):
     """Which runners are scheduled."""
 
     def select_runners(
@@ -65,7 +65,7 @@
         """Return the share of this host's group that is not heard."""
 
     @property
-    def partition(self) -> Selection:
+    def partition(self) -> RunnerFilter:
         """Return which runners are scheduled; another one if that changes."""
 
 
@@ -143,7 +143,7 @@
         # Runners of this host's group by service, and what they follow from:
         # the groups, and the changes of the directory.
         self._own: dict[ids.Pool, list[dialect.RunnerEntry]] = {}
-        self._own_of: Selection | None = None
+        self._own_of: RunnerFilter | None = None
         self._own_at = 0
 
     # Requests.
