--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -21,7 +21,7 @@
 from apricotlandingd.gateway.decisions import placement, places, waiting
 from apricotlandingd.gateway.runners import directory, health, pace
 
-__all__ = ['Others', 'Scheduler', 'RunnerFilter']
+__all__ = ['Peers', 'Scheduler', 'RunnerFilter']
 
 # Seconds for which a free place is left to a peer whose request goes first.
 # Peers hear of it within a few milliseconds; one that does not take it by
@@ -52,7 +52,7 @@
         """Return those of one service's runners that are scheduled."""
 
 
-class Others(ty.Protocol):
+class Peers(ty.Protocol):
     """What the scheduler asks about the other hosts."""
 
     def count_running(self, runner: ids.RunnerStart) -> int:
@@ -122,7 +122,7 @@
         runners: directory.Directory,
         paces: pace.Paces,
         fitness: health.Health,
-        others: Others,
+        others: Peers,
         spread: random.Random,
     ) -> None:
         """Start without requests."""
