--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -151,7 +151,7 @@
     def enter(self, ticket: waiting.Ticket, now: float) -> None:
         """Let a request wait; it may be decided at once."""
         self._waiting.setdefault(ticket.service, []).append(ticket)
-        self.pump_service(ticket.service, now)
+        self.schedule_service(ticket.service, now)
 
     def leave(self, ticket: waiting.Ticket) -> None:
         """Drop a request that waits no more."""
@@ -164,7 +164,7 @@
     ) -> None:
         """Give a place back."""
         self.places.release(runner)
-        self.pump_service(service, now)
+        self.schedule_service(service, now)
 
     def note_hold_time(self, service: ids.Pool, held_s: float) -> None:
         """Learn how long a request held its place.
@@ -240,9 +240,9 @@
     def pump(self, now: float) -> None:
         """Decide whatever can be decided now."""
         for service in list(self._waiting):
-            self.pump_service(service, now)
+            self.schedule_service(service, now)
 
-    def pump_service(self, service: ids.Pool, now: float) -> None:
+    def schedule_service(self, service: ids.Pool, now: float) -> None:
         """Decide what waits for one service."""
         tickets = self._waiting.get(service)
         if not tickets:
