--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -14,7 +14,7 @@
 from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway.runners import pace
 
-__all__ = ['Option', 'choose_runner']
+__all__ = ['Candidate', 'choose_runner']
 
 # Part by which a full runner generates slower than one with a single request.
 FULL_SLOWDOWN = 0.25
@@ -30,7 +30,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Option:
+class Candidate:
     """A runner with a free place."""
 
     runner: ids.RunnerStart
@@ -44,8 +44,8 @@
 
 
 def choose_runner(
-    ticket: waiting.Ticket, options: list[Option]
-) -> Option | None:
+    ticket: waiting.Ticket, options: list[Candidate]
+) -> Candidate | None:
     """Return the best runner; None if there is no option."""
     open_options = [
         option for option in options if option.runner not in ticket.tried
@@ -66,7 +66,9 @@
     )
 
 
-def _predict(ticket: waiting.Ticket, option: Option, is_home: bool) -> float:
+def _predict(
+    ticket: waiting.Ticket, option: Candidate, is_home: bool
+) -> float:
     read = option.pace.read_s * ticket.prompt_tokens
     saved = 0.0
     if option.has_part:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -316,9 +316,9 @@
 
     def _choose(
         self, ticket: waiting.Ticket, view: '_View', now: float
-    ) -> placement.Option | None:
+    ) -> placement.Candidate | None:
         options = [
-            placement.Option(
+            placement.Candidate(
                 runner=entry.start,
                 used=entry.slots - view.free[entry.start],
                 slots=entry.slots,
