--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -48,36 +48,44 @@
 ) -> Candidate | None:
     """Return the best runner; None if there is no option."""
     open_options = [
-        option for option in options if option.runner not in ticket.tried
+        candidate
+        for candidate in options
+        if candidate.runner not in ticket.tried
     ]
     if not open_options:
         return None
-    sound = [option for option in open_options if not option.is_avoided]
+    sound = [
+        candidate for candidate in open_options if not candidate.is_avoided
+    ]
     if ticket.last_part:
         home = max(
             open_options,
-            key=lambda option: _rate_home(ticket.last_part, option.runner),
+            key=lambda candidate: _rate_home(
+                ticket.last_part, candidate.runner
+            ),
         ).runner
     else:
         home = None
     return min(
         sound or open_options,
-        key=lambda option: _predict(ticket, option, option.runner == home),
+        key=lambda candidate: _predict(
+            ticket, candidate, candidate.runner == home
+        ),
     )
 
 
 def _predict(
-    ticket: waiting.Ticket, option: Candidate, is_home: bool
+    ticket: waiting.Ticket, candidate: Candidate, is_home: bool
 ) -> float:
-    read = option.pace.read_s * ticket.prompt_tokens
+    read = candidate.pace.read_s * ticket.prompt_tokens
     saved = 0.0
-    if option.has_part:
+    if candidate.has_part:
         saved = read
     elif is_home:
         saved = read * HOME_PREFERENCE
-    load = 1 + FULL_SLOWDOWN * option.used / option.slots
-    rest = option.pace.write_s * ticket.events
-    return option.pace.start_s + read - saved + rest * load
+    load = 1 + FULL_SLOWDOWN * candidate.used / candidate.slots
+    rest = candidate.pace.write_s * ticket.events
+    return candidate.pace.start_s + read - saved + rest * load
 
 
 def _rate_home(part: str, start: ids.RunnerStart) -> int:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -296,12 +296,12 @@
             if left <= ahead and not self._is_yield_over(service, now):
                 is_yielding = True
                 break
-            option = self._choose(ticket, view, now)
-            if option is None:
+            candidate = self._choose(ticket, view, now)
+            if candidate is None:
                 continue
             left -= 1
-            view.free[option.runner] -= 1
-            self._give(ticket, option.runner)
+            view.free[candidate.runner] -= 1
+            self._give(ticket, candidate.runner)
         if not is_yielding:
             self._yielded_at.pop(service, None)
 
