--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -44,12 +44,12 @@
 
 
 def choose_runner(
-    ticket: waiting.Ticket, options: list[Candidate]
+    ticket: waiting.Ticket, candidates: list[Candidate]
 ) -> Candidate | None:
     """Return the best runner; None if there is no option."""
     open_options = [
         candidate
-        for candidate in options
+        for candidate in candidates
         if candidate.runner not in ticket.tried
     ]
     if not open_options:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -317,7 +317,7 @@
     def _choose(
         self, ticket: waiting.Ticket, view: '_View', now: float
     ) -> placement.Candidate | None:
-        options = [
+        candidates = [
             placement.Candidate(
                 runner=entry.start,
                 used=entry.slots - view.free[entry.start],
@@ -329,7 +329,7 @@
             for entry in view.entries
             if view.free[entry.start] > 0
         ]
-        return placement.choose_runner(ticket, options)
+        return placement.choose_runner(ticket, candidates)
 
     def _has_part(
         self, part: str, runner: ids.RunnerStart, now: float
