--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -40,7 +40,7 @@
     pace: pace.Pace
     is_avoided: bool
     # This host sent the prompt's last part there a short time ago.
-    has_part: bool
+    has_cached_prefix: bool
 
 
 def choose_runner(
@@ -79,7 +79,7 @@
 ) -> float:
     read = candidate.pace.read_s * ticket.prompt_tokens
     saved = 0.0
-    if candidate.has_part:
+    if candidate.has_cached_prefix:
         saved = read
     elif is_home:
         saved = read * HOME_PREFERENCE
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -324,7 +324,9 @@
                 slots=entry.slots,
                 pace=self._paces.find(entry.service, entry.start),
                 is_avoided=entry.start in view.avoided,
-                has_part=self._has_part(ticket.last_part, entry.start, now),
+                has_cached_prefix=self._has_part(
+                    ticket.last_part, entry.start, now
+                ),
             )
             for entry in view.entries
             if view.free[entry.start] > 0
