--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -17,7 +17,7 @@
 __all__ = ['Candidate', 'choose_runner']
 
 # Part by which a full runner generates slower than one with a single request.
-FULL_SLOWDOWN = 0.25
+FULL_LOAD_SLOWDOWN_RATIO = 0.25
 # Part of the time to read the prompt by which the runner that a prompt's last
 # part belongs to is preferred, before it is known to keep the part. All hosts
 # compute the same runner, so they share its cache without a message. The last
@@ -83,7 +83,7 @@
         saved = read
     elif is_home:
         saved = read * HOME_PREFERENCE
-    load = 1 + FULL_SLOWDOWN * candidate.used / candidate.slots
+    load = 1 + FULL_LOAD_SLOWDOWN_RATIO * candidate.used / candidate.slots
     rest = candidate.pace.write_s * ticket.events
     return candidate.pace.start_s + read - saved + rest * load
 
