--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -25,7 +25,7 @@
 # each request, and that has a worth of its own: hosts that decide at the same
 # moment do not all choose the best runner, where prompts wait to be read one
 # after the other. Small enough that speed and load go first.
-HOME_PREFERENCE = 0.5
+PREFERRED_READ_SAVING_RATIO = 0.5
 
 
 @ty.final
@@ -82,7 +82,7 @@
     if candidate.has_cached_prefix:
         saved = read
     elif is_home:
-        saved = read * HOME_PREFERENCE
+        saved = read * PREFERRED_READ_SAVING_RATIO
     load = 1 + FULL_LOAD_SLOWDOWN_RATIO * candidate.used / candidate.slots
     rest = candidate.pace.write_s * ticket.events
     return candidate.pace.start_s + read - saved + rest * load
