--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -357,7 +357,7 @@
                 kept += ticket.share
                 continue
             left = ticket.ends_at - now
-            back = waiting.find_return_time(
+            back = waiting.choose_retry_delay(
                 min(wait, left), left, self._spread
             )
             self.leave(ticket)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/waiting.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/waiting.py
@@ -28,7 +28,7 @@
     'Rank',
     'Refusal',
     'Ticket',
-    'find_return_time',
+    'choose_retry_delay',
     'predict_wait',
 ]
 
@@ -132,7 +132,7 @@
     return max(0, missing) * hold_s / places
 
 
-def find_return_time(
+def choose_retry_delay(
     wait_s: float, left_s: float, spread: random.Random
 ) -> float:
     """Return when a refused caller should come back, in seconds.
