--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/waiting.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/waiting.py
@@ -34,7 +34,7 @@
 
 # Callers take a time to come back into account up to this share of the time
 # that they have left.
-RETURN_SHARE = 0.32
+MAX_RETRY_DELAY_SHARE = 0.32
 # Shortest time to come back, in seconds: less only repeats the question.
 MIN_RETRY_DELAY_S = 0.1
 
@@ -141,6 +141,6 @@
     caller accepts: refused together, callers that come back together would
     only make the next burst.
     """
-    longest = max(MIN_RETRY_DELAY_S, left_s * RETURN_SHARE)
+    longest = max(MIN_RETRY_DELAY_S, left_s * MAX_RETRY_DELAY_SHARE)
     shortest = min(max(MIN_RETRY_DELAY_S, wait_s), longest * 0.6)
     return spread.uniform(shortest, longest)
