--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -123,14 +123,14 @@
         paces: pace.Paces,
         fitness: health.Health,
         others: Peers,
-        spread: random.Random,
+        rng: random.Random,
     ) -> None:
         """Start without requests."""
         self._runners = runners
         self._paces = paces
         self._health = fitness
         self._others = others
-        self._spread = spread
+        self._spread = rng
         self._waiting: dict[ids.Pool, list[waiting.Ticket]] = {}
         self.places = places.Places()
         self._loads: dict[ids.RunnerStart, _Load] = {}
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/waiting.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/waiting.py
@@ -133,7 +133,7 @@
 
 
 def choose_retry_delay(
-    wait_s: float, left_s: float, spread: random.Random
+    wait_s: float, left_s: float, rng: random.Random
 ) -> float:
     """Return when a refused caller should come back, in seconds.
 
@@ -143,4 +143,4 @@
     """
     longest = max(MIN_RETRY_DELAY_S, left_s * MAX_RETRY_DELAY_SHARE)
     shortest = min(max(MIN_RETRY_DELAY_S, wait_s), longest * 0.6)
-    return spread.uniform(shortest, longest)
+    return rng.uniform(shortest, longest)
