--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
@@ -22,7 +22,7 @@
 
 # Runners in a subset: few enough for one host to schedule, enough to even out
 # fast and slow runners.
-SUBSET_RUNNERS = 8
+TARGET_SUBSET_RUNNERS = 8
 
 
 class Subset(ty.NamedTuple):
@@ -45,7 +45,7 @@
     """Return the subsets of a service with so many runners."""
     if runners == 0:
         return []
-    total = max(1, round(runners / SUBSET_RUNNERS))
+    total = max(1, round(runners / TARGET_SUBSET_RUNNERS))
     return [Subset(service, place, total) for place in range(total)]
 
 
