--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -19,7 +19,7 @@
     'JSON',
     'give_examples',
     'list_seeds',
-    'spoil',
+    'corrupt',
     'spoil_bytes',
     'write_json',
     'write_spoiled',
@@ -110,7 +110,7 @@
 
 
 @strategies.composite
-def spoil(draw: strategies.DrawFn, good: ty.Any) -> ty.Any:
+def corrupt(draw: strategies.DrawFn, good: ty.Any) -> ty.Any:
     """Return a good value with a few places spoiled."""
     value = copy.deepcopy(good)
     for _ in range(draw(strategies.integers(1, 3))):
@@ -166,7 +166,7 @@
 def write_spoiled(good: ty.Any) -> strategies.SearchStrategy[bytes]:
     """Return texts that are nearly the JSON of a good value, or far off."""
     return strategies.one_of(
-        spoil(good).map(write_json),
+        corrupt(good).map(write_json),
         spoil_bytes(write_json(good)),
         JSON.map(write_json),
         strategies.binary(max_size=200),
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -73,7 +73,7 @@
     """Return data that is nearly a message, or far off."""
     plain = to_plain(message)
     return strategies.one_of(
-        fuzzing.spoil(plain).map(pack),
+        fuzzing.corrupt(plain).map(pack),
         fuzzing.spoil_bytes(pack(plain)),
         fuzzing.JSON.map(pack),
         strategies.binary(max_size=100),
