--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -114,11 +114,11 @@
     """Return a good value with a few places spoiled."""
     value = copy.deepcopy(good)
     for _ in range(draw(strategies.integers(1, 3))):
-        value = _spoil_once(draw, value)
+        value = _corrupt_once(draw, value)
     return value
 
 
-def _spoil_once(draw: strategies.DrawFn, value: ty.Any) -> ty.Any:
+def _corrupt_once(draw: strategies.DrawFn, value: ty.Any) -> ty.Any:
     if not isinstance(value, (dict, list)) or not value:
         return draw(JSON)
     # Mostly further in: there are far more places there.
@@ -129,7 +129,7 @@
     if draw(strategies.integers(0, 4)) == 0:
         del value[key]
     else:
-        value[key] = _spoil_once(draw, value[key])
+        value[key] = _corrupt_once(draw, value[key])
     return value
 
 
