--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -20,7 +20,7 @@
     'give_examples',
     'list_seeds',
     'corrupt',
-    'spoil_bytes',
+    'corrupt_bytes',
     'write_json',
     'write_spoiled',
 ]
@@ -134,7 +134,7 @@
 
 
 @strategies.composite
-def spoil_bytes(draw: strategies.DrawFn, good: bytes) -> bytes:
+def corrupt_bytes(draw: strategies.DrawFn, good: bytes) -> bytes:
     """Return good data that was cut, changed or added to."""
     data = good
     for _ in range(draw(strategies.integers(1, 4))):
@@ -167,7 +167,7 @@
     """Return texts that are nearly the JSON of a good value, or far off."""
     return strategies.one_of(
         corrupt(good).map(write_json),
-        spoil_bytes(write_json(good)),
+        corrupt_bytes(write_json(good)),
         JSON.map(write_json),
         strategies.binary(max_size=200),
         _DEEP,
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -74,7 +74,7 @@
     plain = to_plain(message)
     return strategies.one_of(
         fuzzing.corrupt(plain).map(pack),
-        fuzzing.spoil_bytes(pack(plain)),
+        fuzzing.corrupt_bytes(pack(plain)),
         fuzzing.JSON.map(pack),
         strategies.binary(max_size=100),
         strategies.sampled_from(test_foreign_messages.BAD_DATA),
@@ -366,7 +366,7 @@
         strategies.one_of(
             write_spoiled(GOOD_QUERY).map(frame),
             write_spoiled(GOOD_PAGE).map(frame),
-            fuzzing.spoil_bytes(frame(pack(to_plain(GOOD_QUERY)))),
+            fuzzing.corrupt_bytes(frame(pack(to_plain(GOOD_QUERY)))),
             strategies.binary(max_size=50),
         )
     )
@@ -405,8 +405,8 @@
     b'HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 4\r\n\r\nfull'
 )
 ANSWERS = strategies.one_of(
-    fuzzing.spoil_bytes(GOOD_ANSWER),
-    fuzzing.spoil_bytes(PLAIN_ANSWER),
+    fuzzing.corrupt_bytes(GOOD_ANSWER),
+    fuzzing.corrupt_bytes(PLAIN_ANSWER),
     strategies.binary(max_size=100),
     strategies.sampled_from(
         [
@@ -468,7 +468,7 @@
     @fuzzing.give_examples()
     @hypothesis.given(
         strategies.one_of(
-            fuzzing.spoil_bytes(b'id: 1\nx\n\nid: 2\ny\n\nid: 3\nz\n\n'),
+            fuzzing.corrupt_bytes(b'id: 1\nx\n\nid: 2\ny\n\nid: 3\nz\n\n'),
             strategies.binary(max_size=100),
             strategies.lists(
                 strategies.sampled_from(
