--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -22,7 +22,7 @@
     'corrupt',
     'corrupt_bytes',
     'write_json',
-    'write_spoiled',
+    'generate_corrupted',
 ]
 
 VARIABLE = 'APRICOT_EXAMPLES'
@@ -163,7 +163,7 @@
     return data
 
 
-def write_spoiled(good: ty.Any) -> strategies.SearchStrategy[bytes]:
+def generate_corrupted(good: ty.Any) -> strategies.SearchStrategy[bytes]:
     """Return texts that are nearly the JSON of a good value, or far off."""
     return strategies.one_of(
         corrupt(good).map(write_json),
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -69,7 +69,7 @@
     return value
 
 
-def write_spoiled(message: object) -> strategies.SearchStrategy[bytes]:
+def generate_corrupted(message: object) -> strategies.SearchStrategy[bytes]:
     """Return data that is nearly a message, or far off."""
     plain = to_plain(message)
     return strategies.one_of(
@@ -118,7 +118,9 @@
     """Datagrams of other hosts."""
 
     @fuzzing.give_examples()
-    @hypothesis.given(strategies.lists(write_spoiled(GOOD_STATE), max_size=4))
+    @hypothesis.given(
+        strategies.lists(generate_corrupted(GOOD_STATE), max_size=4)
+    )
     def test_states(self, received: list[bytes]) -> None:
         # Everything that is done with a state, and a good one behind.
         host = mesh.Mesh(
@@ -203,7 +205,7 @@
 
     @fuzzing.give_examples()
     @hypothesis.given(
-        strategies.lists(write_spoiled(GOOD_REQUEST), max_size=4)
+        strategies.lists(generate_corrupted(GOOD_REQUEST), max_size=4)
     )
     def test_requests(self, received: list[bytes]) -> None:
         found = coordinator.Coordinator(
@@ -251,7 +253,7 @@
             free=1,
             is_stopping=False,
         )
-        reply = self.decode(data.draw(write_spoiled(good)))
+        reply = self.decode(data.draw(generate_corrupted(good)))
         if isinstance(reply, placemessages.PlaceReply):
             host.dispatcher.take_reply(reply, 0.1)
         play.play()
@@ -301,7 +303,7 @@
     @hypothesis.given(
         strategies.lists(
             strategies.one_of(
-                *(write_spoiled(item) for item in GOOD_ALLOWANCE_MESSAGES)
+                *(generate_corrupted(item) for item in GOOD_ALLOWANCE_MESSAGES)
             ),
             max_size=6,
         )
@@ -364,8 +366,8 @@
     @fuzzing.give_examples()
     @hypothesis.given(
         strategies.one_of(
-            write_spoiled(GOOD_QUERY).map(frame),
-            write_spoiled(GOOD_PAGE).map(frame),
+            generate_corrupted(GOOD_QUERY).map(frame),
+            generate_corrupted(GOOD_PAGE).map(frame),
             fuzzing.corrupt_bytes(frame(pack(to_plain(GOOD_QUERY)))),
             strategies.binary(max_size=50),
         )
@@ -376,7 +378,7 @@
         anyio.run(exchange.serve, ty.cast(anyio.abc.SocketStream, stream))
 
     @fuzzing.give_examples()
-    @hypothesis.given(write_spoiled(GOOD_PAGE))
+    @hypothesis.given(generate_corrupted(GOOD_PAGE))
     def test_replies(self, data: bytes) -> None:
         board = records.Board()
         exchange = recordexchange.RecordExchange(board)
