--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -21,7 +21,7 @@
     'list_seeds',
     'corrupt',
     'corrupt_bytes',
-    'write_json',
+    'encode_json',
     'generate_corrupted',
 ]
 
@@ -166,14 +166,14 @@
 def generate_corrupted(good: ty.Any) -> strategies.SearchStrategy[bytes]:
     """Return texts that are nearly the JSON of a good value, or far off."""
     return strategies.one_of(
-        corrupt(good).map(write_json),
-        corrupt_bytes(write_json(good)),
-        JSON.map(write_json),
+        corrupt(good).map(encode_json),
+        corrupt_bytes(encode_json(good)),
+        JSON.map(encode_json),
         strategies.binary(max_size=200),
         _DEEP,
     )
 
 
-def write_json(value: ty.Any) -> bytes:
+def encode_json(value: ty.Any) -> bytes:
     """Return a value as JSON; a whole number may be as long as it likes."""
     return json.dumps(value).encode()
