--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -17,7 +17,7 @@
 
 __all__ = [
     'JSON',
-    'give_examples',
+    'configure_examples',
     'list_seeds',
     'corrupt',
     'corrupt_bytes',
@@ -82,7 +82,7 @@
 )
 
 
-def give_examples() -> ty.Callable[[T], T]:
+def configure_examples() -> ty.Callable[[T], T]:
     """Return the decorator that says how many examples a test tries."""
     is_fresh = VARIABLE in os.environ
     return ty.cast(
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -117,7 +117,7 @@
 class TestStates(FuzzTestCase):
     """Datagrams of other hosts."""
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(
         strategies.lists(generate_corrupted(GOOD_STATE), max_size=4)
     )
@@ -203,7 +203,7 @@
 class TestPlaceMessages(FuzzTestCase):
     """What hosts and coordinators of runners send each other."""
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(
         strategies.lists(generate_corrupted(GOOD_REQUEST), max_size=4)
     )
@@ -231,7 +231,7 @@
         # Nothing that a stranger has sent keeps a place for good.
         self.assertEqual(0, found.count_subsets())
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(strategies.data())
     def test_replies(self, data: strategies.DataObject) -> None:
         load = placesplay.Load(hosts=2, runners=2, part=0.0001, seconds=0.5)
@@ -299,7 +299,7 @@
 class TestAllowanceMessages(FuzzTestCase):
     """What hosts send to the one that keeps an allowance for all."""
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(
         strategies.lists(
             strategies.one_of(
@@ -363,7 +363,7 @@
 class TestRecordStreams(FuzzTestCase):
     """Questions and replies about records."""
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(
         strategies.one_of(
             generate_corrupted(GOOD_QUERY).map(frame),
@@ -377,7 +377,7 @@
         stream = ScriptedStream(data)
         anyio.run(exchange.serve, ty.cast(anyio.abc.SocketStream, stream))
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(generate_corrupted(GOOD_PAGE))
     def test_replies(self, data: bytes) -> None:
         board = records.Board()
@@ -437,7 +437,7 @@
 class TestAnswers(FuzzTestCase):
     """What runners send."""
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(ANSWERS, strategies.sampled_from(['GET', 'POST']))
     def test_answers(self, data: bytes, method: str) -> None:
         anyio.run(self.read_answer, data, method)
@@ -467,7 +467,7 @@
         except webclient.Broken as error:
             self.check_error(error)
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(
         strategies.one_of(
             fuzzing.corrupt_bytes(b'id: 1\nx\n\nid: 2\ny\n\nid: 3\nz\n\n'),
