--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -29,7 +29,7 @@
 # Examples of each test that are tried without the variable; half a second.
 EXAMPLES = 150
 # Examples of the other tests that take about as long as a play of whole hosts.
-EXAMPLES_A_SEED = 500
+EXAMPLES_PER_SEED = 500
 T = ty.TypeVar('T')
 
 _SCALARS = strategies.one_of(
@@ -105,7 +105,7 @@
     """
     if VARIABLE not in os.environ:
         return [1]
-    count = max(1, int(os.environ[VARIABLE]) // EXAMPLES_A_SEED)
+    count = max(1, int(os.environ[VARIABLE]) // EXAMPLES_PER_SEED)
     return [int.from_bytes(os.urandom(4), 'big') for _ in range(count)]
 
 
