--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -68,7 +68,7 @@
     ),
     max_leaves=8,
 )
-_DEEP = strategies.sampled_from(
+_PATHOLOGICAL = strategies.sampled_from(
     [
         b'[' * 100_000,
         b'{"a":' * 50_000,
@@ -170,7 +170,7 @@
         corrupt_bytes(encode_json(good)),
         JSON.map(encode_json),
         strategies.binary(max_size=200),
-        _DEEP,
+        _PATHOLOGICAL,
     )
 
 
