--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -25,7 +25,7 @@
     'generate_corrupted',
 ]
 
-VARIABLE = 'APRICOT_EXAMPLES'
+EXAMPLES_VARIABLE = 'APRICOT_EXAMPLES'
 # Examples of each test that are tried without the variable; half a second.
 EXAMPLES = 150
 # Examples of the other tests that take about as long as a play of whole hosts.
@@ -84,11 +84,11 @@
 
 def configure_examples() -> ty.Callable[[T], T]:
     """Return the decorator that says how many examples a test tries."""
-    is_fresh = VARIABLE in os.environ
+    is_fresh = EXAMPLES_VARIABLE in os.environ
     return ty.cast(
         ty.Callable[[T], T],
         hypothesis.settings(
-            max_examples=int(os.environ.get(VARIABLE, EXAMPLES)),
+            max_examples=int(os.environ.get(EXAMPLES_VARIABLE, EXAMPLES)),
             derandomize=not is_fresh,
             deadline=None,
             database=None,
@@ -103,9 +103,9 @@
     One that is always the same, or as many fresh ones as fit the time that
     the examples of the other tests take.
     """
-    if VARIABLE not in os.environ:
+    if EXAMPLES_VARIABLE not in os.environ:
         return [1]
-    count = max(1, int(os.environ[VARIABLE]) // EXAMPLES_PER_SEED)
+    count = max(1, int(os.environ[EXAMPLES_VARIABLE]) // EXAMPLES_PER_SEED)
     return [int.from_bytes(os.urandom(4), 'big') for _ in range(count)]
 
 
