--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/averages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/averages.py
@@ -22,7 +22,7 @@
         # The rate, and when it was that.
         self._rates: dict[ids.Organisation, tuple[float, float]] = {}
 
-    def note(self, name: ids.Organisation, units: float, now: float) -> None:
+    def record(self, name: ids.Organisation, units: float, now: float) -> None:
         """Count units; below zero for some that were given back."""
         rate = self.find(name, now) + units / self._seconds
         self._rates[name] = (max(0.0, rate), now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -125,7 +125,7 @@
         """
         if organisation.units_per_s <= 0:
             return None
-        self._asked.note(organisation.name, cost, now)
+        self._asked.record(organisation.name, cost, now)
         bucket = self._refill(organisation, terms, now)
         # A request larger than the bucket goes when the bucket is full.
         needed = min(cost, bucket.size)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -208,7 +208,7 @@
             return
         self._parts.hear(state.incarnation, state.usage, now, is_new)
         for name, units in lately.items():
-            self._used.note(name, units, now)
+            self._used.record(name, units, now)
 
     def forget(self, process: ids.Incarnation) -> None:
         """Drop what is kept about a process that has ended."""
@@ -274,7 +274,7 @@
         # A request that is given back may have come before the groups formed.
         if self._parts.has_bucket(organisation.name):
             self._parts.charge(organisation, units)
-        self._used.note(organisation.name, units, now)
+        self._used.record(organisation.name, units, now)
 
     def _find_group_part(
         self, organisation: catalogue.Organisation, now: float
