--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -13,16 +13,11 @@
 import statistics
 import time
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.decisions import scheduler, waiting
+from apricotlandingd.gateway.hosts import mesh, messages
+from apricotlandingd.gateway.runners import directory, health, pace
 
 POOL = ids.Pool('pool')
 ROUNDS = 5
@@ -87,9 +82,9 @@
     )
 
 
-def make_ticket(number: int) -> waiting.Ticket:
+def make_ticket(number: int) -> waiting.QueuedRequest:
     """Return a request that never gives up."""
-    return waiting.Ticket(
+    return waiting.QueuedRequest(
         attempt=f'a-{number}',
         service=POOL,
         tier=ids.Tier(number % 3),
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -44,7 +44,7 @@
 
 
 def choose_runner(
-    ticket: waiting.Ticket, candidates: list[Candidate]
+    ticket: waiting.QueuedRequest, candidates: list[Candidate]
 ) -> Candidate | None:
     """Return the best runner; None if there is no option."""
     open_options = [
@@ -75,7 +75,7 @@
 
 
 def _predict(
-    ticket: waiting.Ticket, candidate: Candidate, is_home: bool
+    ticket: waiting.QueuedRequest, candidate: Candidate, is_home: bool
 ) -> float:
     read = candidate.pace.read_s * ticket.prompt_tokens
     saved = 0.0
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -98,13 +98,13 @@
     """What waits for a service, as it is for one pass of decisions."""
 
     # In order.
-    own: list[tuple[waiting.Rank, waiting.Ticket]]
+    own: list[tuple[waiting.Rank, waiting.QueuedRequest]]
     # Ranks at peers, in order.
     others: list[waiting.Rank]
 
     def iterate(
         self,
-    ) -> collections.abc.Iterator[tuple[waiting.Ticket, int]]:
+    ) -> collections.abc.Iterator[tuple[waiting.QueuedRequest, int]]:
         """Yield own requests, and how many at peers go before each."""
         ahead = 0
         for rank, ticket in self.own:
@@ -131,7 +131,7 @@
         self._health = fitness
         self._others = others
         self._spread = rng
-        self._waiting: dict[ids.Pool, list[waiting.Ticket]] = {}
+        self._waiting: dict[ids.Pool, list[waiting.QueuedRequest]] = {}
         self.places = places.Places()
         self._loads: dict[ids.RunnerStart, _Load] = {}
         self._holds: dict[ids.Pool, float] = {}
@@ -148,12 +148,12 @@
 
     # Requests.
 
-    def enter(self, ticket: waiting.Ticket, now: float) -> None:
+    def enter(self, ticket: waiting.QueuedRequest, now: float) -> None:
         """Let a request wait; it may be decided at once."""
         self._waiting.setdefault(ticket.service, []).append(ticket)
         self.schedule_service(ticket.service, now)
 
-    def leave(self, ticket: waiting.Ticket) -> None:
+    def leave(self, ticket: waiting.QueuedRequest) -> None:
         """Drop a request that waits no more."""
         tickets = self._waiting.get(ticket.service, [])
         if ticket in tickets:
@@ -305,7 +305,9 @@
         if not is_yielding:
             self._yielded_at.pop(service, None)
 
-    def _give(self, ticket: waiting.Ticket, runner: ids.RunnerStart) -> None:
+    def _give(
+        self, ticket: waiting.QueuedRequest, runner: ids.RunnerStart
+    ) -> None:
         self.leave(ticket)
         self.places.take(runner)
         ticket.decide(waiting.Grant(runner))
@@ -315,7 +317,7 @@
         return now - since > YIELD_TIMEOUT_S
 
     def _choose(
-        self, ticket: waiting.Ticket, view: '_View', now: float
+        self, ticket: waiting.QueuedRequest, view: '_View', now: float
     ) -> placement.Candidate | None:
         candidates = [
             placement.Candidate(
@@ -396,12 +398,14 @@
         return int(entry.slots * silent)
 
 
-def _find_rank(item: tuple[waiting.Rank, waiting.Ticket]) -> waiting.Rank:
+def _find_rank(
+    item: tuple[waiting.Rank, waiting.QueuedRequest],
+) -> waiting.Rank:
     return item[0]
 
 
 def _is_hopeless(
-    ticket: waiting.Ticket, wait_s: float, places: int, now: float
+    ticket: waiting.QueuedRequest, wait_s: float, places: int, now: float
 ) -> bool:
     if places == 0:
         return now - ticket.arrived_at > NO_RUNNER_TIMEOUT_S
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/waiting.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/waiting.py
@@ -1,7 +1,7 @@
 """Who goes next, who waits, and who is refused.
 
 Runners admit in order of arrival and know no priorities, so requests wait
-here and only as many as a runner has slots are sent to it. A ``Ticket``
+here and only as many as a runner has slots are sent to it. A ``QueuedRequest``
 stands for a request that waits.
 
 Order: tier first, as the operators set it. Within a tier, requests that can
@@ -27,7 +27,7 @@
     'Grant',
     'Rank',
     'Refusal',
-    'Ticket',
+    'QueuedRequest',
     'choose_retry_delay',
     'predict_wait',
 ]
@@ -80,7 +80,7 @@
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class Ticket:
+class QueuedRequest:
     """A request that waits for a place."""
 
     attempt: str
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -79,7 +79,7 @@
     number: int
     heard_at: float
     # What waits or was decided, and places held, by number of the place.
-    tickets: dict[int, waiting.Ticket] = dataclasses.field(
+    tickets: dict[int, waiting.QueuedRequest] = dataclasses.field(
         default_factory=dict
     )
     held: dict[int, ids.RunnerStart] = dataclasses.field(default_factory=dict)
@@ -94,7 +94,7 @@
     # By the digest of the process.
     clients: dict[int, _Client] = dataclasses.field(default_factory=dict)
     # What waits, by process and number of the place.
-    open: dict[tuple[int, int], waiting.Ticket] = dataclasses.field(
+    open: dict[tuple[int, int], waiting.QueuedRequest] = dataclasses.field(
         default_factory=dict
     )
 
@@ -264,9 +264,9 @@
         number: int,
         wanted: placemessages.Wanted,
         now: float,
-    ) -> waiting.Ticket:
+    ) -> waiting.QueuedRequest:
         excluded = (self._starts.find(item) for item in wanted.excluded)
-        return waiting.Ticket(
+        return waiting.QueuedRequest(
             attempt=f'{request.host}/{number}',
             service=request.service,
             tier=ids.Tier(wanted.tier),
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -51,7 +51,7 @@
 class _Waiting:
     """A request for which coordinators are asked."""
 
-    ticket: waiting.Ticket
+    ticket: waiting.QueuedRequest
     since: float
     # Subsets that are asked, and those that refused.
     asked: list[subsets.Subset]
@@ -129,7 +129,7 @@
 
     # Requests.
 
-    def enter(self, ticket: waiting.Ticket, now: float) -> None:
+    def enter(self, ticket: waiting.QueuedRequest, now: float) -> None:
         """Let a request wait; it may be decided at once."""
         found = self._list_subsets(ticket.service)
         if not self._hosts.is_divided() or not found:
@@ -140,7 +140,7 @@
         self._waiting[ticket.number] = _Waiting(ticket, now, [])
         self._ask(ticket.number, self._spread.choice(found), now)
 
-    def leave(self, ticket: waiting.Ticket, now: float) -> None:
+    def leave(self, ticket: waiting.QueuedRequest, now: float) -> None:
         """Drop a request that waits no more."""
         self._local.leave(ticket)
         if ticket.number in self._waiting:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -10,8 +10,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.requests import admission
-from apricotlandingd.gateway.requests import parts
+from apricotlandingd.gateway.requests import admission, parts
 
 __all__ = ['Progress', 'make_ticket']
 
@@ -42,7 +41,7 @@
     asked: admission.Admission,
     now: float,
     progress: Progress,
-) -> waiting.Ticket:
+) -> waiting.QueuedRequest:
     """Return the ticket of a request that is about to wait."""
     route, head = asked.route, asked.head
     usual = shared.paces.find_usual(asked.service)
@@ -50,7 +49,7 @@
     began = shared.habits.find_beginning(
         route.name, asked.given_s, asked.arrived_at
     )
-    return waiting.Ticket(
+    return waiting.QueuedRequest(
         attempt=head.attempt,
         service=asked.service,
         tier=BEGUN_TIER if progress.is_begun else _find_tier(asked),
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -54,9 +54,11 @@
     )
 
 
-def make_ticket(attempt: str, now: float, **changes: ty.Any) -> waiting.Ticket:
+def make_ticket(
+    attempt: str, now: float, **changes: ty.Any
+) -> waiting.QueuedRequest:
     """Return a request of the pool's most urgent tier, on time for 1 s."""
-    ticket = waiting.Ticket(
+    ticket = waiting.QueuedRequest(
         attempt=attempt,
         service=POOL,
         tier=ids.Tier(0),
--- a/tests/placesplay.py
+++ b/tests/placesplay.py
@@ -321,7 +321,7 @@
         ]
         return self.spread.choices(up, weights)[0]
 
-    def watch(self, host: Host, ticket: waiting.Ticket) -> None:
+    def watch(self, host: Host, ticket: waiting.QueuedRequest) -> None:
         """Look for the decision a little later, as a waiting task does."""
         if ticket.decision is None and host.is_up:
             self.plan(0.001, lambda: self.watch(host, ticket))
@@ -341,7 +341,7 @@
     # Runners.
 
     def arrive(
-        self, host: Host, grant: waiting.Grant, ticket: waiting.Ticket
+        self, host: Host, grant: waiting.Grant, ticket: waiting.QueuedRequest
     ) -> None:
         runner = self.runners[grant.runner]
         if runner.is_lost:
@@ -354,7 +354,7 @@
         self.run(runner, host, grant, self.now)
 
     def miss(
-        self, host: Host, grant: waiting.Grant, ticket: waiting.Ticket
+        self, host: Host, grant: waiting.Grant, ticket: waiting.QueuedRequest
     ) -> None:
         """Ask for another runner than the one that takes no connection."""
         self.outcome.missed += 1
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -64,7 +64,7 @@
         tier: int = 0,
         on_time_by: float | None = None,
         useful_until: float | None = None,
-    ) -> waiting.Ticket:
+    ) -> waiting.QueuedRequest:
         self.count += 1
         ticket = gatewayparts.make_ticket(
             f'a{self.count}',
@@ -78,10 +78,10 @@
         self.scheduler.enter(ticket, now)
         return ticket
 
-    def fill(self, now: float = 0.0) -> list[waiting.Ticket]:
+    def fill(self, now: float = 0.0) -> list[waiting.QueuedRequest]:
         return [self.enter(now) for _ in range(4)]
 
-    def release(self, ticket: waiting.Ticket, now: float) -> None:
+    def release(self, ticket: waiting.QueuedRequest, now: float) -> None:
         grant = ticket.decision
         assert isinstance(grant, waiting.Grant)
         self.scheduler.release(gatewayparts.POOL, grant.runner, now)
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -152,7 +152,7 @@
             self.runners, self.paces, self.health, self.others, self.spread
         )
 
-    def enter(self, now: float, last_part: str = '') -> waiting.Ticket:
+    def enter(self, now: float, last_part: str = '') -> waiting.QueuedRequest:
         ticket = gatewayparts.make_ticket(
             f'a-{now}',
             now,
@@ -186,7 +186,7 @@
         )
         self.others.take(state, 0.0)
 
-    def assert_granted(self, ticket: waiting.Ticket) -> None:
+    def assert_granted(self, ticket: waiting.QueuedRequest) -> None:
         grant = ticket.decision
         assert isinstance(grant, waiting.Grant)
         self.assertEqual(LATER, grant.runner)
