--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -15,7 +15,7 @@
 
 from apricotlanding import addresses, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import scheduler, waiting
+from apricotlandingd.gateway.decisions import queueing, scheduler
 from apricotlandingd.gateway.hosts import mesh, messages
 from apricotlandingd.gateway.runners import directory, health, pace
 
@@ -58,7 +58,7 @@
         positions=[40, 400],
         running={make_start(item): 1 for item in range(runners)},
         usage={ids.Organisation(f'org{item}'): 1e6 for item in range(5)},
-        ranks={POOL: [waiting.Rank(0, 0, False, 0.3)] * 2},
+        ranks={POOL: [queueing.Rank(0, 0, False, 0.3)] * 2},
         hints={},
     )
 
@@ -82,9 +82,9 @@
     )
 
 
-def make_ticket(number: int) -> waiting.QueuedRequest:
+def make_ticket(number: int) -> queueing.QueuedRequest:
     """Return a request that never gives up."""
-    return waiting.QueuedRequest(
+    return queueing.QueuedRequest(
         attempt=f'a-{number}',
         service=POOL,
         tier=ids.Tier(number % 3),
@@ -120,7 +120,7 @@
     while left > 0:
         ticket = make_ticket(next(numbers))
         found.enter(ticket, 0.0)
-        if isinstance(ticket.decision, waiting.Grant):
+        if isinstance(ticket.decision, queueing.Grant):
             granted.append(ticket.decision.runner)
         else:
             left -= 1
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -11,7 +11,7 @@
 import xxhash
 
 from apricotlanding import ids
-from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.runners import pace
 
 __all__ = ['Candidate', 'choose_runner']
@@ -44,7 +44,7 @@
 
 
 def choose_runner(
-    ticket: waiting.QueuedRequest, candidates: list[Candidate]
+    ticket: queueing.QueuedRequest, candidates: list[Candidate]
 ) -> Candidate | None:
     """Return the best runner; None if there is no option."""
     open_options = [
@@ -75,7 +75,7 @@
 
 
 def _predict(
-    ticket: waiting.QueuedRequest, candidate: Candidate, is_home: bool
+    ticket: queueing.QueuedRequest, candidate: Candidate, is_home: bool
 ) -> float:
     read = candidate.pace.read_s * ticket.prompt_tokens
     saved = 0.0
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -1,6 +1,6 @@
 """Places at runners, and the requests that wait for one on this host.
 
-Applies the decisions of ``waiting`` and ``placement`` to what this host
+Applies the decisions of ``queueing`` and ``placement`` to what this host
 knows: its own requests, and what its peers say about theirs. Each host
 schedules its own requests; a host yields a free place to a peer whose
 request goes first, and takes it after all if the peer does not. No host
@@ -18,7 +18,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import placement, places, waiting
+from apricotlandingd.gateway.decisions import placement, places, queueing
 from apricotlandingd.gateway.runners import directory, health, pace
 
 __all__ = ['Peers', 'Scheduler', 'RunnerFilter']
@@ -58,7 +58,7 @@
     def count_running(self, runner: ids.RunnerStart) -> int:
         """Return the requests that heard peers have at a runner."""
 
-    def list_waiting(self, service: ids.Pool) -> list[waiting.Rank]:
+    def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
         """Return what waits at heard peers, sorted."""
 
     def find_silent_share(self) -> float:
@@ -98,13 +98,13 @@
     """What waits for a service, as it is for one pass of decisions."""
 
     # In order.
-    own: list[tuple[waiting.Rank, waiting.QueuedRequest]]
+    own: list[tuple[queueing.Rank, queueing.QueuedRequest]]
     # Ranks at peers, in order.
-    others: list[waiting.Rank]
+    others: list[queueing.Rank]
 
     def iterate(
         self,
-    ) -> collections.abc.Iterator[tuple[waiting.QueuedRequest, int]]:
+    ) -> collections.abc.Iterator[tuple[queueing.QueuedRequest, int]]:
         """Yield own requests, and how many at peers go before each."""
         ahead = 0
         for rank, ticket in self.own:
@@ -131,7 +131,7 @@
         self._health = fitness
         self._others = others
         self._spread = rng
-        self._waiting: dict[ids.Pool, list[waiting.QueuedRequest]] = {}
+        self._waiting: dict[ids.Pool, list[queueing.QueuedRequest]] = {}
         self.places = places.Places()
         self._loads: dict[ids.RunnerStart, _Load] = {}
         self._holds: dict[ids.Pool, float] = {}
@@ -148,12 +148,12 @@
 
     # Requests.
 
-    def enter(self, ticket: waiting.QueuedRequest, now: float) -> None:
+    def enter(self, ticket: queueing.QueuedRequest, now: float) -> None:
         """Let a request wait; it may be decided at once."""
         self._waiting.setdefault(ticket.service, []).append(ticket)
         self.schedule_service(ticket.service, now)
 
-    def leave(self, ticket: waiting.QueuedRequest) -> None:
+    def leave(self, ticket: queueing.QueuedRequest) -> None:
         """Drop a request that waits no more."""
         tickets = self._waiting.get(ticket.service, [])
         if ticket in tickets:
@@ -227,7 +227,7 @@
 
     # What peers are told.
 
-    def list_waiting(self, now: float) -> dict[ids.Pool, list[waiting.Rank]]:
+    def list_waiting(self, now: float) -> dict[ids.Pool, list[queueing.Rank]]:
         """Return the ranks of what waits here, sorted, by service."""
         return {
             service: sorted(ticket.find_rank(now) for ticket in tickets)
@@ -306,18 +306,18 @@
             self._yielded_at.pop(service, None)
 
     def _give(
-        self, ticket: waiting.QueuedRequest, runner: ids.RunnerStart
+        self, ticket: queueing.QueuedRequest, runner: ids.RunnerStart
     ) -> None:
         self.leave(ticket)
         self.places.take(runner)
-        ticket.decide(waiting.Grant(runner))
+        ticket.decide(queueing.Grant(runner))
 
     def _is_yield_over(self, service: ids.Pool, now: float) -> bool:
         since = self._yielded_at.setdefault(service, now)
         return now - since > YIELD_TIMEOUT_S
 
     def _choose(
-        self, ticket: waiting.QueuedRequest, view: '_View', now: float
+        self, ticket: queueing.QueuedRequest, view: '_View', now: float
     ) -> placement.Candidate | None:
         candidates = [
             placement.Candidate(
@@ -354,12 +354,12 @@
             if ticket.decision is not None:
                 continue
             before = kept + ahead
-            wait = waiting.predict_wait(before, free, total, hold)
+            wait = queueing.predict_wait(before, free, total, hold)
             if not _is_hopeless(ticket, wait, total, now):
                 kept += ticket.share
                 continue
             left = ticket.ends_at - now
-            back = waiting.choose_retry_delay(
+            back = queueing.choose_retry_delay(
                 min(wait, left), left, self._spread
             )
             self.leave(ticket)
@@ -375,7 +375,7 @@
                 hold_s=round(hold, 4),
                 silent_share=round(self._others.find_silent_share(), 3),
             )
-            ticket.decide(waiting.Refusal(back, wait, round(before)))
+            ticket.decide(queueing.Refusal(back, wait, round(before)))
 
     def _count_free(self, entry: dialect.RunnerEntry, now: float) -> int:
         own = self.places.running[entry.start]
@@ -399,13 +399,13 @@
 
 
 def _find_rank(
-    item: tuple[waiting.Rank, waiting.QueuedRequest],
-) -> waiting.Rank:
+    item: tuple[queueing.Rank, queueing.QueuedRequest],
+) -> queueing.Rank:
     return item[0]
 
 
 def _is_hopeless(
-    ticket: waiting.QueuedRequest, wait_s: float, places: int, now: float
+    ticket: queueing.QueuedRequest, wait_s: float, places: int, now: float
 ) -> bool:
     if places == 0:
         return now - ticket.arrived_at > NO_RUNNER_TIMEOUT_S
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -14,7 +14,7 @@
 
 from apricotlanding import addresses, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
+from apricotlandingd.gateway.decisions import queueing, scheduler, subsets
 from apricotlandingd.gateway.hosts import messages, placemessages
 from apricotlandingd.gateway.runners import (
     directory,
@@ -51,7 +51,7 @@
     def count_running(self, runner: ids.RunnerStart) -> int:
         return 0
 
-    def list_waiting(self, service: ids.Pool) -> list[waiting.Rank]:
+    def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
         return []
 
     def find_silent_share(self) -> float:
@@ -79,7 +79,7 @@
     number: int
     heard_at: float
     # What waits or was decided, and places held, by number of the place.
-    tickets: dict[int, waiting.QueuedRequest] = dataclasses.field(
+    tickets: dict[int, queueing.QueuedRequest] = dataclasses.field(
         default_factory=dict
     )
     held: dict[int, ids.RunnerStart] = dataclasses.field(default_factory=dict)
@@ -94,7 +94,7 @@
     # By the digest of the process.
     clients: dict[int, _Client] = dataclasses.field(default_factory=dict)
     # What waits, by process and number of the place.
-    open: dict[tuple[int, int], waiting.QueuedRequest] = dataclasses.field(
+    open: dict[tuple[int, int], queueing.QueuedRequest] = dataclasses.field(
         default_factory=dict
     )
 
@@ -221,7 +221,7 @@
                 continue
             del client.tickets[number]
             schedule.open.pop((request.process, number), None)
-            if isinstance(ticket.decision, waiting.Grant):
+            if isinstance(ticket.decision, queueing.Grant):
                 client.held[number] = ticket.decision.runner
             elif ticket.decision is None:
                 schedule.decisions.leave(ticket)
@@ -264,9 +264,9 @@
         number: int,
         wanted: placemessages.Wanted,
         now: float,
-    ) -> waiting.QueuedRequest:
+    ) -> queueing.QueuedRequest:
         excluded = (self._starts.find(item) for item in wanted.excluded)
-        return waiting.QueuedRequest(
+        return queueing.QueuedRequest(
             attempt=f'{request.host}/{number}',
             service=request.service,
             tier=ids.Tier(wanted.tier),
@@ -293,7 +293,7 @@
                 schedule.open.pop((process, number), None)
                 if ticket.decision is None:
                     schedule.decisions.leave(ticket)
-                elif isinstance(ticket.decision, waiting.Grant):
+                elif isinstance(ticket.decision, queueing.Grant):
                     schedule.decisions.release(
                         subset.service, ticket.decision.runner, now
                     )
@@ -335,7 +335,7 @@
             decision = ticket.decision
             if decision is None:
                 continue
-            if isinstance(decision, waiting.Grant):
+            if isinstance(decision, queueing.Grant):
                 granted[number] = messages.digest_start(decision.runner)
                 continue
             refused[number] = placemessages.Refused(
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -18,7 +18,7 @@
 import eliot
 
 from apricotlanding import addresses, ids
-from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
+from apricotlandingd.gateway.decisions import queueing, scheduler, subsets
 from apricotlandingd.gateway.hosts import (
     candidates,
     coordinator,
@@ -51,11 +51,11 @@
 class _Waiting:
     """A request for which coordinators are asked."""
 
-    ticket: waiting.QueuedRequest
+    ticket: queueing.QueuedRequest
     since: float
     # Subsets that are asked, and those that refused.
     asked: list[subsets.Subset]
-    refusals: list[waiting.Refusal] = dataclasses.field(default_factory=list)
+    refusals: list[queueing.Refusal] = dataclasses.field(default_factory=list)
     # Digests of runners that were granted and are not known here.
     unknown: set[int] = dataclasses.field(default_factory=set)
     is_local: bool = False
@@ -129,7 +129,7 @@
 
     # Requests.
 
-    def enter(self, ticket: waiting.QueuedRequest, now: float) -> None:
+    def enter(self, ticket: queueing.QueuedRequest, now: float) -> None:
         """Let a request wait; it may be decided at once."""
         found = self._list_subsets(ticket.service)
         if not self._hosts.is_divided() or not found:
@@ -140,14 +140,14 @@
         self._waiting[ticket.number] = _Waiting(ticket, now, [])
         self._ask(ticket.number, self._spread.choice(found), now)
 
-    def leave(self, ticket: waiting.QueuedRequest, now: float) -> None:
+    def leave(self, ticket: queueing.QueuedRequest, now: float) -> None:
         """Drop a request that waits no more."""
         self._local.leave(ticket)
         if ticket.number in self._waiting:
             self._withdraw(ticket.number, None, now)
 
     def release(
-        self, service: ids.Pool, grant: waiting.Grant, now: float
+        self, service: ids.Pool, grant: queueing.Grant, now: float
     ) -> None:
         """Give a place back."""
         if not grant.number:
@@ -353,7 +353,7 @@
         self._held[number] = entry.start
         # Counts when this host decides by itself, and is told to its group.
         self._local.places.take(entry.start)
-        item.ticket.decide(waiting.Grant(entry.start, number))
+        item.ticket.decide(queueing.Grant(entry.start, number))
 
     def _renew(
         self, number: int, item: _Waiting, digest: int, now: float
@@ -380,7 +380,7 @@
         item = self._waiting[number]
         link = self._links[subset]
         link.wanted.discard(number)
-        item.refusals.append(waiting.Refusal(*refused))
+        item.refusals.append(queueing.Refusal(*refused))
         self._send(link, now, wants_reply=False)
         if len(item.asked) == 1:
             self._ask_second(number, item, now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -28,15 +28,14 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import groups
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
+from apricotlanding import addresses, clocks, errors, ids
+from apricotlandingd.gateway.decisions import queueing
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    groups,
+    messages,
+    placemessages,
+)
 
 __all__ = ['Mesh', 'Peer', 'Scope']
 
@@ -98,7 +97,7 @@
     address: addresses.Address
     heard_at: float
     # Ranks of what waits there, on this host's clock.
-    ranks: dict[ids.Pool, list[waiting.Rank]]
+    ranks: dict[ids.Pool, list[queueing.Rank]]
     # Requests at runners, by the digest of the runner's start.
     running: dict[int, int]
     # Is in this host's group.
@@ -250,9 +249,9 @@
         """Return the requests that heard peers have at a runner."""
         return self._running[messages.digest_start(runner)]
 
-    def list_waiting(self, service: ids.Pool) -> list[waiting.Rank]:
+    def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
         """Return what waits at heard peers, sorted."""
-        ranks: list[waiting.Rank] = []
+        ranks: list[queueing.Rank] = []
         for peer in self.list_near():
             ranks.extend(peer.ranks.get(service, ()))
         ranks.sort()
@@ -408,7 +407,7 @@
         self, state: messages.HostState, running: dict[int, int], now: float
     ) -> Peer:
         is_near = self.partition.is_near(state.host)
-        ranks: dict[ids.Pool, list[waiting.Rank]] = {}
+        ranks: dict[ids.Pool, list[queueing.Rank]] = {}
         if is_near:
             for service, found in state.ranks.items():
                 ranks[service] = [rank.shift(now) for rank in found]
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
@@ -22,10 +22,8 @@
 import pydantic
 import xxhash
 
-from apricotlanding import addresses
-from apricotlanding import codec
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import addresses, codec, ids
+from apricotlandingd.gateway.decisions import queueing
 
 __all__ = [
     'HostChange',
@@ -88,7 +86,7 @@
     return text
 
 
-def _check_rank(rank: waiting.Rank) -> waiting.Rank:
+def _check_rank(rank: queueing.Rank) -> queueing.Rank:
     if not math.isfinite(rank.on_time_by):
         # Nothing can be sorted by it.
         raise ValueError('the time of a rank is no number')
@@ -113,7 +111,7 @@
     pydantic.Field(max_length=ADDRESS_LENGTH),
     pydantic.AfterValidator(_check_address),
 ]
-CheckedRank = ty.Annotated[waiting.Rank, pydantic.AfterValidator(_check_rank)]
+CheckedRank = ty.Annotated[queueing.Rank, pydantic.AfterValidator(_check_rank)]
 Hints = ty.Annotated[
     dict[ids.Host, AddressText], pydantic.Field(max_length=MOST_HINTS)
 ]
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -6,17 +6,11 @@
 import collections.abc
 import typing as ty
 
-from apricotlanding import clocks
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
+from apricotlanding import clocks, ids
+from apricotlandingd.gateway.decisions import queueing, quotas, scheduler
+from apricotlandingd.gateway.hosts import allowances, mesh, messages
 from apricotlandingd.gateway.process import settings
-from apricotlandingd.gateway.replication import freshness
-from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.replication import freshness, records
 
 __all__ = ['HostStates']
 
@@ -61,7 +55,7 @@
             asked = _round_units(self._shared.buckets.list_asked(now))
             group_asked = _round_units(self._shared.sum_group_asked(asked))
         running: dict[ids.RunnerStart, int] = {}
-        ranks: dict[ids.Pool, list[waiting.Rank]] = {}
+        ranks: dict[ids.Pool, list[queueing.Rank]] = {}
         usage = _round_units(self._shared.buckets.usage)
         if scope is not mesh.Scope.WHOLE:
             group_used = _round_units(self._shared.list_used(now))
@@ -120,7 +114,7 @@
     def _list_near_ages(self, now: float, is_whole: bool) -> list[int]:
         return self._ages.list_near_ages(now, self._reads_store(now), is_whole)
 
-    def _list_ranks(self, now: float) -> dict[ids.Pool, list[waiting.Rank]]:
+    def _list_ranks(self, now: float) -> dict[ids.Pool, list[queueing.Rank]]:
         return {
             service: [rank.shift(-now) for rank in items[: mesh.RANKS]]
             for service, items in self._schedule.list_waiting(now).items()
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -23,21 +23,18 @@
 import anyio
 import eliot
 
-from apricotlanding import asgi
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import taskgroups
-from apricotlanding import webclient
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import asgi, clocks, errors, ids, taskgroups, webclient
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.requests import admission
-from apricotlandingd.gateway.requests import parts
-from apricotlandingd.gateway.requests import replies
-from apricotlandingd.gateway.requests import runnerclient
-from apricotlandingd.gateway.requests import silence
-from apricotlandingd.gateway.requests import streams
-from apricotlandingd.gateway.requests import tickets
+from apricotlandingd.gateway.decisions import queueing
+from apricotlandingd.gateway.requests import (
+    admission,
+    parts,
+    replies,
+    runnerclient,
+    silence,
+    streams,
+    tickets,
+)
 from apricotlandingd.gateway.runners import observations
 
 __all__ = ['Exchange']
@@ -166,7 +163,7 @@
     async def _serve(self) -> None:
         while True:
             decision = await self._wait_for_place()
-            if isinstance(decision, waiting.Refusal):
+            if isinstance(decision, queueing.Refusal):
                 await self._give_up(
                     errors.make_problem(
                         errors.Kind.NO_PLACE, decision.return_s
@@ -211,7 +208,7 @@
 
     # Waiting.
 
-    async def _wait_for_place(self) -> waiting.Grant | waiting.Refusal:
+    async def _wait_for_place(self) -> queueing.Grant | queueing.Refusal:
         now = clocks.read_monotonic()
         ticket = tickets.make_ticket(
             self._parts,
@@ -231,7 +228,7 @@
         except BaseException:
             # The caller left, or its time is over.
             decision = ticket.decision
-            if isinstance(decision, waiting.Grant):
+            if isinstance(decision, queueing.Grant):
                 self._release(decision)
             raise
         finally:
@@ -243,7 +240,7 @@
 
     # Sending.
 
-    async def _try(self, grant: waiting.Grant) -> _End:
+    async def _try(self, grant: queueing.Grant) -> _End:
         began_at = clocks.read_monotonic()
         runner = grant.runner
         self._runner = runner
@@ -262,7 +259,7 @@
         finally:
             self._release(grant)
 
-    def _release(self, grant: waiting.Grant) -> None:
+    def _release(self, grant: queueing.Grant) -> None:
         now = clocks.read_monotonic()
         self._parts.dispatcher.release(self._asked.service, grant, now)
         self._parts.on_change()
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -1,7 +1,7 @@
 """The ticket with which a request waits for a place.
 
 Puts what the caller asked for, and how far its request has come, into the
-terms by which ``waiting`` decides: which tier it has, until when it can be on
+terms by which ``queueing`` decides: which tier it has, until when it can be on
 time, and until when a place is of any use to its caller.
 """
 
@@ -9,7 +9,7 @@
 import typing as ty
 
 from apricotlanding import ids
-from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.requests import admission, parts
 
 __all__ = ['Progress', 'make_ticket']
@@ -41,7 +41,7 @@
     asked: admission.Admission,
     now: float,
     progress: Progress,
-) -> waiting.QueuedRequest:
+) -> queueing.QueuedRequest:
     """Return the ticket of a request that is about to wait."""
     route, head = asked.route, asked.head
     usual = shared.paces.find_usual(asked.service)
@@ -49,7 +49,7 @@
     began = shared.habits.find_beginning(
         route.name, asked.given_s, asked.arrived_at
     )
-    return waiting.QueuedRequest(
+    return queueing.QueuedRequest(
         attempt=head.attempt,
         service=asked.service,
         tier=BEGUN_TIER if progress.is_begun else _find_tier(asked),
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -5,7 +5,7 @@
 
 from apricotlanding import addresses, ids
 from apricotlandingd.gateway import catalogue, dialect
-from apricotlandingd.gateway.decisions import quotas, waiting
+from apricotlandingd.gateway.decisions import queueing, quotas
 
 __all__ = [
     'POOL',
@@ -56,9 +56,9 @@
 
 def make_ticket(
     attempt: str, now: float, **changes: ty.Any
-) -> waiting.QueuedRequest:
+) -> queueing.QueuedRequest:
     """Return a request of the pool's most urgent tier, on time for 1 s."""
-    ticket = waiting.QueuedRequest(
+    ticket = queueing.QueuedRequest(
         attempt=attempt,
         service=POOL,
         tier=ids.Tier(0),
--- a/tests/placesplay.py
+++ b/tests/placesplay.py
@@ -15,7 +15,7 @@
 
 import gatewayparts
 from apricotlanding import addresses, ids
-from apricotlandingd.gateway.decisions import scheduler, waiting
+from apricotlandingd.gateway.decisions import queueing, scheduler
 from apricotlandingd.gateway.hosts import (
     candidates,
     coordinator,
@@ -110,7 +110,7 @@
     def count_running(self, runner: ids.RunnerStart) -> int:
         return 0
 
-    def list_waiting(self, service: ids.Pool) -> list[waiting.Rank]:
+    def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
         return []
 
     def find_silent_share(self) -> float:
@@ -163,7 +163,7 @@
     # Takes no connection.
     is_lost: bool = False
     running: int = 0
-    queue: collections.deque[tuple[Host, waiting.Grant, float]] = (
+    queue: collections.deque[tuple[Host, queueing.Grant, float]] = (
         dataclasses.field(default_factory=collections.deque)
     )
 
@@ -321,7 +321,7 @@
         ]
         return self.spread.choices(up, weights)[0]
 
-    def watch(self, host: Host, ticket: waiting.QueuedRequest) -> None:
+    def watch(self, host: Host, ticket: queueing.QueuedRequest) -> None:
         """Look for the decision a little later, as a waiting task does."""
         if ticket.decision is None and host.is_up:
             self.plan(0.001, lambda: self.watch(host, ticket))
@@ -329,7 +329,7 @@
         host.dispatcher.leave(ticket, self.now)
         decision = ticket.decision
         tier = int(ticket.tier)
-        if isinstance(decision, waiting.Grant):
+        if isinstance(decision, queueing.Grant):
             self.outcome.granted[tier] += 1
             waited = self.now - ticket.arrived_at
             self.outcome.waited_s += waited
@@ -341,7 +341,7 @@
     # Runners.
 
     def arrive(
-        self, host: Host, grant: waiting.Grant, ticket: waiting.QueuedRequest
+        self, host: Host, grant: queueing.Grant, ticket: queueing.QueuedRequest
     ) -> None:
         runner = self.runners[grant.runner]
         if runner.is_lost:
@@ -354,7 +354,7 @@
         self.run(runner, host, grant, self.now)
 
     def miss(
-        self, host: Host, grant: waiting.Grant, ticket: waiting.QueuedRequest
+        self, host: Host, grant: queueing.Grant, ticket: queueing.QueuedRequest
     ) -> None:
         """Ask for another runner than the one that takes no connection."""
         self.outcome.missed += 1
@@ -377,7 +377,7 @@
         self,
         runner: Runner,
         host: Host,
-        grant: waiting.Grant,
+        grant: queueing.Grant,
         sent_at: float,
     ) -> None:
         runner.running += 1
--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -10,18 +10,13 @@
 import msgpack
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import addresses, errors, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.replication import recordexchange
-from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.decisions import queueing
+from apricotlandingd.gateway.hosts import mesh, messages
+from apricotlandingd.gateway.replication import recordexchange, records
 from apricotstandins import processes
 
-
 # Seconds that any of this may take; generous, for machines that are busy.
 PATIENCE = 10.0
 # Seconds that a peer has to hand records on.
@@ -41,7 +36,7 @@
         'positions': [3, 4],
         'running': {'r1': 2},
         'usage': {'festin': 10.0},
-        'ranks': {'pool': [waiting.Rank(0, 0, False, 1.0)]},
+        'ranks': {'pool': [queueing.Rank(0, 0, False, 1.0)]},
         'hints': {'host-3': '127.0.0.1:7602'},
     }
     return messages.HostState(**(fields | changes))
@@ -57,7 +52,7 @@
         'positions': [3, 4],
         'running': {17: 2},
         'usage': {'festin': 10.0},
-        'ranks': {'pool': [waiting.Rank(0, 0, False, 1.0)]},
+        'ranks': {'pool': [queueing.Rank(0, 0, False, 1.0)]},
         'answer_ages': [],
     }
     return messages.HostChange(**(fields | changes))
@@ -85,7 +80,7 @@
     {'levels': {'festin': -INFINITE}},
     {'hosts': -1},
     # An order that is none.
-    {'ranks': {'pool': [waiting.Rank(0, 0, False, NAN)]}},
+    {'ranks': {'pool': [queueing.Rank(0, 0, False, NAN)]}},
     # Half of the message is used, the rest is not.
     {'state_address': 'nowhere'},
     {'state_address': 'host.example:7600'},
@@ -106,7 +101,7 @@
     {'running': {-17: 5}},
     {'usage': {'festin': NAN}},
     {'usage': {'festin': -INFINITE}},
-    {'ranks': {'pool': [waiting.Rank(0, 0, False, NAN)]}},
+    {'ranks': {'pool': [queueing.Rank(0, 0, False, NAN)]}},
     {'positions': [-1, 4]},
     {'answer_ages': [2**63]},
 )
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -9,7 +9,7 @@
 import gatewayparts
 from apricotlanding import addresses, ids, retrybudget
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import quotas, scheduler, waiting
+from apricotlandingd.gateway.decisions import queueing, quotas, scheduler
 from apricotlandingd.gateway.hosts import groups, mesh, messages
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.requests import streams
@@ -24,14 +24,14 @@
 
     def __init__(self) -> None:
         self.running: dict[ids.RunnerStart, int] = {}
-        self.ranks: list[waiting.Rank] = []
+        self.ranks: list[queueing.Rank] = []
         self.silent = 0.0
         self.partition = groups.Partition()
 
     def count_running(self, runner: ids.RunnerStart) -> int:
         return self.running.get(runner, 0)
 
-    def list_waiting(self, service: ids.Pool) -> list[waiting.Rank]:
+    def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
         return sorted(self.ranks)
 
     def find_silent_share(self) -> float:
@@ -64,7 +64,7 @@
         tier: int = 0,
         on_time_by: float | None = None,
         useful_until: float | None = None,
-    ) -> waiting.QueuedRequest:
+    ) -> queueing.QueuedRequest:
         self.count += 1
         ticket = gatewayparts.make_ticket(
             f'a{self.count}',
@@ -78,17 +78,17 @@
         self.scheduler.enter(ticket, now)
         return ticket
 
-    def fill(self, now: float = 0.0) -> list[waiting.QueuedRequest]:
+    def fill(self, now: float = 0.0) -> list[queueing.QueuedRequest]:
         return [self.enter(now) for _ in range(4)]
 
-    def release(self, ticket: waiting.QueuedRequest, now: float) -> None:
+    def release(self, ticket: queueing.QueuedRequest, now: float) -> None:
         grant = ticket.decision
-        assert isinstance(grant, waiting.Grant)
+        assert isinstance(grant, queueing.Grant)
         self.scheduler.release(gatewayparts.POOL, grant.runner, now)
 
     def test_free_place_is_granted_at_once(self) -> None:
         for ticket in self.fill():
-            self.assertIsInstance(ticket.decision, waiting.Grant)
+            self.assertIsInstance(ticket.decision, queueing.Grant)
 
     def test_places_are_never_overfilled(self) -> None:
         self.fill()
@@ -106,7 +106,7 @@
         low = self.enter(0.0, tier=1)
         high = self.enter(0.1, tier=0)
         self.release(full[0], 0.2)
-        self.assertIsInstance(high.decision, waiting.Grant)
+        self.assertIsInstance(high.decision, queueing.Grant)
         self.assertIsNone(low.decision)
 
     def test_one_in_time_goes_before_one_that_is_late(self) -> None:
@@ -114,13 +114,13 @@
         late = self.enter(0.0, on_time_by=0.1)
         fresh = self.enter(0.2, on_time_by=1.0)
         self.release(full[0], 0.3)
-        self.assertIsInstance(fresh.decision, waiting.Grant)
+        self.assertIsInstance(fresh.decision, queueing.Grant)
         self.assertIsNone(late.decision)
 
     def test_place_is_yielded_to_a_peer_that_goes_first(self) -> None:
         full = self.fill()
         mine = self.enter(0.0, tier=1)
-        self.others.ranks = [waiting.Rank(0, 0, False, 1.0)]
+        self.others.ranks = [queueing.Rank(0, 0, False, 1.0)]
         self.release(full[0], 0.1)
         self.assertIsNone(mine.decision)
 
@@ -128,10 +128,10 @@
         # A peer that died with a request waiting must not keep a place free.
         full = self.fill()
         mine = self.enter(0.0, tier=1)
-        self.others.ranks = [waiting.Rank(0, 0, False, 1.0)]
+        self.others.ranks = [queueing.Rank(0, 0, False, 1.0)]
         self.release(full[0], 0.1)
         self.scheduler.pump(0.1 + scheduler.YIELD_TIMEOUT_S * 1.5)
-        self.assertIsInstance(mine.decision, waiting.Grant)
+        self.assertIsInstance(mine.decision, queueing.Grant)
 
     def test_hopeless_request_is_refused_at_once(self) -> None:
         self.fill()
@@ -139,7 +139,7 @@
             self.enter(0.0)
         last = self.enter(0.0, useful_until=1.0)
         refusal = last.decision
-        assert isinstance(refusal, waiting.Refusal)
+        assert isinstance(refusal, queueing.Refusal)
         self.assertGreater(refusal.wait_s, 1.0)
 
     def test_time_to_come_back_fits_the_callers_time(self) -> None:
@@ -147,7 +147,7 @@
         for _ in range(20):
             self.enter(0.0)
         refusal = self.enter(0.0, useful_until=1.0).decision
-        assert isinstance(refusal, waiting.Refusal)
+        assert isinstance(refusal, queueing.Refusal)
         self.assertLessEqual(refusal.return_s, 15 / 3)
 
     def test_lower_tier_is_refused_and_the_higher_one_kept(self) -> None:
@@ -157,7 +157,7 @@
         low = [self.enter(0.0, tier=1, useful_until=1.5) for _ in range(5)]
         high = [self.enter(0.1, tier=0) for _ in range(4)]
         self.assertTrue(all(item.decision is None for item in high))
-        self.assertIsInstance(low[-1].decision, waiting.Refusal)
+        self.assertIsInstance(low[-1].decision, queueing.Refusal)
 
     def test_one_that_is_refused_is_out_of_the_way(self) -> None:
         # A caller was refused with a place in sight: twelve before it were
@@ -177,14 +177,14 @@
         ticket = self.enter(0.0)
         self.assertIsNone(ticket.decision)
         self.scheduler.pump(scheduler.NO_RUNNER_TIMEOUT_S + 0.1)
-        self.assertIsInstance(ticket.decision, waiting.Refusal)
+        self.assertIsInstance(ticket.decision, queueing.Refusal)
 
     def test_host_that_hears_nobody_uses_its_share(self) -> None:
         # Cut off from the other hosts, which may go on serving: all of them
         # together must not overfill the runners.
         self.others.silent = 0.5
         granted = [self.enter(0.0).decision for _ in range(4)]
-        count = sum(isinstance(item, waiting.Grant) for item in granted)
+        count = sum(isinstance(item, queueing.Grant) for item in granted)
         self.assertEqual(2, count)
 
     def test_stated_load_shows_that_silent_peers_are_gone(self) -> None:
@@ -194,7 +194,7 @@
                 gatewayparts.make_start(name), (0, 0), 0.0
             )
         granted = [self.enter(0.1).decision for _ in range(4)]
-        count = sum(isinstance(item, waiting.Grant) for item in granted)
+        count = sum(isinstance(item, queueing.Grant) for item in granted)
         self.assertEqual(4, count)
 
     def test_failing_runner_is_avoided_while_others_are_free(self) -> None:
@@ -202,13 +202,13 @@
             self.health.note_failure(gatewayparts.make_start('r1'), 0.0)
         for _ in range(2):
             grant = self.enter(0.1).decision
-            assert isinstance(grant, waiting.Grant)
+            assert isinstance(grant, queueing.Grant)
             self.assertEqual(gatewayparts.make_start('r2'), grant.runner)
 
     def test_closed_runner_gets_nothing_though_it_is_free(self) -> None:
         self.health.note_unreachable(gatewayparts.make_start('r1'), 0.0)
         granted = [self.enter(0.1).decision for _ in range(4)]
-        count = sum(isinstance(item, waiting.Grant) for item in granted)
+        count = sum(isinstance(item, queueing.Grant) for item in granted)
         self.assertEqual(2, count)
 
     def test_faster_runner_is_taken_first(self) -> None:
@@ -220,7 +220,7 @@
                 gatewayparts.POOL, gatewayparts.make_start('r2'), 100, 0.05
             )
         grant = self.enter(0.0).decision
-        assert isinstance(grant, waiting.Grant)
+        assert isinstance(grant, queueing.Grant)
         self.assertEqual(gatewayparts.make_start('r2'), grant.runner)
 
 
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -10,7 +10,7 @@
 import test_foreign_messages
 from apricotlanding import addresses, clocks, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import groupusage, quotas, waiting
+from apricotlandingd.gateway.decisions import groupusage, queueing, quotas
 from apricotlandingd.gateway.hosts import groups, mesh, messages
 from apricotstandins import processes
 
@@ -154,7 +154,7 @@
                 positions=[1, 1],
                 running={gatewayparts.make_start('r1'): 1},
                 usage={},
-                ranks={gatewayparts.POOL: [waiting.Rank(0, 0, False, 1.0)]},
+                ranks={gatewayparts.POOL: [queueing.Rank(0, 0, False, 1.0)]},
                 hints={},
             ),
             now,
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -9,7 +9,7 @@
 import gatewayparts
 import placesplay
 from apricotlanding import ids
-from apricotlandingd.gateway.decisions import subsets, waiting
+from apricotlandingd.gateway.decisions import queueing, subsets
 from apricotlandingd.gateway.hosts import (
     candidates,
     coordinator,
@@ -295,13 +295,13 @@
         held = [
             ticket.decision.runner
             for ticket in tickets
-            if isinstance(ticket.decision, waiting.Grant)
+            if isinstance(ticket.decision, queueing.Grant)
         ]
         self.assertEqual(9, len(held))
         for runner in held:
             self.assertGreater(host.local.places.running[runner], 0)
         for ticket in tickets:
-            assert isinstance(ticket.decision, waiting.Grant)
+            assert isinstance(ticket.decision, queueing.Grant)
             host.dispatcher.release(
                 gatewayparts.POOL, ticket.decision, play.now
             )
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -10,7 +10,7 @@
 import gatewayparts
 from apricotlanding import addresses, ids, webclient
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import places, scheduler, waiting
+from apricotlandingd.gateway.decisions import places, queueing, scheduler
 from apricotlandingd.gateway.hosts import mesh, messages
 from apricotlandingd.gateway.requests import runnerclient, runnerclients
 from apricotlandingd.gateway.runners import directory, health, pace
@@ -152,7 +152,7 @@
             self.runners, self.paces, self.health, self.others, self.spread
         )
 
-    def enter(self, now: float, last_part: str = '') -> waiting.QueuedRequest:
+    def enter(self, now: float, last_part: str = '') -> queueing.QueuedRequest:
         ticket = gatewayparts.make_ticket(
             f'a-{now}',
             now,
@@ -166,7 +166,7 @@
     def fill(self) -> None:
         for _ in range(2):
             grant = self.enter(0.0).decision
-            assert isinstance(grant, waiting.Grant)
+            assert isinstance(grant, queueing.Grant)
             self.assertEqual(EARLIER, grant.runner)
 
     def hear(self, number: int, start: ids.RunnerStart) -> None:
@@ -186,9 +186,9 @@
         )
         self.others.take(state, 0.0)
 
-    def assert_granted(self, ticket: waiting.QueuedRequest) -> None:
+    def assert_granted(self, ticket: queueing.QueuedRequest) -> None:
         grant = ticket.decision
-        assert isinstance(grant, waiting.Grant)
+        assert isinstance(grant, queueing.Grant)
         self.assertEqual(LATER, grant.runner)
 
     def test_own_places_are_free_again(self) -> None:
@@ -286,7 +286,7 @@
         )
         found.enter(ticket, 0.0)
         grant = ticket.decision
-        assert isinstance(grant, waiting.Grant)
+        assert isinstance(grant, queueing.Grant)
         found.release(gatewayparts.POOL, grant.runner, 0.0)
         return grant.runner
 
