--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -12,7 +12,7 @@
     'make_entry',
     'make_organisation',
     'make_start',
-    'make_ticket',
+    'make_queued_request',
     'take_units',
 ]
 
@@ -54,7 +54,7 @@
     )
 
 
-def make_ticket(
+def make_queued_request(
     attempt: str, now: float, **changes: ty.Any
 ) -> queueing.QueuedRequest:
     """Return a request of the pool's most urgent tier, on time for 1 s."""
--- a/tests/placesplay.py
+++ b/tests/placesplay.py
@@ -301,7 +301,7 @@
         host = self.choose_host()
         self.outcome.asked += 1
         tier = self.spread.randrange(self.load.tiers)
-        ticket = gatewayparts.make_ticket(
+        ticket = gatewayparts.make_queued_request(
             f'a{self.outcome.asked}',
             self.now,
             tier=ids.Tier(tier),
@@ -361,7 +361,7 @@
         seen = observations.Observation(observations.Kind.UNREACHABLE)
         host.dispatcher.note(gatewayparts.POOL, grant.runner, seen, self.now)
         host.dispatcher.release(gatewayparts.POOL, grant, self.now)
-        again = gatewayparts.make_ticket(
+        again = gatewayparts.make_queued_request(
             ticket.attempt,
             ticket.arrived_at,
             tier=ticket.tier,
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -237,7 +237,7 @@
         load = placesplay.Load(hosts=2, runners=2, part=0.0001, seconds=0.5)
         play = placesplay.Play(load, 1)
         host = next(iter(play.hosts.values()))
-        ticket = gatewayparts.make_ticket('a1', 0.0)
+        ticket = gatewayparts.make_queued_request('a1', 0.0)
         for other in play.hosts.values():
             other.is_up = other is host
         host.dispatcher.enter(ticket, 0.0)
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -66,7 +66,7 @@
         useful_until: float | None = None,
     ) -> queueing.QueuedRequest:
         self.count += 1
-        ticket = gatewayparts.make_ticket(
+        ticket = gatewayparts.make_queued_request(
             f'a{self.count}',
             now,
             tier=ids.Tier(tier),
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -287,7 +287,8 @@
         play = placesplay.Play(load, 5)
         host = play.hosts[ids.Host('host-7')]
         tickets = [
-            gatewayparts.make_ticket(f'b{number}', 0.0) for number in range(9)
+            gatewayparts.make_queued_request(f'b{number}', 0.0)
+            for number in range(9)
         ]
         for ticket in tickets:
             host.dispatcher.enter(ticket, 0.0)
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -153,7 +153,7 @@
         )
 
     def enter(self, now: float, last_part: str = '') -> queueing.QueuedRequest:
-        ticket = gatewayparts.make_ticket(
+        ticket = gatewayparts.make_queued_request(
             f'a-{now}',
             now,
             ends_at=now + 3.0,
@@ -281,7 +281,7 @@
         self.assertEqual(quick, self.choose(found))
 
     def choose(self, found: scheduler.Scheduler) -> ids.RunnerStart:
-        ticket = gatewayparts.make_ticket(
+        ticket = gatewayparts.make_queued_request(
             'a', 0.0, ends_at=3.0, prompt_tokens=20000, events=1, last_part='p'
         )
         found.enter(ticket, 0.0)
