--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -155,9 +155,9 @@
 
     def leave(self, ticket: queueing.QueuedRequest) -> None:
         """Drop a request that waits no more."""
-        tickets = self._waiting.get(ticket.service, [])
-        if ticket in tickets:
-            tickets.remove(ticket)
+        requests = self._waiting.get(ticket.service, [])
+        if ticket in requests:
+            requests.remove(ticket)
 
     def release(
         self, service: ids.Pool, runner: ids.RunnerStart, now: float
@@ -230,9 +230,9 @@
     def list_waiting(self, now: float) -> dict[ids.Pool, list[queueing.Rank]]:
         """Return the ranks of what waits here, sorted, by service."""
         return {
-            service: sorted(ticket.find_rank(now) for ticket in tickets)
-            for service, tickets in self._waiting.items()
-            if tickets
+            service: sorted(ticket.find_rank(now) for ticket in requests)
+            for service, requests in self._waiting.items()
+            if requests
         }
 
     # Decisions.
@@ -244,12 +244,12 @@
 
     def schedule_service(self, service: ids.Pool, now: float) -> None:
         """Decide what waits for one service."""
-        tickets = self._waiting.get(service)
-        if not tickets:
+        requests = self._waiting.get(service)
+        if not requests:
             return
         queue = _Queue(
             sorted(
-                ((ticket.find_rank(now), ticket) for ticket in tickets),
+                ((ticket.find_rank(now), ticket) for ticket in requests),
                 key=_find_rank,
             ),
             self._others.list_waiting(service),
