--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/queueing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/queueing.py
@@ -105,7 +105,7 @@
     number: int = 0
     # Part with which it counts for those behind it: one that waits in two
     # queues takes a place of one.
-    share: float = 1.0
+    queue_weight: float = 1.0
     decision: Grant | Refusal | None = None
     decided: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -356,7 +356,7 @@
             before = kept + ahead
             wait = queueing.predict_wait(before, free, total, hold)
             if not _is_hopeless(ticket, wait, total, now):
-                kept += ticket.share
+                kept += ticket.queue_weight
                 continue
             left = ticket.ends_at - now
             back = queueing.choose_retry_delay(
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -250,7 +250,7 @@
         for number, wanted in request.wanted.items():
             known = client.tickets.get(number)
             if known is not None:
-                known.share = 1 / wanted.coordinators
+                known.queue_weight = 1 / wanted.coordinators
             if known is not None or number in client.held:
                 continue
             ticket = self._make_ticket(request, number, wanted, now)
@@ -279,7 +279,7 @@
             events=wanted.events,
             last_part=wanted.last_part,
             tried={start for start in excluded if start is not None},
-            share=1 / wanted.coordinators,
+            queue_weight=1 / wanted.coordinators,
         )
 
     def _drop_silent(
