--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -88,7 +88,7 @@
     free: dict[ids.RunnerStart, int]
     avoided: set[ids.RunnerStart]
 
-    def count_free(self) -> int:
+    def count_free_slots(self) -> int:
         return sum(count for count in self.free.values() if count > 0)
 
 
@@ -218,7 +218,7 @@
             for entry in self._list_usable(service, now)
         )
 
-    def count_free(self, service: ids.Pool, now: float) -> int:
+    def count_free_slots(self, service: ids.Pool, now: float) -> int:
         """Return the free places of a service."""
         return sum(
             max(0, self._count_free(entry, now))
@@ -288,7 +288,7 @@
     def _grant(
         self, service: ids.Pool, queue: '_Queue', view: '_View', now: float
     ) -> None:
-        left = view.count_free()
+        left = view.count_free_slots()
         is_yielding = False
         for ticket, ahead in queue.iterate():
             if left <= 0:
@@ -345,7 +345,7 @@
         self, service: ids.Pool, queue: '_Queue', view: '_View', now: float
     ) -> None:
         total = sum(entry.slots for entry in view.entries)
-        free = view.count_free()
+        free = view.count_free_slots()
         hold = self.find_hold_time(service)
         # Those that wait here and go first. One that is refused is out of
         # the way of the next.
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -314,7 +314,7 @@
             told.add(asking)
         if not told:
             return []
-        free = schedule.decisions.count_free(subset.service, now)
+        free = schedule.decisions.count_free_slots(subset.service, now)
         found: list[Outgoing] = []
         for process in sorted(told):
             client = schedule.clients[process]
