--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
@@ -55,7 +55,7 @@
     """Return the runners of a subset, out of those of its service."""
     # By the registered id: a runner that starts again stays in its subset.
     order = sorted(
-        entries, key=lambda entry: _rate(ids.find_runner(entry.start))
+        entries, key=lambda entry: _hash_name(ids.find_runner(entry.start))
     )
     return [
         entry
@@ -64,5 +64,5 @@
     ]
 
 
-def _rate(name: str) -> int:
+def _hash_name(name: str) -> int:
     return xxhash.xxh3_64_intdigest(name.encode())
