--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -60,7 +60,7 @@
     if ticket.last_part:
         home = max(
             open_options,
-            key=lambda candidate: _rate_home(
+            key=lambda candidate: _hash_affinity(
                 ticket.last_part, candidate.runner
             ),
         ).runner
@@ -88,7 +88,7 @@
     return candidate.pace.start_s + read - saved + rest * load
 
 
-def _rate_home(part: str, start: ids.RunnerStart) -> int:
+def _hash_affinity(part: str, start: ids.RunnerStart) -> int:
     # By the registered id: the homes of other runners' parts stay as they are
     # when one of them starts again.
     runner = ids.find_runner(start)
