--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -58,18 +58,18 @@
         candidate for candidate in open_options if not candidate.is_avoided
     ]
     if ticket.last_part:
-        home = max(
+        preferred = max(
             open_options,
             key=lambda candidate: _hash_affinity(
                 ticket.last_part, candidate.runner
             ),
         ).runner
     else:
-        home = None
+        preferred = None
     return min(
         sound or open_options,
         key=lambda candidate: _predict(
-            ticket, candidate, candidate.runner == home
+            ticket, candidate, candidate.runner == preferred
         ),
     )
 
