--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -75,13 +75,13 @@
 
 
 def _predict(
-    ticket: queueing.QueuedRequest, candidate: Candidate, is_home: bool
+    ticket: queueing.QueuedRequest, candidate: Candidate, is_preferred: bool
 ) -> float:
     read = candidate.pace.read_s * ticket.prompt_tokens
     saved = 0.0
     if candidate.has_cached_prefix:
         saved = read
-    elif is_home:
+    elif is_preferred:
         saved = read * PREFERRED_READ_SAVING_RATIO
     load = 1 + FULL_LOAD_SLOWDOWN_RATIO * candidate.used / candidate.slots
     rest = candidate.pace.write_s * ticket.events
