--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -54,7 +54,7 @@
     ]
     if not open_options:
         return None
-    sound = [
+    healthy = [
         candidate for candidate in open_options if not candidate.is_avoided
     ]
     if ticket.last_part:
@@ -67,7 +67,7 @@
     else:
         preferred = None
     return min(
-        sound or open_options,
+        healthy or open_options,
         key=lambda candidate: _predict(
             ticket, candidate, candidate.runner == preferred
         ),
