--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -47,19 +47,17 @@
     ticket: queueing.QueuedRequest, candidates: list[Candidate]
 ) -> Candidate | None:
     """Return the best runner; None if there is no option."""
-    open_options = [
+    untried = [
         candidate
         for candidate in candidates
         if candidate.runner not in ticket.tried
     ]
-    if not open_options:
+    if not untried:
         return None
-    healthy = [
-        candidate for candidate in open_options if not candidate.is_avoided
-    ]
+    healthy = [candidate for candidate in untried if not candidate.is_avoided]
     if ticket.last_part:
         preferred = max(
-            open_options,
+            untried,
             key=lambda candidate: _hash_affinity(
                 ticket.last_part, candidate.runner
             ),
@@ -67,7 +65,7 @@
     else:
         preferred = None
     return min(
-        healthy or open_options,
+        healthy or untried,
         key=lambda candidate: _predict(
             ticket, candidate, candidate.runner == preferred
         ),
