--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -130,7 +130,7 @@
         self._paces = paces
         self._health = fitness
         self._others = others
-        self._spread = rng
+        self._rng = rng
         self._waiting: dict[ids.Pool, list[queueing.QueuedRequest]] = {}
         self.places = places.Places()
         self._loads: dict[ids.RunnerStart, _Load] = {}
@@ -360,7 +360,7 @@
                 continue
             left = ticket.ends_at - now
             back = queueing.choose_retry_delay(
-                min(wait, left), left, self._spread
+                min(wait, left), left, self._rng
             )
             self.leave(ticket)
             eliot.log_message(
