--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -136,7 +136,7 @@
         self._loads: dict[ids.RunnerStart, _Load] = {}
         self._holds: dict[ids.Pool, float] = {}
         self._held: collections.Counter[ids.Pool] = collections.Counter()
-        self._parts: collections.OrderedDict[
+        self._cached_prefixes: collections.OrderedDict[
             tuple[str, ids.RunnerStart], float
         ] = collections.OrderedDict()
         self._yielded_at: dict[ids.Pool, float] = {}
@@ -204,10 +204,10 @@
         """Remember that a runner has read a prompt's last part."""
         if not part:
             return
-        self._parts[(part, runner)] = now
-        self._parts.move_to_end((part, runner))
-        if len(self._parts) > MAX_CACHED_PREFIXES:
-            self._parts.popitem(last=False)
+        self._cached_prefixes[(part, runner)] = now
+        self._cached_prefixes.move_to_end((part, runner))
+        if len(self._cached_prefixes) > MAX_CACHED_PREFIXES:
+            self._cached_prefixes.popitem(last=False)
 
     def has_place(
         self, service: ids.Pool, tried: set[ids.RunnerStart], now: float
@@ -338,7 +338,7 @@
     def _has_part(
         self, part: str, runner: ids.RunnerStart, now: float
     ) -> bool:
-        read_at = self._parts.get((part, runner))
+        read_at = self._cached_prefixes.get((part, runner))
         return read_at is not None and now - read_at < CACHED_PREFIX_MAX_AGE_S
 
     def _refuse(
