--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -326,7 +326,7 @@
                 slots=entry.slots,
                 pace=self._paces.find(entry.service, entry.start),
                 is_avoided=entry.start in view.avoided,
-                has_cached_prefix=self._has_part(
+                has_cached_prefix=self._has_cached_prefix(
                     ticket.last_part, entry.start, now
                 ),
             )
@@ -335,7 +335,7 @@
         ]
         return placement.choose_runner(ticket, candidates)
 
-    def _has_part(
+    def _has_cached_prefix(
         self, part: str, runner: ids.RunnerStart, now: float
     ) -> bool:
         read_at = self._cached_prefixes.get((part, runner))
