--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -301,11 +301,11 @@
                 continue
             left -= 1
             view.free[candidate.runner] -= 1
-            self._give(ticket, candidate.runner)
+            self._grant_slot(ticket, candidate.runner)
         if not is_yielding:
             self._yielded_at.pop(service, None)
 
-    def _give(
+    def _grant_slot(
         self, ticket: queueing.QueuedRequest, runner: ids.RunnerStart
     ) -> None:
         self.leave(ticket)
