--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -261,7 +261,7 @@
             self._health.list_avoided([entry.start for entry in entries], now),
         )
         self._grant(service, queue, view, now)
-        self._refuse(service, queue, view, now)
+        self._reject(service, queue, view, now)
 
     def _list_usable(
         self, service: ids.Pool, now: float
@@ -341,7 +341,7 @@
         read_at = self._cached_prefixes.get((part, runner))
         return read_at is not None and now - read_at < CACHED_PREFIX_MAX_AGE_S
 
-    def _refuse(
+    def _reject(
         self, service: ids.Pool, queue: '_Queue', view: '_View', now: float
     ) -> None:
         total = sum(entry.slots for entry in view.entries)
