--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -134,7 +134,7 @@
         self._waiting: dict[ids.Pool, list[queueing.QueuedRequest]] = {}
         self.places = places.Places()
         self._loads: dict[ids.RunnerStart, _Load] = {}
-        self._holds: dict[ids.Pool, float] = {}
+        self._hold_times: dict[ids.Pool, float] = {}
         self._held: collections.Counter[ids.Pool] = collections.Counter()
         self._cached_prefixes: collections.OrderedDict[
             tuple[str, ids.RunnerStart], float
@@ -175,15 +175,15 @@
         self._held[service] += 1
         weight = max(MIN_HOLD_TIME_WEIGHT, 1 / self._held[service])
         before = self.find_hold_time(service)
-        self._holds[service] = before + (held_s - before) * weight
+        self._hold_times[service] = before + (held_s - before) * weight
 
     def find_hold_time(self, service: ids.Pool) -> float:
         """Return the seconds for which a place is held on average."""
-        return self._holds.get(service, INITIAL_HOLD_TIME_S)
+        return self._hold_times.get(service, INITIAL_HOLD_TIME_S)
 
     def set_hold_time(self, service: ids.Pool, held_s: float) -> None:
         """Take an average that another scheduler has learned."""
-        self._holds[service] = held_s
+        self._hold_times[service] = held_s
 
     def note_load(
         self, runner: ids.RunnerStart, load: tuple[int, int], now: float
