--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -135,7 +135,9 @@
         self.places = places.Places()
         self._loads: dict[ids.RunnerStart, _Load] = {}
         self._hold_times: dict[ids.Pool, float] = {}
-        self._held: collections.Counter[ids.Pool] = collections.Counter()
+        self._hold_counts: collections.Counter[ids.Pool] = (
+            collections.Counter()
+        )
         self._cached_prefixes: collections.OrderedDict[
             tuple[str, ids.RunnerStart], float
         ] = collections.OrderedDict()
@@ -172,8 +174,8 @@
         Only for those that ran to their end: a runner that refuses at once
         would make the wait of all others look short.
         """
-        self._held[service] += 1
-        weight = max(MIN_HOLD_TIME_WEIGHT, 1 / self._held[service])
+        self._hold_counts[service] += 1
+        weight = max(MIN_HOLD_TIME_WEIGHT, 1 / self._hold_counts[service])
         before = self.find_hold_time(service)
         self._hold_times[service] = before + (held_s - before) * weight
 
