--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -144,7 +144,7 @@
         self._yielded_at: dict[ids.Pool, float] = {}
         # Runners of this host's group by service, and what they follow from:
         # the groups, and the changes of the directory.
-        self._own: dict[ids.Pool, list[dialect.RunnerEntry]] = {}
+        self._own_runners: dict[ids.Pool, list[dialect.RunnerEntry]] = {}
         self._own_of: RunnerFilter | None = None
         self._own_at = 0
 
@@ -280,11 +280,11 @@
         partition, changes = self._others.partition, self._runners.changes
         if partition is not self._own_of or changes != self._own_at:
             self._own_of, self._own_at = partition, changes
-            self._own.clear()
-        found = self._own.get(service)
+            self._own_runners.clear()
+        found = self._own_runners.get(service)
         if found is None:
             found = partition.select_runners(self._runners.list_open(service))
-            self._own[service] = found
+            self._own_runners[service] = found
         return found
 
     def _grant(
