--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -145,7 +145,7 @@
         # Runners of this host's group by service, and what they follow from:
         # the groups, and the changes of the directory.
         self._own_runners: dict[ids.Pool, list[dialect.RunnerEntry]] = {}
-        self._own_of: RunnerFilter | None = None
+        self._own_runners_filter: RunnerFilter | None = None
         self._own_at = 0
 
     # Requests.
@@ -278,8 +278,11 @@
         # Kept until hosts or registrations change: sorting the runners at
         # each decision would cost more than the decision.
         partition, changes = self._others.partition, self._runners.changes
-        if partition is not self._own_of or changes != self._own_at:
-            self._own_of, self._own_at = partition, changes
+        if (
+            partition is not self._own_runners_filter
+            or changes != self._own_at
+        ):
+            self._own_runners_filter, self._own_at = partition, changes
             self._own_runners.clear()
         found = self._own_runners.get(service)
         if found is None:
