--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -146,7 +146,7 @@
         # the groups, and the changes of the directory.
         self._own_runners: dict[ids.Pool, list[dialect.RunnerEntry]] = {}
         self._own_runners_filter: RunnerFilter | None = None
-        self._own_at = 0
+        self._own_runners_changes = 0
 
     # Requests.
 
@@ -280,9 +280,12 @@
         partition, changes = self._others.partition, self._runners.changes
         if (
             partition is not self._own_runners_filter
-            or changes != self._own_at
+            or changes != self._own_runners_changes
         ):
-            self._own_runners_filter, self._own_at = partition, changes
+            self._own_runners_filter, self._own_runners_changes = (
+                partition,
+                changes,
+            )
             self._own_runners.clear()
         found = self._own_runners.get(service)
         if found is None:
