--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -270,11 +270,13 @@
     ) -> list[dialect.RunnerEntry]:
         return [
             entry
-            for entry in self._list_own(service)
+            for entry in self._list_own_runners(service)
             if not self._health.is_closed(entry.start, now)
         ]
 
-    def _list_own(self, service: ids.Pool) -> list[dialect.RunnerEntry]:
+    def _list_own_runners(
+        self, service: ids.Pool
+    ) -> list[dialect.RunnerEntry]:
         # Kept until hosts or registrations change: sorting the runners at
         # each decision would cost more than the decision.
         partition, changes = self._others.partition, self._runners.changes
