--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -80,7 +80,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class _View:
+class _RunnerView:
     """Runners of a service, as they are for one pass of decisions."""
 
     entries: list[dialect.RunnerEntry]
@@ -257,7 +257,7 @@
             self._others.list_waiting(service),
         )
         entries = self._list_usable(service, now)
-        view = _View(
+        view = _RunnerView(
             entries,
             {entry.start: self._count_free(entry, now) for entry in entries},
             self._health.list_avoided([entry.start for entry in entries], now),
@@ -296,7 +296,11 @@
         return found
 
     def _grant(
-        self, service: ids.Pool, queue: '_Queue', view: '_View', now: float
+        self,
+        service: ids.Pool,
+        queue: '_Queue',
+        view: '_RunnerView',
+        now: float,
     ) -> None:
         left = view.count_free_slots()
         is_yielding = False
@@ -327,7 +331,7 @@
         return now - since > YIELD_TIMEOUT_S
 
     def _choose(
-        self, ticket: queueing.QueuedRequest, view: '_View', now: float
+        self, ticket: queueing.QueuedRequest, view: '_RunnerView', now: float
     ) -> placement.Candidate | None:
         candidates = [
             placement.Candidate(
@@ -352,7 +356,11 @@
         return read_at is not None and now - read_at < CACHED_PREFIX_MAX_AGE_S
 
     def _reject(
-        self, service: ids.Pool, queue: '_Queue', view: '_View', now: float
+        self,
+        service: ids.Pool,
+        queue: '_Queue',
+        view: '_RunnerView',
+        now: float,
     ) -> None:
         total = sum(entry.slots for entry in view.entries)
         free = view.count_free_slots()
