--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -367,14 +367,14 @@
         hold = self.find_hold_time(service)
         # Those that wait here and go first. One that is refused is out of
         # the way of the next.
-        kept = 0.0
+        ahead_here = 0.0
         for ticket, ahead in queue.iterate():
             if ticket.decision is not None:
                 continue
-            before = kept + ahead
+            before = ahead_here + ahead
             wait = queueing.predict_wait(before, free, total, hold)
             if not _is_hopeless(ticket, wait, total, now):
-                kept += ticket.queue_weight
+                ahead_here += ticket.queue_weight
                 continue
             left = ticket.ends_at - now
             back = queueing.choose_retry_delay(
