--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -377,7 +377,7 @@
                 ahead_here += ticket.queue_weight
                 continue
             left = ticket.ends_at - now
-            back = queueing.choose_retry_delay(
+            retry_after_s = queueing.choose_retry_delay(
                 min(wait, left), left, self._rng
             )
             self.leave(ticket)
@@ -393,7 +393,7 @@
                 hold_s=round(hold, 4),
                 silent_share=round(self._others.find_silent_share(), 3),
             )
-            ticket.decide(queueing.Refusal(back, wait, round(before)))
+            ticket.decide(queueing.Refusal(retry_after_s, wait, round(before)))
 
     def _count_free(self, entry: dialect.RunnerEntry, now: float) -> int:
         own = self.places.running[entry.start]
