--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -307,7 +307,7 @@
         for ticket, ahead in queue.iterate():
             if left <= 0:
                 break
-            if left <= ahead and not self._is_yield_over(service, now):
+            if left <= ahead and not self._has_yield_timed_out(service, now):
                 is_yielding = True
                 break
             candidate = self._choose(ticket, view, now)
@@ -326,7 +326,7 @@
         self.places.take(runner)
         ticket.decide(queueing.Grant(runner))
 
-    def _is_yield_over(self, service: ids.Pool, now: float) -> bool:
+    def _has_yield_timed_out(self, service: ids.Pool, now: float) -> bool:
         since = self._yielded_at.setdefault(service, now)
         return now - since > YIELD_TIMEOUT_S
 
