--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -141,7 +141,7 @@
         self._cached_prefixes: collections.OrderedDict[
             tuple[str, ids.RunnerStart], float
         ] = collections.OrderedDict()
-        self._yielded_at: dict[ids.Pool, float] = {}
+        self._yielding_since: dict[ids.Pool, float] = {}
         # Runners of this host's group by service, and what they follow from:
         # the groups, and the changes of the directory.
         self._own_runners: dict[ids.Pool, list[dialect.RunnerEntry]] = {}
@@ -317,7 +317,7 @@
             view.free[candidate.runner] -= 1
             self._grant_slot(ticket, candidate.runner)
         if not is_yielding:
-            self._yielded_at.pop(service, None)
+            self._yielding_since.pop(service, None)
 
     def _grant_slot(
         self, ticket: queueing.QueuedRequest, runner: ids.RunnerStart
@@ -327,7 +327,7 @@
         ticket.decide(queueing.Grant(runner))
 
     def _has_yield_timed_out(self, service: ids.Pool, now: float) -> bool:
-        since = self._yielded_at.setdefault(service, now)
+        since = self._yielding_since.setdefault(service, now)
         return now - since > YIELD_TIMEOUT_S
 
     def _choose(
