--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -83,7 +83,7 @@
         self.set_slack(slack_units)
         self._buckets: dict[ids.Organisation, buckets.Bucket] = {}
         # What peers handed out of buckets that do not exist here yet.
-        self._kept: dict[
+        self._pending_uses: dict[
             ids.Organisation, collections.deque[buckets.PeerUse]
         ] = {}
         # What this process handed out.
@@ -182,7 +182,7 @@
             bucket = self._buckets.get(name)
             if bucket is None:
                 self._stated[name] = (level, now)
-                self._kept.pop(name, None)
+                self._pending_uses.pop(name, None)
                 continue
             bucket.refill(now)
             bucket.adopt(level)
@@ -244,7 +244,7 @@
 
     def _keep(self, name: ids.Organisation, use: buckets.PeerUse) -> None:
         # The bucket's rate and size are known with the first request here.
-        kept = self._kept.setdefault(
+        kept = self._pending_uses.setdefault(
             name, collections.deque(maxlen=MAX_PENDING_USES)
         )
         last = kept[-1] if kept else None
@@ -301,7 +301,7 @@
         bucket.size = size
         rate = organisation.units_per_s * terms.group_share
         bucket.rate = rate * (1 - silent_share) - terms.remote_units_per_s
-        for use in self._kept.pop(organisation.name, ()):
+        for use in self._pending_uses.pop(organisation.name, ()):
             bucket.count(use)
         bucket.refill(now)
         return bucket
