--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -244,20 +244,20 @@
 
     def _keep(self, name: ids.Organisation, use: buckets.PeerUse) -> None:
         # The bucket's rate and size are known with the first request here.
-        kept = self._pending_uses.setdefault(
+        pending = self._pending_uses.setdefault(
             name, collections.deque(maxlen=MAX_PENDING_USES)
         )
-        last = kept[-1] if kept else None
+        last = pending[-1] if pending else None
         if (
             last is not None
             and last.kind is use.kind is buckets.UseKind.INCREMENT
             and use.at - last.at < PENDING_USE_INTERVAL_S
         ):
-            kept[-1] = buckets.PeerUse(
+            pending[-1] = buckets.PeerUse(
                 last.at, last.units + use.units, use.kind
             )
             return
-        kept.append(use)
+        pending.append(use)
 
     def forget(self, peer: ids.Incarnation) -> None:
         """Drop what is kept about a process that has ended."""
