--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -237,12 +237,14 @@
                 lately[name] = units
             bucket = self._buckets.get(name)
             if bucket is None:
-                self._keep(name, buckets.PeerUse(now, units, kind))
+                self._store_pending(name, buckets.PeerUse(now, units, kind))
             else:
                 bucket.count(buckets.PeerUse(now, units, kind))
         return lately
 
-    def _keep(self, name: ids.Organisation, use: buckets.PeerUse) -> None:
+    def _store_pending(
+        self, name: ids.Organisation, use: buckets.PeerUse
+    ) -> None:
         # The bucket's rate and size are known with the first request here.
         pending = self._pending_uses.setdefault(
             name, collections.deque(maxlen=MAX_PENDING_USES)
