--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -96,7 +96,7 @@
         self._stated: dict[ids.Organisation, tuple[float, float]] = {}
         self._adopted: set[ids.Organisation] = set()
         # What each peer's process said last.
-        self._heard: dict[ids.Incarnation, Usage] = {}
+        self._peer_totals: dict[ids.Incarnation, Usage] = {}
 
     def set_slack(self, slack_units: float) -> None:
         """Take the operators' slack."""
@@ -199,11 +199,11 @@
 
     def has_totals(self, peer: ids.Incarnation) -> bool:
         """Tell whether a peer's totals are known."""
-        return peer in self._heard
+        return peer in self._peer_totals
 
     def set_baseline(self, peer: ids.Incarnation, usage: Usage) -> None:
         """Remember a peer's totals whose use counts elsewhere."""
-        self._heard[peer] = usage
+        self._peer_totals[peer] = usage
 
     def hear(
         self,
@@ -219,8 +219,8 @@
         known.
         """
         lately = Usage()
-        before = self._heard.get(peer)
-        self._heard[peer] = usage
+        before = self._peer_totals.get(peer)
+        self._peer_totals[peer] = usage
         kind = buckets.UseKind.INCREMENT
         if before is None:
             is_past = now - self._started_at <= STARTUP_PERIOD_S and not is_new
@@ -263,7 +263,7 @@
 
     def forget(self, peer: ids.Incarnation) -> None:
         """Drop what is kept about a process that has ended."""
-        self._heard.pop(peer, None)
+        self._peer_totals.pop(peer, None)
 
     def _note_largest(
         self, name: ids.Organisation, cost: float, now: float
