--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -93,7 +93,7 @@
         self._largest: dict[ids.Organisation, tuple[float, float]] = {}
         # Levels that peers stated, and when, for buckets that do not exist
         # here yet; and the organisations whose level was stated.
-        self._stated: dict[ids.Organisation, tuple[float, float]] = {}
+        self._reported_levels: dict[ids.Organisation, tuple[float, float]] = {}
         self._adopted: set[ids.Organisation] = set()
         # What each peer's process said last.
         self._peer_totals: dict[ids.Incarnation, Usage] = {}
@@ -181,7 +181,7 @@
             self._adopted.add(name)
             bucket = self._buckets.get(name)
             if bucket is None:
-                self._stated[name] = (level, now)
+                self._reported_levels[name] = (level, now)
                 self._pending_uses.pop(name, None)
                 continue
             bucket.refill(now)
@@ -288,7 +288,7 @@
             bucket = buckets.Bucket(0.0, self._started_at)
             self._buckets[organisation.name] = bucket
             is_young = True
-            stated = self._stated.pop(organisation.name, None)
+            stated = self._reported_levels.pop(organisation.name, None)
             if stated is not None:
                 bucket.adopt(stated[0])
                 bucket.updated_at = stated[1]
