--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -283,16 +283,16 @@
         silent_share = terms.silent_share
         size = (organisation.burst_units + self._slack) * terms.group_share
         bucket = self._buckets.get(organisation.name)
-        is_young = now - self._started_at <= STARTUP_PERIOD_S
+        is_starting = now - self._started_at <= STARTUP_PERIOD_S
         if bucket is None:
             bucket = buckets.Bucket(0.0, self._started_at)
             self._buckets[organisation.name] = bucket
-            is_young = True
+            is_starting = True
             stated = self._reported_levels.pop(organisation.name, None)
             if stated is not None:
                 bucket.adopt(stated[0])
                 bucket.updated_at = stated[1]
-        if is_young and 1 - silent_share > bucket.initial_share:
+        if is_starting and 1 - silent_share > bucket.initial_share:
             # Of the first units, too, hosts that are not heard have their
             # share: forty hosts that started together handed a first part out
             # twelve times before they heard each other. A host that is
