--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -223,10 +223,12 @@
         self._peer_totals[peer] = usage
         kind = buckets.UseKind.INCREMENT
         if before is None:
-            is_past = now - self._started_at <= STARTUP_PERIOD_S and not is_new
+            is_earlier = (
+                now - self._started_at <= STARTUP_PERIOD_S and not is_new
+            )
             kind = (
                 buckets.UseKind.EARLIER_TOTAL
-                if is_past
+                if is_earlier
                 else buckets.UseKind.FIRST_TOTAL
             )
         for name, total in usage.items():
