--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -135,7 +135,7 @@
         # large, at twice the allowance, 11% were taken and 91% of the small
         # ones; now equal parts. The slack bears this, so that nobody is
         # refused what the organisation is owed.
-        largest = self._note_largest(organisation.name, cost, now)
+        largest = self._update_largest(organisation.name, cost, now)
         needed = max(needed, min(largest, self._slack * terms.group_share))
         needed += terms.reserve
         if bucket.level >= needed:
@@ -267,7 +267,7 @@
         """Drop what is kept about a process that has ended."""
         self._peer_totals.pop(peer, None)
 
-    def _note_largest(
+    def _update_largest(
         self, name: ids.Organisation, cost: float, now: float
     ) -> float:
         largest, at = self._largest.get(name, (0.0, now))
