--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -218,7 +218,7 @@
         is of late. Returns what was handed out lately, as far as that is
         known.
         """
-        lately = Usage()
+        recent = Usage()
         before = self._peer_totals.get(peer)
         self._peer_totals[peer] = usage
         kind = buckets.UseKind.INCREMENT
@@ -236,13 +236,13 @@
             if units == 0.0:
                 continue
             if kind is buckets.UseKind.INCREMENT:
-                lately[name] = units
+                recent[name] = units
             bucket = self._buckets.get(name)
             if bucket is None:
                 self._store_pending(name, buckets.PeerUse(now, units, kind))
             else:
                 bucket.count(buckets.PeerUse(now, units, kind))
-        return lately
+        return recent
 
     def _store_pending(
         self, name: ids.Organisation, use: buckets.PeerUse
