--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
@@ -110,8 +110,10 @@
 
 
 def _sum_units(
-    told: dict[int, quotas.Usage], name: ids.Organisation, groups: int
+    reported: dict[int, quotas.Usage], name: ids.Organisation, groups: int
 ) -> float:
     return sum(
-        units.get(name, 0.0) for group, units in told.items() if group < groups
+        units.get(name, 0.0)
+        for group, units in reported.items()
+        if group < groups
     )
