--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -27,7 +27,7 @@
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class _Notice:
+class _KeyState:
     # When it was given last.
     at: float
     # Those that were held back since then.
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         """Start without any notice given."""
         # The one that was given longest ago comes first.
-        self._notices: collections.OrderedDict[str, _Notice] = (
+        self._notices: collections.OrderedDict[str, _KeyState] = (
             collections.OrderedDict()
         )
 
@@ -58,13 +58,13 @@
             key = OVERFLOW_KEY
         known = self._notices.get(key)
         if known is None:
-            self._notices[key] = _Notice(now)
+            self._notices[key] = _KeyState(now)
             return 0
         if now - known.at < LOG_INTERVAL_S:
             known.held += 1
             return None
         held = known.held
-        self._notices[key] = _Notice(now)
+        self._notices[key] = _KeyState(now)
         self._notices.move_to_end(key)
         return held
 
