--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         """Start without any notice given."""
         # The one that was given longest ago comes first.
-        self._notices: collections.OrderedDict[str, _KeyState] = (
+        self._states: collections.OrderedDict[str, _KeyState] = (
             collections.OrderedDict()
         )
 
@@ -52,31 +52,31 @@
         back before it.
         """
         key = key[:MAX_KEY_CHARACTERS]
-        if key not in self._notices:
+        if key not in self._states:
             self._drop_oldest(now)
-        if key not in self._notices and len(self._notices) >= MAX_KEYS:
+        if key not in self._states and len(self._states) >= MAX_KEYS:
             key = OVERFLOW_KEY
-        known = self._notices.get(key)
+        known = self._states.get(key)
         if known is None:
-            self._notices[key] = _KeyState(now)
+            self._states[key] = _KeyState(now)
             return 0
         if now - known.at < LOG_INTERVAL_S:
             known.held += 1
             return None
         held = known.held
-        self._notices[key] = _KeyState(now)
-        self._notices.move_to_end(key)
+        self._states[key] = _KeyState(now)
+        self._states.move_to_end(key)
         return held
 
     def count_keys(self) -> int:
         """Return the number of keys that are remembered."""
-        return len(self._notices)
+        return len(self._states)
 
     def _drop_oldest(self, now: float) -> None:
-        if len(self._notices) < MAX_KEYS:
+        if len(self._states) < MAX_KEYS:
             return
-        for key, notice in list(self._notices.items()):
+        for key, notice in list(self._states.items()):
             if now - notice.at < LOG_INTERVAL_S:
                 # All that follow are newer.
                 return
-            del self._notices[key]
+            del self._states[key]
