--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -75,8 +75,8 @@
     def _drop_oldest(self, now: float) -> None:
         if len(self._states) < MAX_KEYS:
             return
-        for key, notice in list(self._states.items()):
-            if now - notice.at < LOG_INTERVAL_S:
+        for key, state in list(self._states.items()):
+            if now - state.at < LOG_INTERVAL_S:
                 # All that follow are newer.
                 return
             del self._states[key]
