--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -31,7 +31,7 @@
     # When it was given last.
     at: float
     # Those that were held back since then.
-    held: int = 0
+    suppressed: int = 0
 
 
 @ty.final
@@ -61,12 +61,12 @@
             self._states[key] = _KeyState(now)
             return 0
         if now - known.at < LOG_INTERVAL_S:
-            known.held += 1
+            known.suppressed += 1
             return None
-        held = known.held
+        suppressed = known.suppressed
         self._states[key] = _KeyState(now)
         self._states.move_to_end(key)
-        return held
+        return suppressed
 
     def count_keys(self) -> int:
         """Return the number of keys that are remembered."""
