--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -29,7 +29,7 @@
 @dataclasses.dataclass(slots=True)
 class _KeyState:
     # When it was given last.
-    at: float
+    logged_at: float
     # Those that were held back since then.
     suppressed: int = 0
 
@@ -60,7 +60,7 @@
         if known is None:
             self._states[key] = _KeyState(now)
             return 0
-        if now - known.at < LOG_INTERVAL_S:
+        if now - known.logged_at < LOG_INTERVAL_S:
             known.suppressed += 1
             return None
         suppressed = known.suppressed
@@ -76,7 +76,7 @@
         if len(self._states) < MAX_KEYS:
             return
         for key, state in list(self._states.items()):
-            if now - state.at < LOG_INTERVAL_S:
+            if now - state.logged_at < LOG_INTERVAL_S:
                 # All that follow are newer.
                 return
             del self._states[key]
