--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -53,7 +53,7 @@
         """
         key = key[:MAX_KEY_CHARACTERS]
         if key not in self._states:
-            self._drop_oldest(now)
+            self._evict_expired(now)
         if key not in self._states and len(self._states) >= MAX_KEYS:
             key = OVERFLOW_KEY
         known = self._states.get(key)
@@ -72,7 +72,7 @@
         """Return the number of keys that are remembered."""
         return len(self._states)
 
-    def _drop_oldest(self, now: float) -> None:
+    def _evict_expired(self, now: float) -> None:
         if len(self._states) < MAX_KEYS:
             return
         for key, state in list(self._states.items()):
