--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/averages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/averages.py
@@ -18,19 +18,19 @@
 
     def __init__(self, seconds: float) -> None:
         """Start without any; ``seconds`` is the time of the decay."""
-        self._seconds = seconds
+        self._time_constant_s = seconds
         # The rate, and when it was that.
         self._rates: dict[ids.Organisation, tuple[float, float]] = {}
 
     def record(self, name: ids.Organisation, units: float, now: float) -> None:
         """Count units; below zero for some that were given back."""
-        rate = self.find(name, now) + units / self._seconds
+        rate = self.find(name, now) + units / self._time_constant_s
         self._rates[name] = (max(0.0, rate), now)
 
     def find(self, name: ids.Organisation, now: float) -> float:
         """Return the units a second of an organisation."""
         rate, at = self._rates.get(name, (0.0, now))
-        return rate * math.exp((at - now) / self._seconds)
+        return rate * math.exp((at - now) / self._time_constant_s)
 
     def list_rates(self, now: float) -> dict[ids.Organisation, float]:
         """Return the units a second of all organisations."""
