--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/averages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/averages.py
@@ -16,9 +16,9 @@
 class Rates:
     """Units a second of each organisation."""
 
-    def __init__(self, seconds: float) -> None:
-        """Start without any; ``seconds`` is the time of the decay."""
-        self._time_constant_s = seconds
+    def __init__(self, time_constant_s: float) -> None:
+        """Start without any; ``time_constant_s`` is the time of the decay."""
+        self._time_constant_s = time_constant_s
         # The rate, and when it was that.
         self._rates: dict[ids.Organisation, tuple[float, float]] = {}
 
