--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -66,9 +66,9 @@
         level = self.level + passed * self.rate
         # A new version may have lowered the size: what is above is lost. By
         # now that much would be there without the assumption.
-        lost = max(0.0, level - self.size)
-        self.assumed = max(0.0, self.assumed - lost)
-        self.level = level - lost
+        excess = max(0.0, level - self.size)
+        self.assumed = max(0.0, self.assumed - excess)
+        self.level = level - excess
         self.updated_at = now
 
     def count(self, use: PeerUse) -> None:
