--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -19,7 +19,7 @@
 FESTIN = gatewayparts.make_organisation(100.0)
 
 
-class QuietOthers:
+class FakePeers:
     """Other hosts that run and want what a test says."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.others = QuietOthers()
+        self.others = FakePeers()
         self.runners = directory.Directory(2.0)
         for name in ('r1', 'r2'):
             self.runners.update(gatewayparts.make_entry(name))
