--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -4,9 +4,9 @@
 
 import testtools
 
+import gatewayparts
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import quotas
-import gatewayparts
 
 ORGANISATION = gatewayparts.make_organisation(2000.0)
 COST = 200.0
@@ -73,15 +73,15 @@
         # in turn was stopped and came back with half a bucket, which its
         # peers had handed out already; and the peers, whose buckets were
         # empty, did not count what it handed out before they heard it first.
-        self.assertLessEqual(self.find_most(Host), ALLOWED)
+        self.assertLessEqual(self.find_peak_units(Host), ALLOWED)
 
     def test_hosts_that_stop_again_and_again(self) -> None:
         # The same, with 23,800 units in 8 s where 21,800 are allowed: hosts
         # that had just started took what other new ones had handed out for
         # something of the past, and knew nothing of their peers' debts.
-        self.assertLessEqual(self.find_most(OftenStopped), ALLOWED)
+        self.assertLessEqual(self.find_peak_units(OftenStopped), ALLOWED)
 
-    def find_most(self, kind: type[Host]) -> float:
+    def find_peak_units(self, kind: type[Host]) -> float:
         """Return the most units that ran within a window."""
         runs = self.play([kind(number) for number in range(HOSTS)])
         return max(
