--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -17,7 +17,7 @@
 ALLOWED = (2000.0 * WINDOW_S + 2000.0) * 1.1 + SLACK
 STEP_S = 0.01
 # Seconds between two messages of a host.
-TELL_S = 0.05
+REPORT_INTERVAL_S = 0.05
 # When the first host stops, until the next one does, and how long each is
 # away; seconds.
 FIRST_STOP = 3.0
@@ -110,7 +110,7 @@
                     is None
                 ):
                     runs.append(now)
-            if step % round(TELL_S / STEP_S) == 0:
+            if step % round(REPORT_INTERVAL_S / STEP_S) == 0:
                 self.tell(here, now)
         return runs
 
