--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -24,7 +24,7 @@
 STOP_INTERVAL = 1.0
 AWAY_S = 0.45
 # Seconds between two stops of a host that stops again and again.
-OFTEN_S = 4.65
+STOP_PERIOD_S = 4.65
 
 
 @dataclasses.dataclass
@@ -61,8 +61,8 @@
     """A host that stops again and again."""
 
     def is_away(self, now: float) -> bool:
-        first = FIRST_STOP + OFTEN_S / HOSTS * self.number
-        return now >= first and (now - first) % OFTEN_S < AWAY_S
+        first = FIRST_STOP + STOP_PERIOD_S / HOSTS * self.number
+        return now >= first and (now - first) % STOP_PERIOD_S < AWAY_S
 
 
 class TestRollingRestart(testtools.TestCase):
