--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -22,7 +22,7 @@
 # away; seconds.
 FIRST_STOP = 3.0
 STOP_INTERVAL = 1.0
-AWAY_S = 0.45
+DOWNTIME_S = 0.45
 # Seconds between two stops of a host that stops again and again.
 STOP_PERIOD_S = 4.65
 
@@ -54,7 +54,7 @@
 
     def is_away(self, now: float) -> bool:
         stopped_at = FIRST_STOP + STOP_INTERVAL * self.number
-        return stopped_at <= now < stopped_at + AWAY_S
+        return stopped_at <= now < stopped_at + DOWNTIME_S
 
 
 class OftenStopped(Host):
@@ -62,7 +62,7 @@
 
     def is_away(self, now: float) -> bool:
         first = FIRST_STOP + STOP_PERIOD_S / HOSTS * self.number
-        return now >= first and (now - first) % STOP_PERIOD_S < AWAY_S
+        return now >= first and (now - first) % STOP_PERIOD_S < DOWNTIME_S
 
 
 class TestRollingRestart(testtools.TestCase):
