--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -20,7 +20,7 @@
 REPORT_INTERVAL_S = 0.05
 # When the first host stops, until the next one does, and how long each is
 # away; seconds.
-FIRST_STOP = 3.0
+FIRST_STOP_S = 3.0
 STOP_INTERVAL = 1.0
 DOWNTIME_S = 0.45
 # Seconds between two stops of a host that stops again and again.
@@ -53,7 +53,7 @@
         return ids.Incarnation(f'{self.number}/{self.started_at}')
 
     def is_away(self, now: float) -> bool:
-        stopped_at = FIRST_STOP + STOP_INTERVAL * self.number
+        stopped_at = FIRST_STOP_S + STOP_INTERVAL * self.number
         return stopped_at <= now < stopped_at + DOWNTIME_S
 
 
@@ -61,7 +61,7 @@
     """A host that stops again and again."""
 
     def is_away(self, now: float) -> bool:
-        first = FIRST_STOP + STOP_PERIOD_S / HOSTS * self.number
+        first = FIRST_STOP_S + STOP_PERIOD_S / HOSTS * self.number
         return now >= first and (now - first) % STOP_PERIOD_S < DOWNTIME_S
 
 
