--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -21,7 +21,7 @@
 # When the first host stops, until the next one does, and how long each is
 # away; seconds.
 FIRST_STOP_S = 3.0
-STOP_INTERVAL = 1.0
+STOP_INTERVAL_S = 1.0
 DOWNTIME_S = 0.45
 # Seconds between two stops of a host that stops again and again.
 STOP_PERIOD_S = 4.65
@@ -53,7 +53,7 @@
         return ids.Incarnation(f'{self.number}/{self.started_at}')
 
     def is_away(self, now: float) -> bool:
-        stopped_at = FIRST_STOP_S + STOP_INTERVAL * self.number
+        stopped_at = FIRST_STOP_S + STOP_INTERVAL_S * self.number
         return stopped_at <= now < stopped_at + DOWNTIME_S
 
 
