--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -14,7 +14,7 @@
 HOSTS = 7
 # The operators' window, seconds, and what may run in it.
 WINDOW_S = 8.0
-ALLOWED = (2000.0 * WINDOW_S + 2000.0) * 1.1 + SLACK
+MAX_UNITS = (2000.0 * WINDOW_S + 2000.0) * 1.1 + SLACK
 STEP_S = 0.01
 # Seconds between two messages of a host.
 REPORT_INTERVAL_S = 0.05
@@ -73,13 +73,13 @@
         # in turn was stopped and came back with half a bucket, which its
         # peers had handed out already; and the peers, whose buckets were
         # empty, did not count what it handed out before they heard it first.
-        self.assertLessEqual(self.find_peak_units(Host), ALLOWED)
+        self.assertLessEqual(self.find_peak_units(Host), MAX_UNITS)
 
     def test_hosts_that_stop_again_and_again(self) -> None:
         # The same, with 23,800 units in 8 s where 21,800 are allowed: hosts
         # that had just started took what other new ones had handed out for
         # something of the past, and knew nothing of their peers' debts.
-        self.assertLessEqual(self.find_peak_units(OftenStopped), ALLOWED)
+        self.assertLessEqual(self.find_peak_units(OftenStopped), MAX_UNITS)
 
     def find_peak_units(self, kind: type[Host]) -> float:
         """Return the most units that ran within a window."""
