--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -10,11 +10,11 @@
 
 ORGANISATION = gatewayparts.make_organisation(2000.0)
 COST = 200.0
-SLACK = 2000.0
+SLACK_UNITS = 2000.0
 HOSTS = 7
 # The operators' window, seconds, and what may run in it.
 WINDOW_S = 8.0
-MAX_UNITS = (2000.0 * WINDOW_S + 2000.0) * 1.1 + SLACK
+MAX_UNITS = (2000.0 * WINDOW_S + 2000.0) * 1.1 + SLACK_UNITS
 STEP_S = 0.01
 # Seconds between two messages of a host.
 REPORT_INTERVAL_S = 0.05
@@ -32,12 +32,12 @@
     number: int
     # Full buckets: these hosts have run for a while.
     buckets: quotas.Quotas = dataclasses.field(
-        default_factory=lambda: quotas.Quotas(SLACK, -100.0)
+        default_factory=lambda: quotas.Quotas(SLACK_UNITS, -100.0)
     )
     started_at: float = -100.0
 
     def start(self, now: float) -> None:
-        self.buckets = quotas.Quotas(SLACK, now)
+        self.buckets = quotas.Quotas(SLACK_UNITS, now)
         self.started_at = now
 
     def is_new(self, now: float) -> bool:
--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -5,12 +5,12 @@
 
 import testtools
 
-from apricotlandingd.gateway.decisions import quotas
 import gatewayparts
+from apricotlandingd.gateway.decisions import quotas
 
 # Units a second, and the operators' slack.
 RATE = 1000.0
-SLACK = 20_000.0
+SLACK_UNITS = 20_000.0
 SECONDS = 60.0
 # Sizes of one kind of request: most are small, a tenth is ten times as large.
 SMALL = 100.0
@@ -29,7 +29,7 @@
         return self.taken / self.asked
 
 
-def play(load: float, slack: float = SLACK) -> dict[float, Counts]:
+def play(load: float, slack: float = SLACK_UNITS) -> dict[float, Counts]:
     """Ask for so many times the allowance; return what became of it."""
     spread = random.Random(7)
     buckets = quotas.Quotas(slack, 0.0)
