--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -9,7 +9,7 @@
 from apricotlandingd.gateway.decisions import quotas
 
 ORGANISATION = gatewayparts.make_organisation(2000.0)
-COST = 200.0
+COST_UNITS = 200.0
 SLACK_UNITS = 2000.0
 HOSTS = 7
 # The operators' window, seconds, and what may run in it.
@@ -85,7 +85,7 @@
         """Return the most units that ran within a window."""
         runs = self.play([kind(number) for number in range(HOSTS)])
         return max(
-            sum(COST for other in runs if at <= other <= at + WINDOW_S)
+            sum(COST_UNITS for other in runs if at <= other <= at + WINDOW_S)
             for at in runs
         )
 
@@ -105,7 +105,7 @@
             for host in here:
                 if (
                     gatewayparts.take_units(
-                        host.buckets, ORGANISATION, COST, 0.0, now
+                        host.buckets, ORGANISATION, COST_UNITS, 0.0, now
                     )
                     is None
                 ):
