--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -11,7 +11,7 @@
 # Units a second, and the operators' slack.
 RATE = 1000.0
 SLACK_UNITS = 20_000.0
-SECONDS = 60.0
+DURATION_S = 60.0
 # Sizes of one kind of request: most are small, a tenth is ten times as large.
 SMALL = 100.0
 LARGE = 1000.0
@@ -37,7 +37,7 @@
     counts = {SMALL: Counts(), LARGE: Counts()}
     mean = SMALL + LARGE_SHARE * (LARGE - SMALL)
     now = 0.0
-    while now < SECONDS:
+    while now < DURATION_S:
         now += spread.expovariate(load * RATE / mean)
         cost = LARGE if spread.random() < LARGE_SHARE else SMALL
         counts[cost].asked += 1
@@ -63,7 +63,7 @@
         for load in (1.5, 2.0, 4.0):
             counts = play(load)
             used = SMALL * counts[SMALL].taken + LARGE * counts[LARGE].taken
-            self.assertGreaterEqual(used, RATE * SECONDS)
+            self.assertGreaterEqual(used, RATE * DURATION_S)
 
     def test_nobody_below_the_allowance_is_refused(self) -> None:
         for found in play(load=0.7).values():
