--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -9,7 +9,7 @@
 from apricotlandingd.gateway.decisions import quotas
 
 # Units a second, and the operators' slack.
-RATE = 1000.0
+RATE_UNITS_PER_S = 1000.0
 SLACK_UNITS = 20_000.0
 DURATION_S = 60.0
 # Sizes of one kind of request: most are small, a tenth is ten times as large.
@@ -33,12 +33,12 @@
     """Ask for so many times the allowance; return what became of it."""
     spread = random.Random(7)
     buckets = quotas.Quotas(slack, 0.0)
-    organisation = gatewayparts.make_organisation(RATE)
+    organisation = gatewayparts.make_organisation(RATE_UNITS_PER_S)
     counts = {SMALL: Counts(), LARGE: Counts()}
     mean = SMALL + LARGE_SHARE * (LARGE - SMALL)
     now = 0.0
     while now < DURATION_S:
-        now += spread.expovariate(load * RATE / mean)
+        now += spread.expovariate(load * RATE_UNITS_PER_S / mean)
         cost = LARGE if spread.random() < LARGE_SHARE else SMALL
         counts[cost].asked += 1
         wait = gatewayparts.take_units(buckets, organisation, cost, 0.0, now)
@@ -63,7 +63,7 @@
         for load in (1.5, 2.0, 4.0):
             counts = play(load)
             used = SMALL * counts[SMALL].taken + LARGE * counts[LARGE].taken
-            self.assertGreaterEqual(used, RATE * DURATION_S)
+            self.assertGreaterEqual(used, RATE_UNITS_PER_S * DURATION_S)
 
     def test_nobody_below_the_allowance_is_refused(self) -> None:
         for found in play(load=0.7).values():
@@ -73,7 +73,7 @@
         # What is held back comes out of the slack only: a caller within its
         # burst is owed its place.
         buckets = quotas.Quotas(0.0, -100.0)
-        organisation = gatewayparts.make_organisation(RATE)
+        organisation = gatewayparts.make_organisation(RATE_UNITS_PER_S)
         self.assertIsNone(
             gatewayparts.take_units(buckets, organisation, 900.0, 0.0, 0.0)
         )
