--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -14,7 +14,7 @@
 DURATION_S = 60.0
 # Sizes of one kind of request: most are small, a tenth is ten times as large.
 SMALL_UNITS = 100.0
-LARGE = 1000.0
+LARGE_UNITS = 1000.0
 LARGE_SHARE = 0.1
 
 
@@ -34,12 +34,12 @@
     spread = random.Random(7)
     buckets = quotas.Quotas(slack, 0.0)
     organisation = gatewayparts.make_organisation(RATE_UNITS_PER_S)
-    counts = {SMALL_UNITS: Counts(), LARGE: Counts()}
-    mean = SMALL_UNITS + LARGE_SHARE * (LARGE - SMALL_UNITS)
+    counts = {SMALL_UNITS: Counts(), LARGE_UNITS: Counts()}
+    mean = SMALL_UNITS + LARGE_SHARE * (LARGE_UNITS - SMALL_UNITS)
     now = 0.0
     while now < DURATION_S:
         now += spread.expovariate(load * RATE_UNITS_PER_S / mean)
-        cost = LARGE if spread.random() < LARGE_SHARE else SMALL_UNITS
+        cost = LARGE_UNITS if spread.random() < LARGE_SHARE else SMALL_UNITS
         counts[cost].asked += 1
         wait = gatewayparts.take_units(buckets, organisation, cost, 0.0, now)
         counts[cost].taken += wait is None
@@ -56,7 +56,8 @@
         # as it came: there were never enough at once for a large one.
         counts = play(load=2.0)
         self.assertGreaterEqual(
-            counts[LARGE].find_share(), 0.8 * counts[SMALL_UNITS].find_share()
+            counts[LARGE_UNITS].find_share(),
+            0.8 * counts[SMALL_UNITS].find_share(),
         )
 
     def test_allowance_is_used_all_the_same(self) -> None:
@@ -64,7 +65,7 @@
             counts = play(load)
             used = (
                 SMALL_UNITS * counts[SMALL_UNITS].taken
-                + LARGE * counts[LARGE].taken
+                + LARGE_UNITS * counts[LARGE_UNITS].taken
             )
             self.assertGreaterEqual(used, RATE_UNITS_PER_S * DURATION_S)
 
