--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -31,15 +31,15 @@
 
 def play(load: float, slack: float = SLACK_UNITS) -> dict[float, Counts]:
     """Ask for so many times the allowance; return what became of it."""
-    spread = random.Random(7)
+    rng = random.Random(7)
     buckets = quotas.Quotas(slack, 0.0)
     organisation = gatewayparts.make_organisation(RATE_UNITS_PER_S)
     counts = {SMALL_UNITS: Counts(), LARGE_UNITS: Counts()}
     mean = SMALL_UNITS + LARGE_SHARE * (LARGE_UNITS - SMALL_UNITS)
     now = 0.0
     while now < DURATION_S:
-        now += spread.expovariate(load * RATE_UNITS_PER_S / mean)
-        cost = LARGE_UNITS if spread.random() < LARGE_SHARE else SMALL_UNITS
+        now += rng.expovariate(load * RATE_UNITS_PER_S / mean)
+        cost = LARGE_UNITS if rng.random() < LARGE_SHARE else SMALL_UNITS
         counts[cost].asked += 1
         wait = gatewayparts.take_units(buckets, organisation, cost, 0.0, now)
         counts[cost].taken += wait is None
