--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -57,7 +57,7 @@
         return stopped_at <= now < stopped_at + DOWNTIME_S
 
 
-class OftenStopped(Host):
+class RepeatedlyStoppedHost(Host):
     """A host that stops again and again."""
 
     def is_away(self, now: float) -> bool:
@@ -79,7 +79,9 @@
         # The same, with 23,800 units in 8 s where 21,800 are allowed: hosts
         # that had just started took what other new ones had handed out for
         # something of the past, and knew nothing of their peers' debts.
-        self.assertLessEqual(self.find_peak_units(OftenStopped), MAX_UNITS)
+        self.assertLessEqual(
+            self.find_peak_units(RepeatedlyStoppedHost), MAX_UNITS
+        )
 
     def find_peak_units(self, kind: type[Host]) -> float:
         """Return the most units that ran within a window."""
