--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -93,16 +93,16 @@
 
     def play(self, hosts: list[Host]) -> list[float]:
         """Return when the requests ran."""
-        gone: set[int] = set()
+        stopped: set[int] = set()
         runs: list[float] = []
         for step in range(1500):
             now = step * STEP_S
             here = [host for host in hosts if not host.is_away(now)]
             for host in hosts:
                 if host.is_away(now):
-                    gone.add(host.number)
-                elif host.number in gone:
-                    gone.remove(host.number)
+                    stopped.add(host.number)
+                elif host.number in stopped:
+                    stopped.remove(host.number)
                     host.start(now)
             for host in here:
                 if (
