--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -97,14 +97,14 @@
         runs: list[float] = []
         for step in range(1500):
             now = step * STEP_S
-            here = [host for host in hosts if not host.is_away(now)]
+            running = [host for host in hosts if not host.is_away(now)]
             for host in hosts:
                 if host.is_away(now):
                     stopped.add(host.number)
                 elif host.number in stopped:
                     stopped.remove(host.number)
                     host.start(now)
-            for host in here:
+            for host in running:
                 if (
                     gatewayparts.take_units(
                         host.buckets, ORGANISATION, COST_UNITS, 0.0, now
@@ -113,7 +113,7 @@
                 ):
                     runs.append(now)
             if step % round(REPORT_INTERVAL_S / STEP_S) == 0:
-                self.tell(here, now)
+                self.tell(running, now)
         return runs
 
     def tell(self, hosts: list[Host], now: float) -> None:
