--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -113,10 +113,10 @@
                 ):
                     runs.append(now)
             if step % round(REPORT_INTERVAL_S / STEP_S) == 0:
-                self.tell(running, now)
+                self.exchange_totals(running, now)
         return runs
 
-    def tell(self, hosts: list[Host], now: float) -> None:
+    def exchange_totals(self, hosts: list[Host], now: float) -> None:
         """Let each host hear the totals of all others."""
         for host in hosts:
             for peer in hosts:
