--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -52,7 +52,7 @@
     def find_incarnation(self) -> ids.Incarnation:
         return ids.Incarnation(f'{self.number}/{self.started_at}')
 
-    def is_away(self, now: float) -> bool:
+    def is_down(self, now: float) -> bool:
         stopped_at = FIRST_STOP_S + STOP_INTERVAL_S * self.number
         return stopped_at <= now < stopped_at + DOWNTIME_S
 
@@ -60,7 +60,7 @@
 class RepeatedlyStoppedHost(Host):
     """A host that stops again and again."""
 
-    def is_away(self, now: float) -> bool:
+    def is_down(self, now: float) -> bool:
         first = FIRST_STOP_S + STOP_PERIOD_S / HOSTS * self.number
         return now >= first and (now - first) % STOP_PERIOD_S < DOWNTIME_S
 
@@ -97,9 +97,9 @@
         runs: list[float] = []
         for step in range(1500):
             now = step * STEP_S
-            running = [host for host in hosts if not host.is_away(now)]
+            running = [host for host in hosts if not host.is_down(now)]
             for host in hosts:
-                if host.is_away(now):
+                if host.is_down(now):
                     stopped.add(host.number)
                 elif host.number in stopped:
                     stopped.remove(host.number)
