--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -39,7 +39,7 @@
     pace,
 )
 
-LONGEST_ERROR = 1000
+MAX_ERROR_CHARACTERS = 1000
 FESTIN = gatewayparts.make_organisation(100.0)
 
 
@@ -103,7 +103,7 @@
     """Checks that all tests share."""
 
     def check_error(self, error: Exception) -> None:
-        self.assertLess(len(str(error)), LONGEST_ERROR)
+        self.assertLess(len(str(error)), MAX_ERROR_CHARACTERS)
 
     def decode(self, data: bytes) -> ty.Any:
         """Return a message; None for the decoder's own error."""
