--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -54,16 +54,18 @@
     return ty.cast(
         bytes,
         msgpack.packb(
-            _soften(value), default=repr, unicode_errors='surrogatepass'
+            _replace_unpackable(value),
+            default=repr,
+            unicode_errors='surrogatepass',
         ),
     )
 
 
-def _soften(value: ty.Any) -> ty.Any:
+def _replace_unpackable(value: ty.Any) -> ty.Any:
     if isinstance(value, dict):
-        return {key: _soften(item) for key, item in value.items()}
+        return {key: _replace_unpackable(item) for key, item in value.items()}
     if isinstance(value, list):
-        return [_soften(item) for item in value]
+        return [_replace_unpackable(item) for item in value]
     if isinstance(value, int) and not -(2**63) <= value < 2**64:
         return float('inf')
     return value
