--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -44,22 +44,22 @@
 
 
 def choose_runner(
-    ticket: queueing.QueuedRequest, candidates: list[Candidate]
+    request: queueing.QueuedRequest, candidates: list[Candidate]
 ) -> Candidate | None:
     """Return the best runner; None if there is no option."""
     untried = [
         candidate
         for candidate in candidates
-        if candidate.runner not in ticket.tried
+        if candidate.runner not in request.tried
     ]
     if not untried:
         return None
     healthy = [candidate for candidate in untried if not candidate.is_avoided]
-    if ticket.last_part:
+    if request.last_part:
         preferred = max(
             untried,
             key=lambda candidate: _hash_affinity(
-                ticket.last_part, candidate.runner
+                request.last_part, candidate.runner
             ),
         ).runner
     else:
@@ -67,22 +67,22 @@
     return min(
         healthy or untried,
         key=lambda candidate: _predict(
-            ticket, candidate, candidate.runner == preferred
+            request, candidate, candidate.runner == preferred
         ),
     )
 
 
 def _predict(
-    ticket: queueing.QueuedRequest, candidate: Candidate, is_preferred: bool
+    request: queueing.QueuedRequest, candidate: Candidate, is_preferred: bool
 ) -> float:
-    read = candidate.pace.read_s * ticket.prompt_tokens
+    read = candidate.pace.read_s * request.prompt_tokens
     saved = 0.0
     if candidate.has_cached_prefix:
         saved = read
     elif is_preferred:
         saved = read * PREFERRED_READ_SAVING_RATIO
     load = 1 + FULL_LOAD_SLOWDOWN_RATIO * candidate.used / candidate.slots
-    rest = candidate.pace.write_s * ticket.events
+    rest = candidate.pace.write_s * request.events
     return candidate.pace.start_s + read - saved + rest * load
 
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -107,10 +107,10 @@
     ) -> collections.abc.Iterator[tuple[queueing.QueuedRequest, int]]:
         """Yield own requests, and how many at peers go before each."""
         ahead = 0
-        for rank, ticket in self.own:
+        for rank, request in self.own:
             while ahead < len(self.others) and self.others[ahead] < rank:
                 ahead += 1
-            yield ticket, ahead
+            yield request, ahead
 
 
 @ty.final
@@ -150,16 +150,16 @@
 
     # Requests.
 
-    def enter(self, ticket: queueing.QueuedRequest, now: float) -> None:
+    def enter(self, request: queueing.QueuedRequest, now: float) -> None:
         """Let a request wait; it may be decided at once."""
-        self._waiting.setdefault(ticket.service, []).append(ticket)
-        self.schedule_service(ticket.service, now)
+        self._waiting.setdefault(request.service, []).append(request)
+        self.schedule_service(request.service, now)
 
-    def leave(self, ticket: queueing.QueuedRequest) -> None:
+    def leave(self, request: queueing.QueuedRequest) -> None:
         """Drop a request that waits no more."""
-        requests = self._waiting.get(ticket.service, [])
-        if ticket in requests:
-            requests.remove(ticket)
+        requests = self._waiting.get(request.service, [])
+        if request in requests:
+            requests.remove(request)
 
     def release(
         self, service: ids.Pool, runner: ids.RunnerStart, now: float
@@ -232,7 +232,7 @@
     def list_waiting(self, now: float) -> dict[ids.Pool, list[queueing.Rank]]:
         """Return the ranks of what waits here, sorted, by service."""
         return {
-            service: sorted(ticket.find_rank(now) for ticket in requests)
+            service: sorted(request.find_rank(now) for request in requests)
             for service, requests in self._waiting.items()
             if requests
         }
@@ -251,7 +251,7 @@
             return
         queue = _Queue(
             sorted(
-                ((ticket.find_rank(now), ticket) for ticket in requests),
+                ((request.find_rank(now), request) for request in requests),
                 key=_find_rank,
             ),
             self._others.list_waiting(service),
@@ -304,34 +304,34 @@
     ) -> None:
         left = view.count_free_slots()
         is_yielding = False
-        for ticket, ahead in queue.iterate():
+        for request, ahead in queue.iterate():
             if left <= 0:
                 break
             if left <= ahead and not self._has_yield_timed_out(service, now):
                 is_yielding = True
                 break
-            candidate = self._choose(ticket, view, now)
+            candidate = self._choose(request, view, now)
             if candidate is None:
                 continue
             left -= 1
             view.free[candidate.runner] -= 1
-            self._grant_slot(ticket, candidate.runner)
+            self._grant_slot(request, candidate.runner)
         if not is_yielding:
             self._yielding_since.pop(service, None)
 
     def _grant_slot(
-        self, ticket: queueing.QueuedRequest, runner: ids.RunnerStart
+        self, request: queueing.QueuedRequest, runner: ids.RunnerStart
     ) -> None:
-        self.leave(ticket)
+        self.leave(request)
         self.places.take(runner)
-        ticket.decide(queueing.Grant(runner))
+        request.decide(queueing.Grant(runner))
 
     def _has_yield_timed_out(self, service: ids.Pool, now: float) -> bool:
         since = self._yielding_since.setdefault(service, now)
         return now - since > YIELD_TIMEOUT_S
 
     def _choose(
-        self, ticket: queueing.QueuedRequest, view: '_RunnerView', now: float
+        self, request: queueing.QueuedRequest, view: '_RunnerView', now: float
     ) -> placement.Candidate | None:
         candidates = [
             placement.Candidate(
@@ -341,13 +341,13 @@
                 pace=self._paces.find(entry.service, entry.start),
                 is_avoided=entry.start in view.avoided,
                 has_cached_prefix=self._has_cached_prefix(
-                    ticket.last_part, entry.start, now
+                    request.last_part, entry.start, now
                 ),
             )
             for entry in view.entries
             if view.free[entry.start] > 0
         ]
-        return placement.choose_runner(ticket, candidates)
+        return placement.choose_runner(request, candidates)
 
     def _has_cached_prefix(
         self, part: str, runner: ids.RunnerStart, now: float
@@ -368,24 +368,24 @@
         # Those that wait here and go first. One that is refused is out of
         # the way of the next.
         ahead_here = 0.0
-        for ticket, ahead in queue.iterate():
-            if ticket.decision is not None:
+        for request, ahead in queue.iterate():
+            if request.decision is not None:
                 continue
             before = ahead_here + ahead
             wait = queueing.predict_wait(before, free, total, hold)
-            if not _is_hopeless(ticket, wait, total, now):
-                ahead_here += ticket.queue_weight
+            if not _is_hopeless(request, wait, total, now):
+                ahead_here += request.queue_weight
                 continue
-            left = ticket.ends_at - now
+            left = request.ends_at - now
             retry_after_s = queueing.choose_retry_delay(
                 min(wait, left), left, self._rng
             )
-            self.leave(ticket)
+            self.leave(request)
             eliot.log_message(
                 'gateway:refused',
-                attempt=ticket.attempt,
+                attempt=request.attempt,
                 service=service,
-                waited_s=round(now - ticket.arrived_at, 4),
+                waited_s=round(now - request.arrived_at, 4),
                 wait_s=round(min(wait, 999.0), 4),
                 ahead=round(before, 1),
                 free=free,
@@ -393,7 +393,9 @@
                 hold_s=round(hold, 4),
                 silent_share=round(self._others.find_silent_share(), 3),
             )
-            ticket.decide(queueing.Refusal(retry_after_s, wait, round(before)))
+            request.decide(
+                queueing.Refusal(retry_after_s, wait, round(before))
+            )
 
     def _count_free(self, entry: dialect.RunnerEntry, now: float) -> int:
         own = self.places.running[entry.start]
@@ -423,8 +425,8 @@
 
 
 def _is_hopeless(
-    ticket: queueing.QueuedRequest, wait_s: float, places: int, now: float
+    request: queueing.QueuedRequest, wait_s: float, places: int, now: float
 ) -> bool:
     if places == 0:
-        return now - ticket.arrived_at > NO_RUNNER_TIMEOUT_S
-    return now + wait_s > ticket.useful_until
+        return now - request.arrived_at > NO_RUNNER_TIMEOUT_S
+    return now + wait_s > request.useful_until
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -58,7 +58,7 @@
     attempt: str, now: float, **changes: ty.Any
 ) -> queueing.QueuedRequest:
     """Return a request of the pool's most urgent tier, on time for 1 s."""
-    ticket = queueing.QueuedRequest(
+    request = queueing.QueuedRequest(
         attempt=attempt,
         service=POOL,
         tier=ids.Tier(0),
@@ -71,7 +71,7 @@
         events=10,
         last_part='',
     )
-    return dataclasses.replace(ticket, **changes)
+    return dataclasses.replace(request, **changes)
 
 
 def take_units(
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -66,7 +66,7 @@
         useful_until: float | None = None,
     ) -> queueing.QueuedRequest:
         self.count += 1
-        ticket = gatewayparts.make_queued_request(
+        request = gatewayparts.make_queued_request(
             f'a{self.count}',
             now,
             tier=ids.Tier(tier),
@@ -75,20 +75,20 @@
             useful_until=now + 3 if useful_until is None else useful_until,
             ends_at=now + 15,
         )
-        self.scheduler.enter(ticket, now)
-        return ticket
+        self.scheduler.enter(request, now)
+        return request
 
     def fill(self, now: float = 0.0) -> list[queueing.QueuedRequest]:
         return [self.enter(now) for _ in range(4)]
 
-    def release(self, ticket: queueing.QueuedRequest, now: float) -> None:
-        grant = ticket.decision
+    def release(self, request: queueing.QueuedRequest, now: float) -> None:
+        grant = request.decision
         assert isinstance(grant, queueing.Grant)
         self.scheduler.release(gatewayparts.POOL, grant.runner, now)
 
     def test_free_place_is_granted_at_once(self) -> None:
-        for ticket in self.fill():
-            self.assertIsInstance(ticket.decision, queueing.Grant)
+        for request in self.fill():
+            self.assertIsInstance(request.decision, queueing.Grant)
 
     def test_places_are_never_overfilled(self) -> None:
         self.fill()
@@ -174,10 +174,10 @@
             self.runners.update(
                 gatewayparts.make_entry(name, is_draining=True)
             )
-        ticket = self.enter(0.0)
-        self.assertIsNone(ticket.decision)
+        request = self.enter(0.0)
+        self.assertIsNone(request.decision)
         self.scheduler.pump(scheduler.NO_RUNNER_TIMEOUT_S + 0.1)
-        self.assertIsInstance(ticket.decision, queueing.Refusal)
+        self.assertIsInstance(request.decision, queueing.Refusal)
 
     def test_host_that_hears_nobody_uses_its_share(self) -> None:
         # Cut off from the other hosts, which may go on serving: all of them
