--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -129,7 +129,7 @@
         self._runners = runners
         self._paces = paces
         self._health = fitness
-        self._others = others
+        self._peers = others
         self._rng = rng
         self._waiting: dict[ids.Pool, list[queueing.QueuedRequest]] = {}
         self.places = places.Places()
@@ -254,7 +254,7 @@
                 ((request.find_rank(now), request) for request in requests),
                 key=_find_rank,
             ),
-            self._others.list_waiting(service),
+            self._peers.list_waiting(service),
         )
         entries = self._list_usable(service, now)
         view = _RunnerView(
@@ -279,7 +279,7 @@
     ) -> list[dialect.RunnerEntry]:
         # Kept until hosts or registrations change: sorting the runners at
         # each decision would cost more than the decision.
-        partition, changes = self._others.partition, self._runners.changes
+        partition, changes = self._peers.partition, self._runners.changes
         if (
             partition is not self._own_runners_filter
             or changes != self._own_runners_changes
@@ -391,7 +391,7 @@
                 free=free,
                 places=total,
                 hold_s=round(hold, 4),
-                silent_share=round(self._others.find_silent_share(), 3),
+                silent_share=round(self._peers.find_silent_share(), 3),
             )
             request.decide(
                 queueing.Refusal(retry_after_s, wait, round(before))
@@ -399,8 +399,8 @@
 
     def _count_free(self, entry: dialect.RunnerEntry, now: float) -> int:
         own = self.places.running[entry.start]
-        others = self._others.count_running(entry.start)
-        silent = self._others.find_silent_share()
+        others = self._peers.count_running(entry.start)
+        silent = self._peers.find_silent_share()
         if silent > 0:
             others = max(others, self._estimate_silent(entry, silent, now))
         return entry.slots - own - others
