--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -127,7 +127,7 @@
 
     def step() -> None:
         runner = granted[next(numbers) % len(granted)]
-        if found.places.running[runner] == 0:
+        if found.held_slots.running[runner] == 0:
             return
         found.release(POOL, runner, 0.0)
         found.enter(make_ticket(next(numbers)), 0.0)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/places.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/heldslots.py
@@ -1,4 +1,4 @@
-"""Places that this host's requests hold at runners.
+"""HeldSlots that this host's requests hold at runners.
 
 A place is held at one start of a runner. When the runner starts again, the
 places of the earlier start are worth nothing, and the later one is empty, but
@@ -13,7 +13,7 @@
 
 from apricotlanding import ids
 
-__all__ = ['Places']
+__all__ = ['HeldSlots']
 
 
 @ty.final
@@ -27,8 +27,8 @@
 
 
 @ty.final
-class Places:
-    """Places taken, by start."""
+class HeldSlots:
+    """HeldSlots taken, by start."""
 
     def __init__(self) -> None:
         """Start without requests."""
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -18,7 +18,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import placement, places, queueing
+from apricotlandingd.gateway.decisions import heldslots, placement, queueing
 from apricotlandingd.gateway.runners import directory, health, pace
 
 __all__ = ['Peers', 'Scheduler', 'RunnerFilter']
@@ -132,7 +132,7 @@
         self._peers = others
         self._rng = rng
         self._waiting: dict[ids.Pool, list[queueing.QueuedRequest]] = {}
-        self.places = places.Places()
+        self.held_slots = heldslots.HeldSlots()
         self._loads: dict[ids.RunnerStart, _Load] = {}
         self._hold_times: dict[ids.Pool, float] = {}
         self._hold_counts: collections.Counter[ids.Pool] = (
@@ -165,7 +165,7 @@
         self, service: ids.Pool, runner: ids.RunnerStart, now: float
     ) -> None:
         """Give a place back."""
-        self.places.release(runner)
+        self.held_slots.release(runner)
         self.schedule_service(service, now)
 
     def note_hold_time(self, service: ids.Pool, held_s: float) -> None:
@@ -192,7 +192,7 @@
     ) -> None:
         """Take a runner's own statement of what runs and waits there."""
         self._loads[runner] = _Load(
-            sum(load), self.places.running[runner], now
+            sum(load), self.held_slots.running[runner], now
         )
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
@@ -323,7 +323,7 @@
         self, request: queueing.QueuedRequest, runner: ids.RunnerStart
     ) -> None:
         self.leave(request)
-        self.places.take(runner)
+        self.held_slots.take(runner)
         request.decide(queueing.Grant(runner))
 
     def _has_yield_timed_out(self, service: ids.Pool, now: float) -> bool:
@@ -398,7 +398,7 @@
             )
 
     def _count_free(self, entry: dialect.RunnerEntry, now: float) -> int:
-        own = self.places.running[entry.start]
+        own = self.held_slots.running[entry.start]
         others = self._peers.count_running(entry.start)
         silent = self._peers.find_silent_share()
         if silent > 0:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -238,7 +238,7 @@
                 continue
             # Granted by another coordinator, or before the subsets changed.
             client.held[number] = known
-            schedule.decisions.places.take(known)
+            schedule.decisions.held_slots.take(known)
 
     def _enter(
         self,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -156,7 +156,7 @@
         start = self._held.pop(grant.number, None)
         if start is None:
             return
-        self._local.places.release(start)
+        self._local.held_slots.release(start)
         subset = self._find_subset(start)
         if subset is not None:
             self._send(self._open(subset, now), now, wants_reply=False)
@@ -352,7 +352,7 @@
         self._withdraw(number, subset, now)
         self._held[number] = entry.start
         # Counts when this host decides by itself, and is told to its group.
-        self._local.places.take(entry.start)
+        self._local.held_slots.take(entry.start)
         item.ticket.decide(queueing.Grant(entry.start, number))
 
     def _renew(
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -463,7 +463,7 @@
 
     def _end_earlier(self, later: ids.RunnerStart) -> None:
         for start, count in self._clients.end_earlier(later).items():
-            self._scheduler.places.hand_over(start, later, count)
+            self._scheduler.held_slots.hand_over(start, later, count)
 
     def _find_readers(self) -> freshness.Readers:
         # The first few hosts by name that say that they reach the store, and
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -62,7 +62,7 @@
         if scope is mesh.Scope.FAR:
             ages = self._ages.list_group_ages(now)
         else:
-            running = dict(self._schedule.places.running)
+            running = dict(self._schedule.held_slots.running)
             ranks = self._list_ranks(now)
             ages = self._list_near_ages(now, is_whole=True)
         levels = quotas.Usage()
@@ -93,7 +93,7 @@
     def make_change(self, number: int) -> messages.HostChange:
         """Return what near peers decide by and may have changed."""
         now = clocks.read_monotonic()
-        running = messages.digest_starts(self._schedule.places.running)
+        running = messages.digest_starts(self._schedule.held_slots.running)
         usage = _round_units(self._shared.buckets.usage)
         return messages.HostChange(
             process=self._process,
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -300,13 +300,13 @@
         ]
         self.assertEqual(9, len(held))
         for runner in held:
-            self.assertGreater(host.local.places.running[runner], 0)
+            self.assertGreater(host.local.held_slots.running[runner], 0)
         for ticket in tickets:
             assert isinstance(ticket.decision, queueing.Grant)
             host.dispatcher.release(
                 gatewayparts.POOL, ticket.decision, play.now
             )
-        self.assertEqual(0, sum(host.local.places.running.values()))
+        self.assertEqual(0, sum(host.local.held_slots.running.values()))
 
     def test_halves_that_are_cut_apart_both_go_on(self) -> None:
         play = self.make_play(4)
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -296,14 +296,14 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.places = places.Places()
+        self.held_slots = heldslots.HeldSlots()
         for _ in range(3):
-            self.places.take(EARLIER)
+            self.held_slots.take(EARLIER)
 
     def assert_running(self, **expected: int) -> None:
         found = {
             ids.read_birth(start): count
-            for start, count in self.places.running.items()
+            for start, count in self.held_slots.running.items()
         }
         wanted = {EARLY: expected.get('early'), LATE: expected.get('late')}
         self.assertEqual(
@@ -314,32 +314,32 @@
         # Callers queue at a runner that is full. Hosts that heard late of its
         # restart had sent requests to it by the old registration, and then
         # took all its places to be free.
-        self.places.hand_over(EARLIER, LATER, 2)
+        self.held_slots.hand_over(EARLIER, LATER, 2)
         self.assert_running(early=1, late=2)
 
     def test_places_are_given_back_once(self) -> None:
-        self.places.hand_over(EARLIER, LATER, 2)
-        self.places.take(LATER)
+        self.held_slots.hand_over(EARLIER, LATER, 2)
+        self.held_slots.take(LATER)
         for _ in range(3):
-            self.places.release(EARLIER)
+            self.held_slots.release(EARLIER)
         self.assert_running(late=1)
-        self.places.release(EARLIER)
+        self.held_slots.release(EARLIER)
         self.assert_running(late=1)
-        self.places.release(LATER)
+        self.held_slots.release(LATER)
         self.assert_running()
 
     def test_third_start_takes_over(self) -> None:
         latest = gatewayparts.make_start('r1', LATE + 1)
-        self.places.hand_over(EARLIER, LATER, 3)
-        self.places.hand_over(LATER, latest, 3)
+        self.held_slots.hand_over(EARLIER, LATER, 3)
+        self.held_slots.hand_over(LATER, latest, 3)
         for _ in range(3):
-            self.places.release(EARLIER)
-        self.assertEqual({}, dict(self.places.running))
+            self.held_slots.release(EARLIER)
+        self.assertEqual({}, dict(self.held_slots.running))
 
     def test_no_more_than_there_are(self) -> None:
-        self.places.hand_over(EARLIER, LATER, 5)
+        self.held_slots.hand_over(EARLIER, LATER, 5)
         self.assert_running(late=3)
-        self.places.hand_over(EARLIER, LATER, 1)
+        self.held_slots.hand_over(EARLIER, LATER, 1)
         self.assert_running(late=3)
 
 
