--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -239,7 +239,7 @@
 
     # Decisions.
 
-    def pump(self, now: float) -> None:
+    def schedule_all(self, now: float) -> None:
         """Decide whatever can be decided now."""
         for service in list(self._waiting):
             self.schedule_service(service, now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -176,7 +176,7 @@
             if not schedule.clients:
                 del self._schedules[subset]
                 continue
-            schedule.decisions.pump(now)
+            schedule.decisions.schedule_all(now)
             found.extend(self._answer(subset, schedule, None, now))
         return found
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -376,7 +376,7 @@
             self._take_catalogue(record, now)
         else:
             self._take_runner(record, now)
-        self._scheduler.pump(now)
+        self._scheduler.schedule_all(now)
         if self._mesh.is_divided():
             # Few hosts follow the store; the others hear from each other.
             self._mesh.tell()
@@ -586,7 +586,7 @@
 
     def _pump(self, now: float) -> None:
         self._pumped_at = now
-        self._scheduler.pump(now)
+        self._scheduler.schedule_all(now)
 
     async def _tidy_forever(self) -> None:
         while True:
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -130,7 +130,7 @@
         mine = self.enter(0.0, tier=1)
         self.others.ranks = [queueing.Rank(0, 0, False, 1.0)]
         self.release(full[0], 0.1)
-        self.scheduler.pump(0.1 + scheduler.YIELD_TIMEOUT_S * 1.5)
+        self.scheduler.schedule_all(0.1 + scheduler.YIELD_TIMEOUT_S * 1.5)
         self.assertIsInstance(mine.decision, queueing.Grant)
 
     def test_hopeless_request_is_refused_at_once(self) -> None:
@@ -166,7 +166,7 @@
         for _ in range(12):
             self.enter(0.0, useful_until=3.1)
         last = self.enter(0.0, tier=1, useful_until=3.4)
-        self.scheduler.pump(3.0)
+        self.scheduler.schedule_all(3.0)
         self.assertIsNone(last.decision)
 
     def test_no_runner_is_waited_for_only_a_moment(self) -> None:
@@ -176,7 +176,7 @@
             )
         request = self.enter(0.0)
         self.assertIsNone(request.decision)
-        self.scheduler.pump(scheduler.NO_RUNNER_TIMEOUT_S + 0.1)
+        self.scheduler.schedule_all(scheduler.NO_RUNNER_TIMEOUT_S + 0.1)
         self.assertIsInstance(request.decision, queueing.Refusal)
 
     def test_host_that_hears_nobody_uses_its_share(self) -> None:
