--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
@@ -47,7 +47,7 @@
         # When a host that is settled was heard.
         self._settled_at: dict[int, float] = {}
 
-    def hear(
+    def update(
         self,
         group: int,
         asked: quotas.Usage,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -205,7 +205,7 @@
         """Remember a peer's totals whose use counts elsewhere."""
         self._peer_totals[peer] = usage
 
-    def hear(
+    def apply_totals(
         self,
         peer: ids.Incarnation,
         usage: Usage,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -193,7 +193,7 @@
             self.buckets.set_baseline(state.incarnation, state.usage)
             self._parts.set_baseline(state.incarnation, state.usage)
             group = self._others.partition.find_group(state.host)
-            self._group_uses.hear(
+            self._group_uses.update(
                 group,
                 state.group_asked,
                 state.group_used,
@@ -203,10 +203,10 @@
             return
         self.buckets.adopt(state.levels, now)
         is_new = state.hosts == 0
-        lately = self.buckets.hear(state.incarnation, state.usage, now, is_new)
+        lately = self.buckets.apply_totals(state.incarnation, state.usage, now, is_new)
         if not self._keeps_parts(now):
             return
-        self._parts.hear(state.incarnation, state.usage, now, is_new)
+        self._parts.apply_totals(state.incarnation, state.usage, now, is_new)
         for name, units in lately.items():
             self._used.record(name, units, now)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -236,7 +236,7 @@
         if process == self._incarnation:
             return
         if is_new or self._kept.has_totals(process):
-            self._kept.hear(process, usage, now, is_new)
+            self._kept.apply_totals(process, usage, now, is_new)
         else:
             self._kept.set_baseline(process, usage)
 
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -136,9 +136,9 @@
         uses = groupusage.GroupUsage()
 
         def take(state: messages.HostState, now: float) -> None:
-            buckets.hear(state.incarnation, state.usage, now)
+            buckets.apply_totals(state.incarnation, state.usage, now)
             is_settled = state.hosts > 0
-            uses.hear(1, state.group_asked, state.group_used, is_settled, now)
+            uses.update(1, state.group_asked, state.group_used, is_settled, now)
             records.is_ahead(state.positions, records.Board().positions)
 
         host.on_state = take
--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -122,7 +122,7 @@
             for peer in hosts:
                 if peer is not host:
                     host.buckets.adopt(peer.tell_levels(now), now)
-                    host.buckets.hear(
+                    host.buckets.apply_totals(
                         peer.find_incarnation(),
                         dict(peer.buckets.usage),
                         now,
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -255,8 +255,8 @@
     def test_use_of_a_peer_counts(self) -> None:
         self.take(0, 0.0)
         peer = ids.Incarnation('other/1')
-        self.quotas.hear(peer, {FESTIN.name: 0.0}, 0.0)
-        self.quotas.hear(peer, {FESTIN.name: 90.0}, 0.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 0.0}, 0.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 90.0}, 0.0)
         self.assertFalse(self.take(20, 0.0))
         self.assertTrue(self.take(10, 0.0))
 
@@ -266,8 +266,8 @@
         # been taken out, which was thereby forgotten.
         self.take(100, 0.0)
         peer = ids.Incarnation('other/1')
-        self.quotas.hear(peer, {FESTIN.name: 0.0}, 0.0)
-        self.quotas.hear(peer, {FESTIN.name: 100.0}, 10.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 0.0}, 0.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 100.0}, 10.0)
         self.assertFalse(self.take(50, 10.0))
 
     def test_use_of_a_peer_counts_before_the_first_request(self) -> None:
@@ -275,16 +275,16 @@
         # the other one; this one, which is asked for the first time, took its
         # bucket to be full.
         peer = ids.Incarnation('other/1')
-        self.quotas.hear(peer, {FESTIN.name: 0.0}, 9.0)
-        self.quotas.hear(peer, {FESTIN.name: 60.0}, 10.0)
-        self.quotas.hear(peer, {FESTIN.name: 100.0}, 10.1)
+        self.quotas.apply_totals(peer, {FESTIN.name: 0.0}, 9.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 60.0}, 10.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 100.0}, 10.1)
         self.assertFalse(self.take(20, 10.1))
         self.assertTrue(self.take(9, 10.1))
 
     def test_bucket_fills_again_before_the_first_request(self) -> None:
         peer = ids.Incarnation('other/1')
-        self.quotas.hear(peer, {FESTIN.name: 0.0}, 9.0)
-        self.quotas.hear(peer, {FESTIN.name: 100.0}, 10.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 0.0}, 9.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 100.0}, 10.0)
         self.assertTrue(self.take(100, 11.0))
 
     def test_hosts_that_hear_nobody_hand_out_the_rate_once(self) -> None:
@@ -319,13 +319,13 @@
     def test_use_of_a_restarted_peer_counts(self) -> None:
         self.take(0, 0.0)
         peer = ids.Incarnation('other/2')
-        self.quotas.hear(peer, {FESTIN.name: 90.0}, 0.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 90.0}, 0.0)
         self.assertFalse(self.take(20, 0.0))
 
     def test_history_of_peers_is_left_out_at_the_start(self) -> None:
         young = quotas.Quotas(0.0, 0.0)
         gatewayparts.take_units(young, FESTIN, 0, 0.0, 1.0)
-        young.hear(ids.Incarnation('o/1'), {FESTIN.name: 1e6}, 1.0)
+        young.apply_totals(ids.Incarnation('o/1'), {FESTIN.name: 1e6}, 1.0)
         self.assertIsNone(gatewayparts.take_units(young, FESTIN, 90, 0.0, 1.0))
 
     def test_units_of_a_request_that_did_not_run_come_back(self) -> None:
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -83,7 +83,7 @@
         for own, uses in enumerate(found):
             for group, units in enumerate(asked):
                 if group != own:
-                    uses.hear(group, {FESTIN.name: units}, {}, True, 0.0)
+                    uses.update(group, {FESTIN.name: units}, {}, True, 0.0)
         return found
 
     def find_parts(self, asked: tuple[float, ...]) -> list[float]:
