--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/queueing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/queueing.py
@@ -71,7 +71,7 @@
     """No place in useful time."""
 
     # Seconds after which the caller should come back.
-    return_s: float
+    retry_after_s: float
     # Predicted seconds until a place, on which the refusal rests.
     wait_s: float
     # Requests that would have gone before this one.
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -339,7 +339,7 @@
                 granted[number] = messages.digest_start(decision.runner)
                 continue
             refused[number] = placemessages.Refused(
-                decision.return_s,
+                decision.retry_after_s,
                 min(decision.wait_s, placemessages.LONGEST),
                 decision.ahead,
             )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -166,7 +166,7 @@
             if isinstance(decision, queueing.Refusal):
                 await self._give_up(
                     errors.make_problem(
-                        errors.Kind.NO_PLACE, decision.return_s
+                        errors.Kind.NO_PLACE, decision.retry_after_s
                     )
                 )
                 return
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -148,7 +148,7 @@
             self.enter(0.0)
         refusal = self.enter(0.0, useful_until=1.0).decision
         assert isinstance(refusal, queueing.Refusal)
-        self.assertLessEqual(refusal.return_s, 15 / 3)
+        self.assertLessEqual(refusal.retry_after_s, 15 / 3)
 
     def test_lower_tier_is_refused_and_the_higher_one_kept(self) -> None:
         # The places are full and six of the lower tier wait. As the higher
