--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
@@ -30,7 +30,7 @@
 
     service: ids.Pool
     # Place among the subsets of the service, and how many there are.
-    place: int
+    number: int
     total: int
 
     def find_name(self) -> str:
@@ -38,7 +38,7 @@
 
         Without the number of subsets: one more moves few of the others.
         """
-        return f'{self.service}/{self.place}'
+        return f'{self.service}/{self.number}'
 
 
 def list_subsets(service: ids.Pool, runners: int) -> list[Subset]:
@@ -46,7 +46,7 @@
     if runners == 0:
         return []
     total = max(1, round(runners / TARGET_SUBSET_RUNNERS))
-    return [Subset(service, place, total) for place in range(total)]
+    return [Subset(service, number, total) for number in range(total)]
 
 
 def select_runners(
@@ -59,8 +59,8 @@
     )
     return [
         entry
-        for number, entry in enumerate(order)
-        if number * subset.total // len(order) == subset.place
+        for position, entry in enumerate(order)
+        if position * subset.total // len(order) == subset.number
     ]
 
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -348,7 +348,7 @@
             process=process,
             answers=client.number,
             service=subset.service,
-            place=subset.place,
+            place=subset.number,
             total=subset.total,
             granted=granted,
             refused=refused,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -435,7 +435,7 @@
             process=self.process,
             number=self._message,
             service=link.subset.service,
-            place=link.subset.place,
+            place=link.subset.number,
             total=link.subset.total,
             wanted={},
             held={},
