--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -211,7 +211,7 @@
         if len(self._cached_prefixes) > MAX_CACHED_PREFIXES:
             self._cached_prefixes.popitem(last=False)
 
-    def has_place(
+    def has_free_slot(
         self, service: ids.Pool, tried: set[ids.RunnerStart], now: float
     ) -> bool:
         """Tell whether a runner that was not tried has a free place."""
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -166,7 +166,7 @@
     ) -> bool:
         """Tell whether a runner that was not tried may have a free place."""
         if not self._hosts.is_divided():
-            return self._local.has_place(service, tried, now)
+            return self._local.has_free_slot(service, tried, now)
         if all(
             entry.start in tried for entry in self._runners.list_open(service)
         ):
