--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/heldslots.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/heldslots.py
@@ -18,7 +18,7 @@
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class _Heir:
+class _Successor:
     """The start that has the requests of one that ended."""
 
     start: ids.RunnerStart
@@ -35,7 +35,7 @@
         self.running: collections.Counter[ids.RunnerStart] = (
             collections.Counter()
         )
-        self._heirs: dict[ids.RunnerStart, _Heir] = {}
+        self._heirs: dict[ids.RunnerStart, _Successor] = {}
 
     def take(self, start: ids.RunnerStart) -> None:
         """Take a place for a request."""
@@ -70,4 +70,4 @@
         if self.running[start] <= 0:
             del self.running[start]
         self.running[later] += count
-        self._heirs[start] = _Heir(later, count)
+        self._heirs[start] = _Successor(later, count)
