--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/heldslots.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/heldslots.py
@@ -35,7 +35,7 @@
         self.running: collections.Counter[ids.RunnerStart] = (
             collections.Counter()
         )
-        self._heirs: dict[ids.RunnerStart, _Successor] = {}
+        self._successors: dict[ids.RunnerStart, _Successor] = {}
 
     def take(self, start: ids.RunnerStart) -> None:
         """Take a place for a request."""
@@ -48,12 +48,12 @@
         that were handed over are counted off last.
         """
         while start not in self.running:
-            heir = self._heirs.get(start)
+            heir = self._successors.get(start)
             if heir is None:
                 return
             heir.count -= 1
             if heir.count <= 0:
-                del self._heirs[start]
+                del self._successors[start]
             start = heir.start
         self.running[start] -= 1
         if self.running[start] <= 0:
@@ -70,4 +70,4 @@
         if self.running[start] <= 0:
             del self.running[start]
         self.running[later] += count
-        self._heirs[start] = _Successor(later, count)
+        self._successors[start] = _Successor(later, count)
