--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/heldslots.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/heldslots.py
@@ -48,13 +48,13 @@
         that were handed over are counted off last.
         """
         while start not in self.running:
-            heir = self._successors.get(start)
-            if heir is None:
+            successor = self._successors.get(start)
+            if successor is None:
                 return
-            heir.count -= 1
-            if heir.count <= 0:
+            successor.count -= 1
+            if successor.count <= 0:
                 del self._successors[start]
-            start = heir.start
+            start = successor.start
         self.running[start] -= 1
         if self.running[start] <= 0:
             del self.running[start]
