--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -13,11 +13,16 @@
 import statistics
 import time
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
+from apricotlandingd.gateway.decisions import scheduler
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import queueing, scheduler
-from apricotlandingd.gateway.hosts import mesh, messages
-from apricotlandingd.gateway.runners import directory, health, pace
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import pace
 
 POOL = ids.Pool('pool')
 ROUNDS = 5
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -14,8 +14,11 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway.decisions import averages, groupusage, quotas
-from apricotlandingd.gateway.hosts import mesh, messages
+from apricotlandingd.gateway.decisions import averages
+from apricotlandingd.gateway.decisions import groupusage
+from apricotlandingd.gateway.decisions import quotas
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
 
 __all__ = ['Allowances']
 
@@ -203,7 +206,9 @@
             return
         self.buckets.adopt(state.levels, now)
         is_new = state.hosts == 0
-        lately = self.buckets.apply_totals(state.incarnation, state.usage, now, is_new)
+        lately = self.buckets.apply_totals(
+            state.incarnation, state.usage, now, is_new
+        )
         if not self._keeps_parts(now):
             return
         self._parts.apply_totals(state.incarnation, state.usage, now, is_new)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -28,14 +28,15 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import addresses, clocks, errors, ids
+from apricotlanding import addresses
+from apricotlanding import clocks
+from apricotlanding import errors
+from apricotlanding import ids
 from apricotlandingd.gateway.decisions import queueing
-from apricotlandingd.gateway.hosts import (
-    allowancemessages,
-    groups,
-    messages,
-    placemessages,
-)
+from apricotlandingd.gateway.hosts import allowancemessages
+from apricotlandingd.gateway.hosts import groups
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import placemessages
 
 __all__ = ['Mesh', 'Peer', 'Scope']
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
@@ -22,7 +22,9 @@
 import pydantic
 import xxhash
 
-from apricotlanding import addresses, codec, ids
+from apricotlanding import addresses
+from apricotlanding import codec
+from apricotlanding import ids
 from apricotlandingd.gateway.decisions import queueing
 
 __all__ = [
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -23,18 +23,21 @@
 import anyio
 import eliot
 
-from apricotlanding import asgi, clocks, errors, ids, taskgroups, webclient
-from apricotlandingd.gateway import dialect
+from apricotlanding import asgi
+from apricotlanding import clocks
+from apricotlanding import errors
+from apricotlanding import ids
+from apricotlanding import taskgroups
+from apricotlanding import webclient
 from apricotlandingd.gateway.decisions import queueing
-from apricotlandingd.gateway.requests import (
-    admission,
-    parts,
-    replies,
-    runnerclient,
-    silence,
-    streams,
-    tickets,
-)
+from apricotlandingd.gateway import dialect
+from apricotlandingd.gateway.requests import admission
+from apricotlandingd.gateway.requests import parts
+from apricotlandingd.gateway.requests import replies
+from apricotlandingd.gateway.requests import runnerclient
+from apricotlandingd.gateway.requests import silence
+from apricotlandingd.gateway.requests import streams
+from apricotlandingd.gateway.requests import tickets
 from apricotlandingd.gateway.runners import observations
 
 __all__ = ['Exchange']
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -10,7 +10,8 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import queueing
-from apricotlandingd.gateway.requests import admission, parts
+from apricotlandingd.gateway.requests import admission
+from apricotlandingd.gateway.requests import parts
 
 __all__ = ['Progress', 'make_ticket']
 
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -7,11 +7,13 @@
 import eliot
 import testtools
 
-import gatewayparts
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import logratelimit
-from apricotlandingd.gateway.process import foreigninput, journal, measures
+from apricotlandingd.gateway.process import foreigninput
+from apricotlandingd.gateway.process import journal
+from apricotlandingd.gateway.process import measures
 from apricotlandingd.gateway.runners import directory
+import gatewayparts
 
 
 class TestDirectory(testtools.TestCase):
