--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -130,8 +130,8 @@
         """Start without subsets.
 
         While ``knows_runners`` says no, this host answers nobody.
-        ``find_hold_time`` returns how long this host's own requests hold a place
-        of a service, for subsets of which nothing is known yet.
+        ``find_hold_time`` returns how long this host's own requests hold a
+        place of a service, for subsets of which nothing is known yet.
         """
         self._host = host
         self._runners = runners
