--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/averages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/averages.py
@@ -1,7 +1,7 @@
-"""Units a second by organisation, averaged with an exponential decay.
+"""Exponentially decaying average of units per second, by organisation.
 
-What comes counts with its whole weight at once and fades over some seconds,
-so a rate needs one number and the time at which it was true.
+New units count in full at once and decay with a time constant, so a rate is
+stored as one number and the time at which it was valid.
 """
 
 import math
@@ -14,24 +14,24 @@
 
 @ty.final
 class Rates:
-    """Units a second of each organisation."""
+    """Average units per second of each organisation."""
 
     def __init__(self, time_constant_s: float) -> None:
-        """Start without any; ``time_constant_s`` is the time of the decay."""
+        """Create without rates, with the time constant of the decay."""
         self._time_constant_s = time_constant_s
-        # The rate, and when it was that.
+        # The rate and the time at which it was valid.
         self._rates: dict[ids.Organisation, tuple[float, float]] = {}
 
     def record(self, name: ids.Organisation, units: float, now: float) -> None:
-        """Count units; below zero for some that were given back."""
+        """Record units; a negative number for units that are refunded."""
         rate = self.find(name, now) + units / self._time_constant_s
         self._rates[name] = (max(0.0, rate), now)
 
     def find(self, name: ids.Organisation, now: float) -> float:
-        """Return the units a second of an organisation."""
+        """Return the units per second of an organisation."""
         rate, at = self._rates.get(name, (0.0, now))
         return rate * math.exp((at - now) / self._time_constant_s)
 
     def list_rates(self, now: float) -> dict[ids.Organisation, float]:
-        """Return the units a second of all organisations."""
+        """Return the units per second of all organisations."""
         return {name: self.find(name, now) for name in self._rates}
