--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/logratelimit.py
@@ -1,9 +1,9 @@
-"""Which notices of bad input are worth a line in the log.
+"""Rate limit for log messages about bad input.
 
-A program that writes nonsense writes it again with each heartbeat, and a
-stranger may send thousands of messages a second. One line a minute for each
-key says all that there is to say; the rest would crowd out the lines by which
-operators find a failed request, because the log drops lines above its limit.
+A faulty program repeats its bad input with each heartbeat, and an unknown
+sender may send thousands of messages a second. One line per key and minute is
+enough. The log drops lines above its limit, so more of them would displace
+the lines by which operators find a failed request.
 """
 
 import collections
@@ -12,44 +12,41 @@
 
 __all__ = ['LogRateLimit']
 
-# Seconds between two notices of one key.
 LOG_INTERVAL_S: ty.Final = 60.0
-# Keys that are told apart. Further ones within an interval share one notice,
-# so that neither the memory nor the log grows with the number of keys that
-# somebody invents: 200 keys are 60 KB, and a tenth of the lines that the log
-# takes in a single second.
+# Keys that are tracked separately. Further keys within an interval share
+# OVERFLOW_KEY, so that a sender that makes up keys can fill neither the memory
+# nor the log: 200 keys take 60 KB, and their lines are a tenth of what the log
+# accepts in one second.
 MAX_KEYS: ty.Final = 200
-# The key that those share.
 OVERFLOW_KEY: ty.Final = 'others'
-# Characters of a key that count; longer ones that begin alike are one key.
+# Longer keys are truncated.
 MAX_KEY_CHARACTERS: ty.Final = 120
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
 class _KeyState:
-    # When it was given last.
     logged_at: float
-    # Those that were held back since then.
+    # Messages suppressed since then.
     suppressed: int = 0
 
 
 @ty.final
 class LogRateLimit:
-    """Lets one notice a key and interval through."""
+    """Admits one message per key and interval."""
 
     def __init__(self) -> None:
-        """Start without any notice given."""
-        # The one that was given longest ago comes first.
+        """Create without keys."""
+        # Ordered by ``logged_at``, oldest first.
         self._states: collections.OrderedDict[str, _KeyState] = (
             collections.OrderedDict()
         )
 
     def admit(self, key: str, now: float) -> int | None:
-        """Decide on a notice; None if it is held back.
+        """Decide whether to log a message.
 
-        A notice that is to be given gets the number of those that were held
-        back before it.
+        Returns None if the message is suppressed, otherwise the number of
+        messages that were suppressed since the last one.
         """
         key = key[:MAX_KEY_CHARACTERS]
         if key not in self._states:
@@ -69,7 +66,7 @@
         return suppressed
 
     def count_keys(self) -> int:
-        """Return the number of keys that are remembered."""
+        """Return the number of tracked keys."""
         return len(self._states)
 
     def _evict_expired(self, now: float) -> None:
@@ -77,6 +74,6 @@
             return
         for key, state in list(self._states.items()):
             if now - state.logged_at < LOG_INTERVAL_S:
-                # All that follow are newer.
+                # All following keys are newer.
                 return
             del self._states[key]
