--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/heldslots.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/heldslots.py
@@ -1,10 +1,11 @@
-"""HeldSlots that this host's requests hold at runners.
+"""Slots that this host's requests hold at runners.
 
-A place is held at one start of a runner. When the runner starts again, the
-places of the earlier start are worth nothing, and the later one is empty, but
-for requests that were sent to it while this host knew only the earlier one.
-These are handed over (``hand_over``): else the later start seems to have
-places that are taken, and callers queue there although others have room.
+A slot is held at one start of a runner. When the runner restarts, the slots
+of the earlier start are void, and the later start is empty except for
+requests that were sent to it while this host knew only the earlier one.
+``hand_over`` moves these to the later start. Otherwise the slots of the later
+start would be miscounted, and requests would queue there while other runners
+have free slots.
 """
 
 import collections
@@ -19,33 +20,33 @@
 @ty.final
 @dataclasses.dataclass(slots=True)
 class _Successor:
-    """The start that has the requests of one that ended."""
+    """The start that took over the requests of an ended one."""
 
     start: ids.RunnerStart
-    # Requests that were handed over and have not ended.
+    # Requests that were handed over and are still running.
     count: int
 
 
 @ty.final
 class HeldSlots:
-    """HeldSlots taken, by start."""
+    """Number of slots in use at each start."""
 
     def __init__(self) -> None:
-        """Start without requests."""
+        """Create without requests."""
         self.running: collections.Counter[ids.RunnerStart] = (
             collections.Counter()
         )
         self._successors: dict[ids.RunnerStart, _Successor] = {}
 
     def take(self, start: ids.RunnerStart) -> None:
-        """Take a place for a request."""
+        """Take a slot for a request."""
         self.running[start] += 1
 
     def release(self, start: ids.RunnerStart) -> None:
-        """Give back a place that was taken at a start.
+        """Release a slot that was taken at a start.
 
-        Which of the requests that were there ends does not matter: those
-        that were handed over are counted off last.
+        It does not matter which of the requests at that start has ended:
+        those that were handed over are released last.
         """
         while start not in self.running:
             successor = self._successors.get(start)
@@ -62,7 +63,7 @@
     def hand_over(
         self, start: ids.RunnerStart, later: ids.RunnerStart, count: int
     ) -> None:
-        """Count so many requests of an ended start at a later one."""
+        """Move ``count`` requests of an ended start to a later one."""
         count = min(count, self.running[start])
         if count <= 0:
             return
