--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
@@ -1,14 +1,15 @@
-"""Runners of a service in subsets, each of which one host schedules.
-
-Hundreds of hosts cannot tell each other every place that they take: the
-messages grow with the square of the hosts, and what is told less often is
-outdated when it arrives. So the runners of a service are divided into subsets
-of a few runners, and for each subset one live host, its coordinator, grants
-the places and orders what waits (``hosts.coordinator``). Every host computes
-subsets and coordinators alone, from the runners and the hosts that it knows.
-
-Views that differ for a moment let two coordinators grant places of the same
-runner; it then queues some requests, and nothing else happens.
+"""Division of a service's runners into subsets with one coordinator each.
+
+Hundreds of hosts cannot notify each other of every slot that they take: the
+number of messages grows with the square of the number of hosts, and with fewer
+messages the information is outdated on arrival. So the runners of a service
+are divided into small subsets. For each subset one live host, its coordinator,
+grants the slots and orders the waiting requests (``hosts.coordinator``). Every
+host computes subsets and coordinators locally, from the runners and hosts that
+it knows.
+
+While the views of two hosts differ, two coordinators may grant slots of the
+same runner. The runner then queues some requests; there is no other effect.
 """
 
 import typing as ty
@@ -20,29 +21,30 @@
 
 __all__ = ['Subset', 'list_subsets', 'select_runners']
 
-# Runners in a subset: few enough for one host to schedule, enough to even out
-# fast and slow runners.
+# Few enough for one host to schedule, and enough to balance fast and slow
+# runners.
 TARGET_SUBSET_RUNNERS = 8
 
 
 class Subset(ty.NamedTuple):
-    """Some runners of a service."""
+    """One subset of the runners of a service."""
 
     service: ids.Pool
-    # Place among the subsets of the service, and how many there are.
+    # Position among the subsets of the service, and the number of subsets.
     number: int
     total: int
 
     def find_name(self) -> str:
-        """Return the name by which its coordinator is chosen.
+        """Return the name from which the coordinator is computed.
 
-        Without the number of subsets: one more moves few of the others.
+        It leaves out the number of subsets, so that adding one subset moves
+        few of the others.
         """
         return f'{self.service}/{self.number}'
 
 
 def list_subsets(service: ids.Pool, runners: int) -> list[Subset]:
-    """Return the subsets of a service with so many runners."""
+    """Return the subsets of a service with ``runners`` runners."""
     if runners == 0:
         return []
     total = max(1, round(runners / TARGET_SUBSET_RUNNERS))
@@ -52,8 +54,8 @@
 def select_runners(
     subset: Subset, entries: list[dialect.RunnerEntry]
 ) -> list[dialect.RunnerEntry]:
-    """Return the runners of a subset, out of those of its service."""
-    # By the registered id: a runner that starts again stays in its subset.
+    """Return the entries of a service that belong to the subset."""
+    # By the registered id, so that a restarted runner stays in its subset.
     order = sorted(
         entries, key=lambda entry: _hash_name(ids.find_runner(entry.start))
     )
