--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -1,9 +1,9 @@
-"""One organisation's token bucket, as one host knows it.
+"""One host's copy of an organisation's token bucket.
 
-All hosts share the bucket and each keeps a copy (``quotas``): it takes out
-what it hands out itself, and what its peers say. What that means for the level
-depends on when it was handed out, before this host started or since; ``UseKind``
-tells the cases apart.
+All hosts share the bucket and each keeps a copy (``quotas``). A host deducts
+the units that it hands out itself and those that its peers report. How a
+report changes the level depends on whether the units were handed out before or
+after this host started; ``UseKind`` distinguishes the cases.
 """
 
 import dataclasses
@@ -12,29 +12,30 @@
 
 __all__ = ['INITIAL_FILL_RATIO', 'Bucket', 'UseKind', 'PeerUse']
 
-# Part of a bucket that is full at the start of a process. Operators allow a
-# tenth of the burst and a slack beyond the allowance; two halves of a burst
-# within a window stay below that, two whole ones do not.
+# Fill level of a bucket when a process starts. Operators allow a tenth of the
+# burst and a slack beyond the allowance. Two half bursts within a window stay
+# below that limit, two whole ones do not.
 INITIAL_FILL_RATIO = 0.5
 
 
 class UseKind(enum.Enum):
-    """What a peer's total tells."""
+    """What a peer's reported total covers."""
 
-    # The peer handed this out since it was heard last.
+    # Units handed out since the peer's last report.
     INCREMENT = 'more'
-    # All of a process that started lately, or was not heard for long.
+    # First total of a process that has just started, or whose last report
+    # was long ago.
     FIRST_TOTAL = 'first'
-    # All of a process that ran before this one started.
+    # Total of a process that ran before this one started.
     EARLIER_TOTAL = 'past'
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerUse:
-    """Units that a peer handed out."""
+    """Units that a peer reports as handed out."""
 
-    # When it was heard.
+    # When the report was received.
     at: float
     units: float
     kind: UseKind
@@ -45,60 +46,61 @@
 class Bucket:
     """This host's copy of a bucket that all hosts share."""
 
-    # Units that may still be handed out; below zero after an overrun.
+    # Units available; negative after an overrun.
     level: float
     updated_at: float
-    # Most that it holds, and what it gains a second.
+    # Capacity in units, and refill in units per second.
     size: float = 0.0
     rate: float = 0.0
-    # Units of the level that were only assumed at the start.
+    # Units of the level that come from the initial fill and are not yet
+    # confirmed.
     assumed: float = 0.0
-    # Part of the first units that was assumed so far: those of hosts that are
-    # not heard are left to them.
+    # Share of the initial fill that was added so far. The shares of hosts that
+    # are silent are left to those hosts.
     initial_share: float = 0.0
-    # Units that peers handed out before they were heard, and that were not
-    # taken out yet, for want of assumed ones.
+    # Units that peers handed out before their first report, and that are not
+    # deducted yet because there were no assumed units left.
     deferred: float = 0.0
 
     def refill(self, now: float) -> None:
-        """Add what has come in until now."""
+        """Add the units for the time since the last refill."""
         passed = max(0.0, now - self.updated_at)
         level = self.level + passed * self.rate
-        # A new version may have lowered the size: what is above is lost. By
-        # now that much would be there without the assumption.
+        # A new configuration may have lowered the size; units above it are
+        # dropped. By now so many units would exist without the initial fill.
         excess = max(0.0, level - self.size)
         self.assumed = max(0.0, self.assumed - excess)
         self.level = level - excess
         self.updated_at = now
 
     def count(self, use: PeerUse) -> None:
-        """Take out what a peer handed out."""
-        # Filled up to then first: a bucket that nobody here has asked for a
-        # while would else be filled after the peer's use is taken out, and
-        # that use would be lost.
+        """Deduct the units that a peer handed out."""
+        # Refilled first, up to the time of the report: otherwise a bucket
+        # without recent requests here would be refilled after the deduction,
+        # which would cancel it.
         self.refill(use.at)
         if use.kind is UseKind.INCREMENT:
             self.level -= use.units
         elif use.kind is UseKind.FIRST_TOTAL:
-            # It may have handed all of this out just now.
+            # The peer may have handed all of this out just now.
             first = self.size * INITIAL_FILL_RATIO
             self.level -= min(use.units, max(0.0, self.level) + first)
         else:
-            # It ran before this process, or started beside it. What it has
-            # handed out is gone from the bucket that they share: rolling
-            # restarts within the operators' window would else add a first
-            # part each, and so would hosts that start together.
+            # The peer ran before this process or started at the same time.
+            # The units it has handed out are deducted from the shared bucket.
+            # Otherwise each rolling restart within the operators' window would
+            # add an initial fill, and so would hosts that start together.
             self.deferred += use.units
             self._deduct_deferred()
 
     def adopt(self, level: float) -> None:
-        """Take the level that a peer states for the bucket that all share."""
+        """Adopt the level that a peer reports for the shared bucket."""
         self.level = level
         self.assumed = 0.0
         self.initial_share = 1.0
 
     def add_initial(self, units: float) -> None:
-        """Add first units; nobody has said yet that they are gone."""
+        """Add units of the initial fill that no peer has reported as used."""
         self.level += units
         self.assumed += units
         self._deduct_deferred()
