--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/groupusage.py
@@ -1,21 +1,22 @@
-"""What other groups of hosts ask and use of each organisation's allowance.
-
-Hosts of one group know each other's use within a few hundredths of a second
-and share an allowance as it comes (``quotas``). Of other groups they hear a
-few times a second, too late for that: each group could hand out a whole burst
-before it heard of the others. So there are two ways to units, and a request
-goes if one is open (``allowances``).
-
-While there is plenty, the whole allowance is open to all groups: what others
-use is taken out at the rate that they state, and what they may have handed out
-unseen must be left over.
-
-When an organisation presses, the allowance is divided between the groups, in
-proportion to what callers ask for in each. The parts of all groups add up to
-the whole when all have heard the same, and an organisation whose callers all
-come to one group has nearly all of its allowance there. Divided alone, it
-would refuse organisations that ask for less than they may: a part of a bucket
-holds few large requests, and parts follow each one that comes.
+"""Demand and usage of each organisation's allowance in other groups of hosts.
+
+Hosts of one group know each other's usage within a few hundredths of a second
+and share an allowance directly (``quotas``). Usage of other groups arrives
+only a few times a second. That is too late: each group could hand out a whole
+burst before it received the usage of the others. So there are two checks, and
+a request is admitted if one of them passes (``allowances``).
+
+The first check is for low demand. The whole allowance is available to all
+groups: the usage of other groups is deducted at the rate that they report, and
+the units that they may have handed out since must remain in the bucket.
+
+The second check is for an organisation that asks for more than its allowance.
+The allowance is divided between the groups in proportion to the demand in
+each. The shares of all groups add up to the whole when all have received the
+same reports. An organisation whose callers all use one group has nearly all of
+its allowance there. This check alone would reject organisations that stay
+within their allowance: a share of a bucket holds few large requests, and the
+shares change with each request.
 """
 
 import math
@@ -27,24 +28,24 @@
 
 __all__ = ['GroupUsage']
 
-# Part of the allowance, over all groups, that is divided equally: a group at
-# which an organisation's callers begin to ask can serve the first of them.
+# Share of the allowance, over all groups, that is divided equally, so that a
+# group can serve the first requests of an organisation that it has not seen.
 EQUAL_SHARE = 0.15
-# Seconds for which what a settled host said of its group stands against one
-# that has just started: hosts of a group are heard in turn, each group about
-# three times a second.
+# For this long, the report of a settled host takes precedence over that of one
+# that has just started. Hosts of a group report in turn, and each group is
+# received about three times a second.
 SETTLED_USAGE_MAX_AGE_S = 1.0
 
 
 @ty.final
 class GroupUsage:
-    """Units asked for and handed out a second in each other group."""
+    """Units requested and handed out per second in each other group."""
 
     def __init__(self) -> None:
-        """Start without having heard of any group."""
+        """Create without reports."""
         self._asked: dict[int, quotas.Usage] = {}
         self._used: dict[int, quotas.Usage] = {}
-        # When a host that is settled was heard.
+        # When the last report of a settled host was received.
         self._settled_at: dict[int, float] = {}
 
     def update(
@@ -55,11 +56,11 @@
         is_settled: bool,
         now: float,
     ) -> None:
-        """Take what a host of another group says of its group.
+        """Store what a host of another group reports of its group.
 
-        One that is not settled has just started and has heard next to nothing
-        of its group. Taken for the last word, it would have the others hand
-        out a whole allowance again.
+        A host that is not settled has just started and knows almost nothing
+        of its group. If its report replaced a complete one, the other groups
+        would hand out a whole allowance again.
         """
         if is_settled:
             self._settled_at[group] = now
@@ -72,17 +73,17 @@
         self._used[group] = used
 
     def has_received_all(self, own: int, groups: int) -> bool:
-        """Tell whether each other group was heard."""
+        """Return whether every other group has reported."""
         return all(
             group in self._asked for group in range(groups) if group != own
         )
 
     def sum_asked(self, name: ids.Organisation, groups: int) -> float:
-        """Return the units that all other groups are asked for a second."""
+        """Return the units per second requested in all other groups."""
         return _sum_units(self._asked, name, groups)
 
     def sum_used(self, name: ids.Organisation, groups: int) -> float:
-        """Return the units that all other groups hand out a second."""
+        """Return the units per second handed out in all other groups."""
         return _sum_units(self._used, name, groups)
 
     def find_share(
@@ -91,9 +92,9 @@
         own_asked: float,
         groups: int,
     ) -> float:
-        """Return the part of an allowance that is for this group.
+        """Return this group's share of an allowance.
 
-        ``own_asked`` is what is asked for in this group, in units a second.
+        ``own_asked`` is the demand in this group, in units per second.
         """
         equal = organisation.units_per_s * EQUAL_SHARE / groups
         others = [
@@ -105,7 +106,7 @@
         total = own_asked + sum(others) + heard * equal
         if total <= 0:
             return 1 / groups
-        # Groups that were not heard are left an equal share.
+        # Groups without a report are left an equal share.
         return (own_asked + equal) / total * min(1.0, heard / groups)
 
 
