--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -1,18 +1,18 @@
-"""Allowances of organisations, kept by all hosts together.
-
-Each organisation has one token bucket, of which every host keeps its own
-copy: it takes out what it hands out itself, and what its peers say that they
-handed out. Peers state running totals (``Usage``), so a lost message is made
-good by the next one.
-
-The load this answers: callers are spread unevenly over hosts, so a fixed
-share for each host would refuse below the allowance on one and not use it on
-another. What it must withstand is a host that hears nothing: others may be
-handing out at the same time. For each peer that is silent the bucket is
-drained at an equal share of the rate, so hosts that are cut off from each
-other hand out the allowance once between them. In a large system a group has
-its part of the allowance besides (``groupusage``); ``AllowanceShare`` say which of the
-two these buckets are for.
+"""Token bucket quotas of organisations, shared by all hosts.
+
+Each organisation has one token bucket, of which every host keeps a copy. A
+host deducts the units that it hands out itself and those that its peers
+report. Peers report running totals (``Usage``), so the next message makes up
+for a lost one.
+
+Callers are distributed unevenly over hosts. A fixed share for each host would
+reject requests below the allowance on one host and leave it unused on another.
+A host that receives no reports must assume that the others are handing out
+units as well: for each silent peer, the refill rate is reduced by an equal
+share, so hosts that are partitioned from each other hand out the allowance
+once in total. In a large system each group also has its own share of the
+allowance (``groupusage``); ``AllowanceShare`` says which of the two these
+buckets are for.
 """
 
 import collections
@@ -26,87 +26,89 @@
 
 __all__ = ['SLACK_SHARE', 'Quotas', 'AllowanceShare', 'Usage']
 
-# Share of the operators' slack that a bucket may hold beyond its burst. All
-# hosts may overrun by what they hand out before they hear of each other,
-# which is the rest of the slack.
+# Share of the operators' slack that a bucket may hold beyond its burst. The
+# rest of the slack covers what hosts hand out before they receive each other's
+# reports.
 SLACK_SHARE = 0.25
-# Seconds after the start of a process in which peers that are heard for the
-# first time are those that ran before it, whose totals are of the past.
+# A peer whose first report arrives within this time after the start of the
+# process was running before it, and its total is from before the start.
 STARTUP_PERIOD_S = 3.0
-# Seconds over which the units asked for are averaged: long enough for a caller
-# that comes every second or two, short against the operators' window.
+# Long enough for a caller that sends a request every second or two, and short
+# compared with the operators' window.
 DEMAND_AVERAGING_TIME_S = 2.0
-# Seconds for which the largest request of an organisation counts: as long as a
-# caller that was refused takes to come back, and to be gone.
+# How long the largest cost of an organisation applies: as long as a rejected
+# caller takes to retry, or to give up.
 LARGEST_COST_WINDOW_S = 10.0
-# What peers hand out of a bucket that nobody here has asked for is kept in
-# steps of so many seconds, and so many of them: eight seconds, in which most
-# buckets are full again.
+# Reported use of a bucket that does not exist here yet is stored in this many
+# intervals of this length: eight seconds, after which most buckets are full
+# again.
 PENDING_USE_INTERVAL_S = 0.25
 MAX_PENDING_USES = 32
 # Units by organisation.
 Usage = dict[ids.Organisation, float]
-# Shortest time after which a refused caller is asked to come back, seconds.
 MIN_RETRY_DELAY_S = 0.2
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class AllowanceShare:
-    """What of an allowance this host may count on."""
+    """The share of an allowance that this host may use."""
 
-    # Share of the hosts that are not heard, and so not counted on.
+    # Share of the hosts that are silent; their part is left to them.
     silent_share: float = 0.0
-    # Part of the allowance that these buckets are for.
+    # Share of the allowance that these buckets hold.
     group_share: float = 1.0
-    # Units a second that others hand out and that are not heard one by one.
+    # Units per second that hosts of other groups hand out.
     remote_units_per_s: float = 0.0
-    # Units that must be left over: others may have handed them out since
-    # they were heard. Below zero, so many may be handed out ahead.
+    # Units that must remain, because others may have handed them out since
+    # their last report. If negative, so many may be handed out in advance.
     reserve: float = 0.0
 
 
 @ty.final
 class Quotas:
-    """The buckets of all organisations, as this host knows them."""
+    """This host's copies of the buckets of all organisations."""
 
     def __init__(self, slack_units: float, now: float) -> None:
-        """Start with buckets that are half full, and fill from now on.
+        """Create without buckets; new ones are half full.
 
         ``slack_units`` is the operators' slack. A process that starts does
-        not know what its predecessor and its peers have just handed out:
-        when all hosts are killed at once and start again, full buckets would
-        hand out every burst a second time. Empty ones would refuse callers
-        that ask for what they always do.
+        not know what its predecessor and its peers have just handed out.
+        When all hosts are killed at once and restart, full buckets would hand
+        out every burst a second time. Empty ones would reject callers with
+        their usual demand.
         """
         self._started_at = now
         self._slack = 0.0
         self.set_slack(slack_units)
         self._buckets: dict[ids.Organisation, buckets.Bucket] = {}
-        # What peers handed out of buckets that do not exist here yet.
+        # Reported use of buckets that do not exist here yet.
         self._pending_uses: dict[
             ids.Organisation, collections.deque[buckets.PeerUse]
         ] = {}
-        # What this process handed out.
+        # Units that this process has handed out.
         self.usage: Usage = {}
         self._asked = averages.Rates(DEMAND_AVERAGING_TIME_S)
-        # The largest request of late, and when it came.
+        # Largest recent cost, and the time of that request.
         self._largest: dict[ids.Organisation, tuple[float, float]] = {}
-        # Levels that peers stated, and when, for buckets that do not exist
-        # here yet; and the organisations whose level was stated.
+        # Levels that peers reported for buckets that do not exist here yet,
+        # with the time; and the organisations whose level was reported.
         self._reported_levels: dict[ids.Organisation, tuple[float, float]] = {}
         self._adopted: set[ids.Organisation] = set()
-        # What each peer's process said last.
+        # Last totals of each peer process.
         self._peer_totals: dict[ids.Incarnation, Usage] = {}
 
     def set_slack(self, slack_units: float) -> None:
-        """Take the operators' slack."""
+        """Set the operators' slack."""
         self._slack = slack_units * SLACK_SHARE
 
     def find_cost(
         self, organisation: catalogue.Organisation, tokens: int | None
     ) -> float:
-        """Return the units of a request; None stands for no tokens said."""
+        """Return the cost of a request in units.
+
+        ``tokens`` is None if the request does not state them.
+        """
         if not organisation.counts_tokens:
             return 1.0
         if tokens is None:
@@ -120,22 +122,23 @@
         terms: AllowanceShare,
         now: float,
     ) -> float | None:
-        """Return seconds until there are enough units; None if there are.
+        """Return seconds until enough units are available; None if they are.
 
-        The caller hands them out with ``charge``.
+        The caller then takes them with ``charge``.
         """
         if organisation.units_per_s <= 0:
             return None
         self._asked.record(organisation.name, cost, now)
         bucket = self._refill(organisation, terms, now)
-        # A request larger than the bucket goes when the bucket is full.
+        # A request larger than the bucket is admitted when it is full.
         needed = min(cost, bucket.size)
-        # Small ones ask for as much as the largest of late. Where callers
-        # press, they would else take each unit as it comes, and there would
-        # never be enough at once for a large one: of one tenth ten times as
-        # large, at twice the allowance, 11% were taken and 91% of the small
-        # ones; now equal parts. The slack bears this, so that nobody is
-        # refused what the organisation is owed.
+        # A small request needs as many units as the largest recent one.
+        # Otherwise, at high demand, small requests would use up the units as
+        # they arrive and large ones would starve. With a tenth of the requests
+        # ten times as large, at twice the allowance, 11% of the large ones and
+        # 91% of the small ones were admitted; with this rule both shares are
+        # equal. The extra units come out of the slack, so no request within
+        # the allowance is rejected.
         largest = self._update_largest(organisation.name, cost, now)
         needed = max(needed, min(largest, self._slack * terms.group_share))
         needed += terms.reserve
@@ -148,9 +151,9 @@
     def charge(
         self, organisation: catalogue.Organisation, cost: float
     ) -> None:
-        """Hand out units that ``find_wait`` has found.
+        """Hand out units that ``find_wait`` found available.
 
-        Below zero, they are given back: their request was not run.
+        A negative cost refunds the units of a request that was not run.
         """
         if organisation.units_per_s <= 0:
             return
@@ -159,20 +162,20 @@
         self.usage[name] = self.usage.get(name, 0.0) + cost
 
     def list_asked(self, now: float) -> Usage:
-        """Return the units asked for a second at this host."""
+        """Return the units per second requested at this host."""
         return self._asked.list_rates(now)
 
     def find_asked(self, name: ids.Organisation, now: float) -> float:
-        """Return the units that an organisation asks for a second."""
+        """Return the units per second that an organisation requests here."""
         return self._asked.find(name, now)
 
     def adopt(self, levels: Usage, now: float) -> None:
-        """Take the levels that a peer states, if this process is young.
+        """Adopt the levels that a peer reports, during the startup period.
 
-        Without them, a process that starts takes its buckets for empty or
-        half full. Empty, it refuses organisations that ask for less than they
-        may; half full, hosts that restart one after another hand out more
-        than the operators allow.
+        Without them, a process that starts would have to assume empty or
+        half full buckets. Empty ones reject organisations that stay within
+        their allowance. With half full ones, hosts that restart one after
+        another hand out more than the operators allow.
         """
         if now - self._started_at > STARTUP_PERIOD_S:
             return
@@ -189,21 +192,24 @@
             bucket.adopt(level)
 
     def has_bucket(self, name: ids.Organisation) -> bool:
-        """Tell whether units of an organisation were asked for here."""
+        """Return whether an organisation has requested units here."""
         return name in self._buckets
 
     def list_levels(self, now: float) -> Usage:
-        """Return the units that are left in each bucket."""
+        """Return the level of each bucket."""
         for bucket in self._buckets.values():
             bucket.refill(now)
         return {name: item.level for name, item in self._buckets.items()}
 
     def has_totals(self, peer: ids.Incarnation) -> bool:
-        """Tell whether a peer's totals are known."""
+        """Return whether a peer's totals are known."""
         return peer in self._peer_totals
 
     def set_baseline(self, peer: ids.Incarnation, usage: Usage) -> None:
-        """Remember a peer's totals whose use counts elsewhere."""
+        """Store a peer's totals without deducting them.
+
+        They are accounted for elsewhere.
+        """
         self._peer_totals[peer] = usage
 
     def apply_totals(
@@ -213,11 +219,10 @@
         now: float,
         is_new: bool = False,
     ) -> Usage:
-        """Take out what a peer handed out since it was heard last.
+        """Deduct what a peer handed out since its last report.
 
-        ``is_new`` says that it has started a moment ago, so that all of it
-        is of late. Returns what was handed out lately, as far as that is
-        known.
+        ``is_new`` says that the peer has just started, so that its whole
+        total is recent. Returns the units known to be handed out recently.
         """
         recent = Usage()
         before = self._peer_totals.get(peer)
@@ -248,7 +253,7 @@
     def _store_pending(
         self, name: ids.Organisation, use: buckets.PeerUse
     ) -> None:
-        # The bucket's rate and size are known with the first request here.
+        # The bucket's rate and size are unknown until the first request here.
         pending = self._pending_uses.setdefault(
             name, collections.deque(maxlen=MAX_PENDING_USES)
         )
@@ -265,7 +270,7 @@
         pending.append(use)
 
     def forget(self, peer: ids.Incarnation) -> None:
-        """Drop what is kept about a process that has ended."""
+        """Remove the totals of a process that has ended."""
         self._peer_totals.pop(peer, None)
 
     def _update_largest(
@@ -296,10 +301,11 @@
                 bucket.adopt(stated[0])
                 bucket.updated_at = stated[1]
         if is_starting and 1 - silent_share > bucket.initial_share:
-            # Of the first units, too, hosts that are not heard have their
-            # share: forty hosts that started together handed a first part out
-            # twelve times before they heard each other. A host that is
-            # heard says what it handed out, and its share is for all.
+            # The initial fill, too, is shared with hosts that are silent:
+            # forty hosts that started together handed out the initial fill
+            # twelve times before they received each other's reports. A host
+            # that reports states what it handed out, so its share is available
+            # to all.
             more = 1 - silent_share - bucket.initial_share
             bucket.initial_share += more
             bucket.add_initial(size * buckets.INITIAL_FILL_RATIO * more)
