--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/heldslots.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/heldslots.py
@@ -3,9 +3,9 @@
 A slot is held at one start of a runner. When the runner restarts, the slots
 of the earlier start are void, and the later start is empty except for
 requests that were sent to it while this host knew only the earlier one.
-``hand_over`` moves these to the later start. Otherwise the slots of the later
-start would be miscounted, and requests would queue there while other runners
-have free slots.
+``hand_over`` moves these to the later start. Otherwise slots of the later
+start that are taken would count as free, and requests would queue there while
+other runners have free slots.
 """
 
 import collections
