--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/queueing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/queueing.py
@@ -1,18 +1,18 @@
-"""Who goes next, who waits, and who is refused.
+"""Queue order and admission of waiting requests.
 
-Runners admit in order of arrival and know no priorities, so requests wait
-here and only as many as a runner has slots are sent to it. A ``QueuedRequest``
-stands for a request that waits.
+Runners admit requests in order of arrival and know no priorities. So requests
+wait here (``QueuedRequest``), and a runner is sent only as many as it has
+slots.
 
-Order: tier first, as the operators set it. Within a tier, requests that can
-still meet their objective go before those that cannot, and each group in the
-order in which its time runs out. A late answer is worth less to a caller, so
-under overload a place goes to one that is still in time.
+Order: requests are sorted by tier, as set by the operators. Within a tier,
+requests that can still meet their objective come before those that cannot, and
+both groups are sorted by deadline. A late answer is worth less to a caller, so
+under overload a slot goes to a request that can still be on time.
 
-Refusals: a request is refused as soon as its start is predicted for a time
-at which its caller will have left, or has no use for it any more. Told at
-once, the caller can come back when the burst is over; held until it leaves,
-it has nothing.
+Rejection: a request is rejected as soon as its predicted start is after the
+time at which its caller will have left or has no more use for the answer. A
+caller that is rejected at once can retry when the burst is over; one that is
+held until it leaves gets nothing.
 """
 
 import dataclasses
@@ -32,35 +32,34 @@
     'predict_wait',
 ]
 
-# Callers take a time to come back into account up to this share of the time
-# that they have left.
+# Callers honour a retry delay up to this share of their remaining time.
 MAX_RETRY_DELAY_SHARE = 0.32
-# Shortest time to come back, in seconds: less only repeats the question.
+# An earlier retry would only be rejected again.
 MIN_RETRY_DELAY_S = 0.1
 
 
 class Rank(ty.NamedTuple):
-    """Place of a request in the order; the smallest goes first."""
+    """Position of a request in the queue; the smallest comes first."""
 
     tier: int
     route_tier: int
     # The objective can no longer be met.
     is_late: bool
-    # Latest start with which the objective is met.
+    # Latest start that meets the objective.
     on_time_by: float
 
     def shift(self, seconds: float) -> 'Rank':
-        """Return the rank on a clock that is ahead by these seconds."""
+        """Return the rank on a clock that is ``seconds`` ahead."""
         return self._replace(on_time_by=self.on_time_by + seconds)
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """A place at a runner."""
+    """A slot at a runner."""
 
     runner: ids.RunnerStart
-    # Number of the place at the host that holds it; 0 if this host granted it
+    # Number of the slot at the host that holds it; 0 if this host granted it
     # without a coordinator.
     number: int = 0
 
@@ -68,78 +67,77 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """No place in useful time."""
+    """No slot is expected in time."""
 
-    # Seconds after which the caller should come back.
     retry_after_s: float
-    # Predicted seconds until a place, on which the refusal rests.
+    # Predicted wait for a slot, the reason for the rejection.
     wait_s: float
-    # Requests that would have gone before this one.
+    # Number of requests ahead of this one.
     ahead: int
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
 class QueuedRequest:
-    """A request that waits for a place."""
+    """A request that waits for a slot."""
 
     attempt: str
     service: ids.Pool
     tier: ids.Tier
     route_tier: ids.Tier
     arrived_at: float
-    # Latest start with which the objective is met.
+    # Latest start that meets the objective.
     on_time_by: float
-    # Latest start that is of any use to the caller.
+    # Latest start that is still useful to the caller.
     useful_until: float
-    # When the caller's time ends.
+    # Deadline of the caller.
     ends_at: float
     prompt_tokens: int
-    # Events that the answer is expected to have.
+    # Expected number of events in the answer.
     events: float
-    # Digest of the last part of the prompt; '' if there is none.
+    # Digest of the last part of the prompt's prefix; '' if there is none.
     last_part: str
-    # Runners that this request was sent to already.
+    # Runners that this request was already sent to.
     tried: set[ids.RunnerStart] = dataclasses.field(default_factory=set)
-    # Number of the place that coordinators are asked for; 0 if none is.
+    # Number of the slot requested from coordinators; 0 if none was requested.
     number: int = 0
-    # Part with which it counts for those behind it: one that waits in two
-    # queues takes a place of one.
+    # How much it counts for the requests behind it: a request that waits in
+    # two queues takes a slot of only one.
     queue_weight: float = 1.0
     decision: Grant | Refusal | None = None
     decided: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
     def find_rank(self, now: float) -> Rank:
-        """Return the place in the order; the smallest goes first."""
+        """Return the position in the queue; the smallest comes first."""
         is_late = now > self.on_time_by
         return Rank(self.tier, self.route_tier, is_late, self.on_time_by)
 
     def decide(self, decision: Grant | Refusal) -> None:
-        """Set the decision and wake the request."""
+        """Set the decision and notify the waiting task."""
         self.decision = decision
         self.decided.set()
 
 
-def predict_wait(ahead: float, free: int, places: int, hold_s: float) -> float:
-    """Return the expected seconds until a place.
+def predict_wait(ahead: float, free: int, slots: int, hold_s: float) -> float:
+    """Return the expected seconds until a slot is free.
 
-    ``ahead`` requests go first; ``places`` places are held for ``hold_s``
-    seconds each on average, so one becomes free every hold_s / places.
+    ``ahead`` requests come first. Each of ``slots`` slots is held for
+    ``hold_s`` seconds on average, so one becomes free every hold_s / slots.
     """
-    if places <= 0:
+    if slots <= 0:
         return float('inf')
     missing = ahead + 1 - free
-    return max(0, missing) * hold_s / places
+    return max(0, missing) * hold_s / slots
 
 
 def choose_retry_delay(
     wait_s: float, left_s: float, rng: random.Random
 ) -> float:
-    """Return when a refused caller should come back, in seconds.
+    """Return after how many seconds a rejected caller should retry.
 
-    The times are spread from the predicted wait up to the longest that the
-    caller accepts: refused together, callers that come back together would
-    only make the next burst.
+    The delay is random, between the predicted wait and the longest delay that
+    the caller accepts. Callers that are rejected together would otherwise
+    retry together and cause the next burst.
     """
     longest = max(MIN_RETRY_DELAY_S, left_s * MAX_RETRY_DELAY_SHARE)
     shortest = min(max(MIN_RETRY_DELAY_S, wait_s), longest * 0.6)
