--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -1,8 +1,8 @@
-"""Which runner a request goes to.
+"""Choice of the runner for a request.
 
-Among the runners with a free place, the one that is expected to finish the
-request first, by its learned speed, by what it keeps of the prompt and by
-how full it is. Runners that fail are used only if no other has a place.
+Of the runners with a free slot, the one that is expected to finish the request
+first is chosen, based on its measured speed, its prefix cache and its load.
+Failing runners are used only if no other has a free slot.
 """
 
 import dataclasses
@@ -16,37 +16,38 @@
 
 __all__ = ['Candidate', 'choose_runner']
 
-# Part by which a full runner generates slower than one with a single request.
+# How much slower a full runner generates than one with a single request.
 FULL_LOAD_SLOWDOWN_RATIO = 0.25
-# Part of the time to read the prompt by which the runner that a prompt's last
-# part belongs to is preferred, before it is known to keep the part. All hosts
-# compute the same runner, so they share its cache without a message. The last
-# part is its session's, or the request's own; then the home is one drawn for
-# each request, and that has a worth of its own: hosts that decide at the same
-# moment do not all choose the best runner, where prompts wait to be read one
-# after the other. Small enough that speed and load go first.
+# Share of the prompt's read time by which the preferred runner is favoured
+# before it is known to have the prefix cached. Rendezvous hashing of the last
+# part of the prefix selects the preferred runner, so all hosts prefer the same
+# one and share its cache without messages. The last part identifies a session
+# or only the request. In the latter case the preferred runner is effectively
+# random, which is useful too: hosts that decide at the same time do not all
+# choose the best runner, where prompts are read one after the other. The share
+# is small enough for speed and load to take precedence.
 PREFERRED_READ_SAVING_RATIO = 0.5
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """A runner with a free place."""
+    """A runner with a free slot."""
 
     runner: ids.RunnerStart
-    # Places taken and in all.
+    # Slots in use, and slots in total.
     used: int
     slots: int
     pace: pace.Pace
     is_avoided: bool
-    # This host sent the prompt's last part there a short time ago.
+    # This host recently sent the prompt's prefix there.
     has_cached_prefix: bool
 
 
 def choose_runner(
     request: queueing.QueuedRequest, candidates: list[Candidate]
 ) -> Candidate | None:
-    """Return the best runner; None if there is no option."""
+    """Return the best candidate; None if all were already tried."""
     untried = [
         candidate
         for candidate in candidates
@@ -87,7 +88,7 @@
 
 
 def _hash_affinity(part: str, start: ids.RunnerStart) -> int:
-    # By the registered id: the homes of other runners' parts stay as they are
-    # when one of them starts again.
+    # By the registered id, so that the restart of a runner does not change the
+    # preferred runner of any prefix.
     runner = ids.find_runner(start)
     return xxhash.xxh3_64_intdigest(f'{part} {runner}'.encode())
