--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -1,11 +1,11 @@
-"""Places at runners, and the requests that wait for one on this host.
-
-Applies the decisions of ``queueing`` and ``placement`` to what this host
-knows: its own requests, and what its peers say about theirs. Each host
-schedules its own requests; a host yields a free place to a peer whose
-request goes first, and takes it after all if the peer does not. No host
-depends on another one to go on: a peer that is silent is left out after a
-moment, and its places are estimated from the load that the runners state.
+"""Scheduling of this host's requests on the slots of runners.
+
+Applies ``queueing`` and ``placement`` to this host's own requests and to what
+its peers report about theirs. Each host schedules its own requests. A host
+leaves a free slot to a peer whose request comes first, and takes it after a
+timeout if the peer does not. No host depends on another one to make progress:
+a silent peer is ignored after a timeout, and its slots are estimated from the
+load that the runners report.
 """
 
 import collections
@@ -27,56 +27,56 @@
 
 __all__ = ['Peers', 'Scheduler', 'RunnerFilter']
 
-# Seconds for which a free place is left to a peer whose request goes first.
-# Peers hear of it within a few milliseconds; one that does not take it by
-# then is gone, or cannot use it.
+# How long a free slot is left to a peer whose request comes first. Peers are
+# notified within a few milliseconds; one that has not taken the slot by then
+# has stopped or cannot use it.
 YIELD_TIMEOUT_S = 0.05
-# Seconds for which a runner is taken to keep a prompt's last part.
+# How long a runner is assumed to keep a prefix in its cache.
 CACHED_PREFIX_MAX_AGE_S = 10.0
-# Parts that are remembered, in all.
+# Pairs of a prefix and a runner, for all services.
 MAX_CACHED_PREFIXES = 4000
-# Seconds that a place is held on average, before any request has ended.
+# Assumed average hold time before any request has ended.
 INITIAL_HOLD_TIME_S = 1.0
-# Least weight of the newest request in the average: the first ones count more,
-# so that what was assumed before any is soon forgotten.
+# Weight of the newest request in the moving average. The first requests weigh
+# more, so that they soon replace the initial value.
 MIN_HOLD_TIME_WEIGHT = 0.05
-# Seconds for which a runner's own statement of its load is used.
+# How long the load that a runner reported is used.
 LOAD_MAX_AGE_S = 1.0
-# Seconds that a request waits when its service has no runner at all.
-# Registrations that are on their way arrive within this.
+# How long a request waits if its service has no runner. Registrations that
+# have already been sent arrive within this time.
 NO_RUNNER_TIMEOUT_S = 0.3
 
 
 class RunnerFilter(ty.Protocol):
-    """Which runners are scheduled."""
+    """The choice of the runners that are scheduled here."""
 
     def select_runners(
         self, entries: list[dialect.RunnerEntry]
     ) -> list[dialect.RunnerEntry]:
-        """Return those of one service's runners that are scheduled."""
+        """Return the entries of one service that are scheduled here."""
 
 
 class Peers(ty.Protocol):
-    """What the scheduler asks about the other hosts."""
+    """What the scheduler needs to know about the other hosts."""
 
     def count_running(self, runner: ids.RunnerStart) -> int:
-        """Return the requests that heard peers have at a runner."""
+        """Return the number of requests of live peers at a runner."""
 
     def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
-        """Return what waits at heard peers, sorted."""
+        """Return the ranks of requests that wait at live peers, sorted."""
 
     def find_silent_share(self) -> float:
-        """Return the share of this host's group that is not heard."""
+        """Return the share of this host's group that is silent."""
 
     @property
     def partition(self) -> RunnerFilter:
-        """Return which runners are scheduled; another one if that changes."""
+        """Return the filter; a new object whenever its result changes."""
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
 class _Load:
-    # What the runner stated, and what we had there then.
+    # Requests that the runner reported, and those of this host at that time.
     stated: int
     own: int
     at: float
@@ -85,10 +85,10 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class _RunnerView:
-    """Runners of a service, as they are for one pass of decisions."""
+    """Snapshot of a service's runners for one scheduling pass."""
 
     entries: list[dialect.RunnerEntry]
-    # Free places; below zero where hosts together overfilled a runner.
+    # Free slots; negative where hosts together overcommitted a runner.
     free: dict[ids.RunnerStart, int]
     avoided: set[ids.RunnerStart]
 
@@ -99,17 +99,17 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Queue:
-    """What waits for a service, as it is for one pass of decisions."""
+    """Snapshot of a service's queue for one scheduling pass."""
 
-    # In order.
+    # Requests of this host, in order.
     own: list[tuple[queueing.Rank, queueing.QueuedRequest]]
-    # Ranks at peers, in order.
+    # Ranks of the requests of peers, in order.
     others: list[queueing.Rank]
 
     def iterate(
         self,
     ) -> collections.abc.Iterator[tuple[queueing.QueuedRequest, int]]:
-        """Yield own requests, and how many at peers go before each."""
+        """Yield each own request and the number of peers' ahead of it."""
         ahead = 0
         for rank, request in self.own:
             while ahead < len(self.others) and self.others[ahead] < rank:
@@ -119,21 +119,21 @@
 
 @ty.final
 class Scheduler:
-    """The requests of this host and the places that they hold."""
+    """Schedules the requests of this host and counts their slots."""
 
     def __init__(
         self,
         runners: directory.Directory,
         paces: pace.Paces,
         fitness: health.Health,
-        others: Peers,
+        peers: Peers,
         rng: random.Random,
     ) -> None:
-        """Start without requests."""
+        """Create without requests."""
         self._runners = runners
         self._paces = paces
         self._health = fitness
-        self._peers = others
+        self._peers = peers
         self._rng = rng
         self._waiting: dict[ids.Pool, list[queueing.QueuedRequest]] = {}
         self.held_slots = heldslots.HeldSlots()
@@ -146,8 +146,8 @@
             tuple[str, ids.RunnerStart], float
         ] = collections.OrderedDict()
         self._yielding_since: dict[ids.Pool, float] = {}
-        # Runners of this host's group by service, and what they follow from:
-        # the groups, and the changes of the directory.
+        # Cache of the runners scheduled here, by service, and what it depends
+        # on: the filter and the change count of the directory.
         self._own_runners: dict[ids.Pool, list[dialect.RunnerEntry]] = {}
         self._own_runners_filter: RunnerFilter | None = None
         self._own_runners_changes = 0
@@ -155,12 +155,12 @@
     # Requests.
 
     def enter(self, request: queueing.QueuedRequest, now: float) -> None:
-        """Let a request wait; it may be decided at once."""
+        """Queue a request; it may be decided at once."""
         self._waiting.setdefault(request.service, []).append(request)
         self.schedule_service(request.service, now)
 
     def leave(self, request: queueing.QueuedRequest) -> None:
-        """Drop a request that waits no more."""
+        """Remove a request that no longer waits."""
         requests = self._waiting.get(request.service, [])
         if request in requests:
             requests.remove(request)
@@ -168,15 +168,15 @@
     def release(
         self, service: ids.Pool, runner: ids.RunnerStart, now: float
     ) -> None:
-        """Give a place back."""
+        """Release a slot."""
         self.held_slots.release(runner)
         self.schedule_service(service, now)
 
     def note_hold_time(self, service: ids.Pool, held_s: float) -> None:
-        """Learn how long a request held its place.
+        """Update the average hold time from a request.
 
-        Only for those that ran to their end: a runner that refuses at once
-        would make the wait of all others look short.
+        Only for requests that ran to completion: a runner that rejects at once
+        would make the predicted waits too short.
         """
         self._hold_counts[service] += 1
         weight = max(MIN_HOLD_TIME_WEIGHT, 1 / self._hold_counts[service])
@@ -184,30 +184,30 @@
         self._hold_times[service] = before + (held_s - before) * weight
 
     def find_hold_time(self, service: ids.Pool) -> float:
-        """Return the seconds for which a place is held on average."""
+        """Return the average seconds for which a slot is held."""
         return self._hold_times.get(service, INITIAL_HOLD_TIME_S)
 
     def set_hold_time(self, service: ids.Pool, held_s: float) -> None:
-        """Take an average that another scheduler has learned."""
+        """Set the average hold time to that of another scheduler."""
         self._hold_times[service] = held_s
 
     def note_load(
         self, runner: ids.RunnerStart, load: tuple[int, int], now: float
     ) -> None:
-        """Take a runner's own statement of what runs and waits there."""
+        """Store the running and waiting requests that a runner reports."""
         self._loads[runner] = _Load(
             sum(load), self.held_slots.running[runner], now
         )
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
-        """Forget what runners stated that are gone."""
+        """Remove the load of runners that are not in ``runners``."""
         for runner in set(self._loads) - runners:
             del self._loads[runner]
 
     def note_cached_prefix(
         self, part: str, runner: ids.RunnerStart, now: float
     ) -> None:
-        """Remember that a runner has read a prompt's last part."""
+        """Store that a runner has read a prompt's prefix."""
         if not part:
             return
         self._cached_prefixes[(part, runner)] = now
@@ -218,23 +218,23 @@
     def has_free_slot(
         self, service: ids.Pool, tried: set[ids.RunnerStart], now: float
     ) -> bool:
-        """Tell whether a runner that was not tried has a free place."""
+        """Return whether a runner that was not tried has a free slot."""
         return any(
             entry.start not in tried and self._count_free(entry, now) > 0
             for entry in self._list_usable(service, now)
         )
 
     def count_free_slots(self, service: ids.Pool, now: float) -> int:
-        """Return the free places of a service."""
+        """Return the number of free slots of a service."""
         return sum(
             max(0, self._count_free(entry, now))
             for entry in self._list_usable(service, now)
         )
 
-    # What peers are told.
+    # Reports to peers.
 
     def list_waiting(self, now: float) -> dict[ids.Pool, list[queueing.Rank]]:
-        """Return the ranks of what waits here, sorted, by service."""
+        """Return the sorted ranks of the waiting requests, by service."""
         return {
             service: sorted(request.find_rank(now) for request in requests)
             for service, requests in self._waiting.items()
@@ -244,12 +244,12 @@
     # Decisions.
 
     def schedule_all(self, now: float) -> None:
-        """Decide whatever can be decided now."""
+        """Run a scheduling pass for all services."""
         for service in list(self._waiting):
             self.schedule_service(service, now)
 
     def schedule_service(self, service: ids.Pool, now: float) -> None:
-        """Decide what waits for one service."""
+        """Run a scheduling pass for one service."""
         requests = self._waiting.get(service)
         if not requests:
             return
@@ -281,7 +281,7 @@
     def _list_own_runners(
         self, service: ids.Pool
     ) -> list[dialect.RunnerEntry]:
-        # Kept until hosts or registrations change: sorting the runners at
+        # Cached until hosts or registrations change: sorting the runners for
         # each decision would cost more than the decision.
         partition, changes = self._peers.partition, self._runners.changes
         if (
@@ -369,8 +369,7 @@
         total = sum(entry.slots for entry in view.entries)
         free = view.count_free_slots()
         hold = self.find_hold_time(service)
-        # Those that wait here and go first. One that is refused is out of
-        # the way of the next.
+        # Requests of this host that come first. Rejected ones do not count.
         ahead_here = 0.0
         for request, ahead in queue.iterate():
             if request.decision is not None:
@@ -412,10 +411,10 @@
     def _estimate_silent(
         self, entry: dialect.RunnerEntry, silent: float, now: float
     ) -> int:
-        # Peers that are not heard may be dead or only cut off from us. The
-        # runner's own statement tells; without a fresh one they are taken to
-        # use their share, so that hosts cut off from each other do not
-        # overfill the runner.
+        # Silent peers may be down or only partitioned from this host. The load
+        # that the runner reports shows which. Without a recent report they are
+        # assumed to use their share, so that partitioned hosts do not
+        # overcommit the runner.
         load = self._loads.get(entry.start)
         if load is not None and now - load.at < LOAD_MAX_AGE_S:
             return max(0, load.stated - load.own)
@@ -429,8 +428,8 @@
 
 
 def _is_hopeless(
-    request: queueing.QueuedRequest, wait_s: float, places: int, now: float
+    request: queueing.QueuedRequest, wait_s: float, slots: int, now: float
 ) -> bool:
-    if places == 0:
+    if slots == 0:
         return now - request.arrived_at > NO_RUNNER_TIMEOUT_S
     return now + wait_s > request.useful_until
