--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -73,7 +73,7 @@
         self.level = level - excess
         self.updated_at = now
 
-    def count(self, use: PeerUse) -> None:
+    def apply(self, use: PeerUse) -> None:
         """Deduct the units that a peer handed out."""
         # Refilled first, up to the time of the report: otherwise a bucket
         # without recent requests here would be refilled after the deduction,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -21,8 +21,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway.decisions import averages
-from apricotlandingd.gateway.decisions import buckets
+from apricotlandingd.gateway.decisions import averages, buckets
 
 __all__ = ['SLACK_SHARE', 'Quotas', 'AllowanceShare', 'Usage']
 
@@ -247,7 +246,7 @@
             if bucket is None:
                 self._store_pending(name, buckets.PeerUse(now, units, kind))
             else:
-                bucket.count(buckets.PeerUse(now, units, kind))
+                bucket.apply(buckets.PeerUse(now, units, kind))
         return recent
 
     def _store_pending(
@@ -313,6 +312,6 @@
         rate = organisation.units_per_s * terms.group_share
         bucket.rate = rate * (1 - silent_share) - terms.remote_units_per_s
         for use in self._pending_uses.pop(organisation.name, ()):
-            bucket.count(use)
+            bucket.apply(use)
         bucket.refill(now)
         return bucket
