--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -106,7 +106,7 @@
         self._deduct_deferred()
 
     def _deduct_deferred(self) -> None:
-        gone = min(self.deferred, self.assumed)
-        self.deferred -= gone
-        self.assumed -= gone
-        self.level -= gone
+        deducted = min(self.deferred, self.assumed)
+        self.deferred -= deducted
+        self.assumed -= deducted
+        self.level -= deducted
