--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -118,7 +118,7 @@
         self,
         organisation: catalogue.Organisation,
         cost: float,
-        terms: AllowanceShare,
+        share: AllowanceShare,
         now: float,
     ) -> float | None:
         """Return seconds until enough units are available; None if they are.
@@ -128,7 +128,7 @@
         if organisation.units_per_s <= 0:
             return None
         self._asked.record(organisation.name, cost, now)
-        bucket = self._refill(organisation, terms, now)
+        bucket = self._refill(organisation, share, now)
         # A request larger than the bucket is admitted when it is full.
         needed = min(cost, bucket.size)
         # A small request needs as many units as the largest recent one.
@@ -139,12 +139,12 @@
         # equal. The extra units come out of the slack, so no request within
         # the allowance is rejected.
         largest = self._update_largest(organisation.name, cost, now)
-        needed = max(needed, min(largest, self._slack * terms.group_share))
-        needed += terms.reserve
+        needed = max(needed, min(largest, self._slack * share.group_share))
+        needed += share.reserve
         if bucket.level >= needed:
             return None
-        rate = organisation.units_per_s * terms.group_share
-        rate *= max(0.1, 1 - terms.silent_share)
+        rate = organisation.units_per_s * share.group_share
+        rate *= max(0.1, 1 - share.silent_share)
         return max(MIN_RETRY_DELAY_S, (needed - bucket.level) / rate)
 
     def charge(
@@ -284,11 +284,11 @@
     def _refill(
         self,
         organisation: catalogue.Organisation,
-        terms: AllowanceShare,
+        share: AllowanceShare,
         now: float,
     ) -> buckets.Bucket:
-        silent_share = terms.silent_share
-        size = (organisation.burst_units + self._slack) * terms.group_share
+        silent_share = share.silent_share
+        size = (organisation.burst_units + self._slack) * share.group_share
         bucket = self._buckets.get(organisation.name)
         is_starting = now - self._started_at <= STARTUP_PERIOD_S
         if bucket is None:
@@ -309,8 +309,8 @@
             bucket.initial_share += more
             bucket.add_initial(size * buckets.INITIAL_FILL_RATIO * more)
         bucket.size = size
-        rate = organisation.units_per_s * terms.group_share
-        bucket.rate = rate * (1 - silent_share) - terms.remote_units_per_s
+        rate = organisation.units_per_s * share.group_share
+        bucket.rate = rate * (1 - silent_share) - share.remote_units_per_s
         for use in self._pending_uses.pop(organisation.name, ()):
             bucket.apply(use)
         bucket.refill(now)
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -3,12 +3,9 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway.decisions import queueing
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway import dialect
+from apricotlanding import addresses, ids
+from apricotlandingd.gateway import catalogue, dialect
+from apricotlandingd.gateway.decisions import queueing, quotas
 
 __all__ = [
     'POOL',
@@ -86,8 +83,8 @@
     group_share: float = 1.0,
 ) -> float | None:
     """Hand out units, or return seconds until there are enough."""
-    terms = quotas.AllowanceShare(silent_share, group_share)
-    wait = buckets.find_wait(organisation, cost, terms, now)
+    share = quotas.AllowanceShare(silent_share, group_share)
+    wait = buckets.find_wait(organisation, cost, share, now)
     if wait is None:
         buckets.charge(organisation, cost)
     return wait
