--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -17,13 +17,9 @@
 import eliot
 
 from apricotlanding import ids
-from apricotlandingd.gateway.decisions import heldslots
-from apricotlandingd.gateway.decisions import placement
-from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.decisions import heldslots, placement, queueing
+from apricotlandingd.gateway.runners import directory, health, pace
 
 __all__ = ['Peers', 'Scheduler', 'RunnerFilter']
 
@@ -77,7 +73,7 @@
 @dataclasses.dataclass(slots=True)
 class _Load:
     # Requests that the runner reported, and those of this host at that time.
-    stated: int
+    reported: int
     own: int
     at: float
 
@@ -417,7 +413,7 @@
         # overcommit the runner.
         load = self._loads.get(entry.start)
         if load is not None and now - load.at < LOAD_MAX_AGE_S:
-            return max(0, load.stated - load.own)
+            return max(0, load.reported - load.own)
         return int(entry.slots * silent)
 
 
