--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -372,7 +372,7 @@
                 continue
             before = ahead_here + ahead
             wait = queueing.predict_wait(before, free, total, hold)
-            if not _is_hopeless(request, wait, total, now):
+            if not _is_too_late(request, wait, total, now):
                 ahead_here += request.queue_weight
                 continue
             left = request.ends_at - now
@@ -423,7 +423,7 @@
     return item[0]
 
 
-def _is_hopeless(
+def _is_too_late(
     request: queueing.QueuedRequest, wait_s: float, slots: int, now: float
 ) -> bool:
     if slots == 0:
