--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -21,7 +21,8 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway.decisions import averages, buckets
+from apricotlandingd.gateway.decisions import averages
+from apricotlandingd.gateway.decisions import buckets
 
 __all__ = ['SLACK_SHARE', 'Quotas', 'AllowanceShare', 'Usage']
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -17,9 +17,13 @@
 import eliot
 
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import heldslots
+from apricotlandingd.gateway.decisions import placement
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import heldslots, placement, queueing
-from apricotlandingd.gateway.runners import directory, health, pace
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import pace
 
 __all__ = ['Peers', 'Scheduler', 'RunnerFilter']
 
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -3,9 +3,12 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import addresses, ids
-from apricotlandingd.gateway import catalogue, dialect
-from apricotlandingd.gateway.decisions import queueing, quotas
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlandingd.gateway import catalogue
+from apricotlandingd.gateway.decisions import queueing
+from apricotlandingd.gateway.decisions import quotas
+from apricotlandingd.gateway import dialect
 
 __all__ = [
     'POOL',
