--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -1,4 +1,4 @@
-"""Parts that the tests of the gateway's decisions are made of."""
+"""Factories for the tests of the gateway's decisions."""
 
 import dataclasses
 import typing as ty
@@ -23,7 +23,7 @@
 
 
 def make_start(name: str, birth: int | None = None) -> ids.RunnerStart:
-    """Return a start of a runner; without a birth, the only one."""
+    """Return a start of a runner; without ``birth``, its only one."""
     return ids.make_runner_start(ids.Runner(name), birth)
 
 
@@ -33,7 +33,7 @@
     is_draining: bool = False,
     birth: int | None = None,
 ) -> dialect.RunnerEntry:
-    """Return a runner of the pool."""
+    """Return the entry of a runner of the pool."""
     return dialect.RunnerEntry(
         start=make_start(name, birth),
         service=POOL,
@@ -45,7 +45,7 @@
 
 
 def make_organisation(units: float) -> catalogue.Organisation:
-    """Return an organisation with so many units a second, and at once."""
+    """Return an organisation with ``units`` as its rate and its burst."""
     return catalogue.Organisation(
         name=ids.Organisation('festin'),
         keys=frozenset(),
@@ -60,7 +60,7 @@
 def make_queued_request(
     attempt: str, now: float, **changes: ty.Any
 ) -> queueing.QueuedRequest:
-    """Return a request of the pool's most urgent tier, on time for 1 s."""
+    """Return a request of the highest tier that is on time for 1 s."""
     request = queueing.QueuedRequest(
         attempt=attempt,
         service=POOL,
@@ -85,7 +85,7 @@
     now: float,
     group_share: float = 1.0,
 ) -> float | None:
-    """Hand out units, or return seconds until there are enough."""
+    """Hand out units, or return seconds until enough are available."""
     share = quotas.AllowanceShare(silent_share, group_share)
     wait = buckets.find_wait(organisation, cost, share, now)
     if wait is None:
