--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -1,4 +1,4 @@
-"""The gateway's decisions, without a network: time is an argument."""
+"""The gateway's decisions, without a network and with simulated time."""
 
 import dataclasses
 import random
@@ -28,7 +28,7 @@
 
 
 class FakePeers:
-    """Other hosts that run and want what a test says."""
+    """Peers with the load and the ranks that a test sets."""
 
     def __init__(self) -> None:
         self.running: dict[ids.RunnerStart, int] = {}
@@ -47,7 +47,7 @@
 
 
 class TestScheduler(testtools.TestCase):
-    """Two runners with two places each."""
+    """Two runners with two slots each."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -133,7 +133,7 @@
         self.assertIsNone(mine.decision)
 
     def test_place_that_the_peer_leaves_is_taken(self) -> None:
-        # A peer that died with a request waiting must not keep a place free.
+        # A peer that stopped with a waiting request must not block a slot.
         full = self.fill()
         mine = self.enter(0.0, tier=1)
         self.others.ranks = [queueing.Rank(0, 0, False, 1.0)]
@@ -159,8 +159,9 @@
         self.assertLessEqual(refusal.retry_after_s, 15 / 3)
 
     def test_lower_tier_is_refused_and_the_higher_one_kept(self) -> None:
-        # The places are full and six of the lower tier wait. As the higher
-        # tier comes in, the wait of the lower one outgrows its use.
+        # All slots are taken and requests of the lower tier wait. As requests
+        # of the higher tier arrive, the last one of the lower tier would wait
+        # too long to be useful.
         self.fill()
         low = [self.enter(0.0, tier=1, useful_until=1.5) for _ in range(5)]
         high = [self.enter(0.1, tier=0) for _ in range(4)]
@@ -168,8 +169,9 @@
         self.assertIsInstance(low[-1].decision, queueing.Refusal)
 
     def test_one_that_is_refused_is_out_of_the_way(self) -> None:
-        # A caller was refused with a place in sight: twelve before it were
-        # refused in the same moment, and still counted as going first.
+        # Guards against rejecting a request that would get a slot: twelve
+        # requests ahead of it are rejected in the same pass and must not count
+        # as ahead any more.
         self.fill()
         for _ in range(12):
             self.enter(0.0, useful_until=3.1)
@@ -188,8 +190,8 @@
         self.assertIsInstance(request.decision, queueing.Refusal)
 
     def test_host_that_hears_nobody_uses_its_share(self) -> None:
-        # Cut off from the other hosts, which may go on serving: all of them
-        # together must not overfill the runners.
+        # The host is partitioned from the others, which may still be serving.
+        # Together they must not overcommit the runners.
         self.others.silent = 0.5
         granted = [self.enter(0.0).decision for _ in range(4)]
         count = sum(isinstance(item, queueing.Grant) for item in granted)
@@ -233,11 +235,11 @@
 
 
 class TestQuotas(testtools.TestCase):
-    """A hundred units a second, a hundred at once."""
+    """A rate of a hundred units per second and a burst of a hundred."""
 
     def setUp(self) -> None:
         super().setUp()
-        # A start long enough ago for full buckets.
+        # Started long enough ago for full buckets.
         self.quotas = quotas.Quotas(0.0, -100.0)
 
     def take(self, units: float, now: float, silent: float = 0.0) -> bool:
@@ -269,9 +271,9 @@
         self.assertTrue(self.take(10, 0.0))
 
     def test_use_of_a_peer_counts_after_a_quiet_time(self) -> None:
-        # Two hosts handed out the same burst. This one had not been asked
-        # for a while; its bucket was filled only after the peer's use had
-        # been taken out, which was thereby forgotten.
+        # Guards against two hosts handing out the same burst: without recent
+        # requests here, the bucket was refilled only after the peer's use was
+        # deducted, which cancelled the deduction.
         self.take(100, 0.0)
         peer = ids.Incarnation('other/1')
         self.quotas.apply_totals(peer, {FESTIN.name: 0.0}, 0.0)
@@ -279,9 +281,9 @@
         self.assertFalse(self.take(50, 10.0))
 
     def test_use_of_a_peer_counts_before_the_first_request(self) -> None:
-        # Two hosts handed out the same burst. An organisation had only asked
-        # the other one; this one, which is asked for the first time, took its
-        # bucket to be full.
+        # Guards against two hosts handing out the same burst: on the first
+        # request here, the host took its bucket to be full, although the
+        # organisation had used up the burst at the other host.
         peer = ids.Incarnation('other/1')
         self.quotas.apply_totals(peer, {FESTIN.name: 0.0}, 9.0)
         self.quotas.apply_totals(peer, {FESTIN.name: 60.0}, 10.0)
@@ -296,7 +298,7 @@
         self.assertTrue(self.take(100, 11.0))
 
     def test_hosts_that_hear_nobody_hand_out_the_rate_once(self) -> None:
-        # Four hosts, each cut off from the three others.
+        # Four hosts, each partitioned from the three others.
         hosts = [quotas.Quotas(0.0, 0.0) for _ in range(4)]
         total = 0.0
         for step in range(1000):
@@ -311,9 +313,10 @@
         self.assertLessEqual(total, FESTIN.burst_units + 10 * 100.0 + 4)
 
     def test_restarted_hosts_do_not_hand_out_a_second_burst(self) -> None:
-        # An organisation got more in eight seconds than its allowance and
-        # all slack. Every host was killed at once while it asked for many
-        # times its allowance, and each restarted with a full bucket.
+        # Guards against handing out more in eight seconds than the allowance
+        # and the whole slack. All hosts are killed at once while the
+        # organisation requests many times its allowance; they must not restart
+        # with full buckets.
         before = quotas.Quotas(0.0, -100.0)
         self.assertIsNone(
             gatewayparts.take_units(before, FESTIN, 100, 0.0, 0.0)
@@ -348,7 +351,7 @@
 
 
 class TestDirectory(testtools.TestCase):
-    """Runners whose registration goes."""
+    """Runners whose registration is removed."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -364,8 +367,8 @@
         self.assertFalse(self.is_open(10.0))
 
     def test_lapse_in_an_outage_is_waited_for(self) -> None:
-        # The store comes back and all registrations are gone, because no
-        # runner could renew its own. Each of them serves.
+        # After a store outage all registrations have expired, because no runner
+        # could renew its own. The runners are still serving.
         self.runners.note_outage(9.9)
         self.runners.remove(ids.Runner('r1'), 10.0)
         self.assertTrue(self.is_open(11.0))
@@ -376,9 +379,9 @@
         self.assertFalse(self.is_open(12.2))
 
     def test_lapse_never_outlasts_the_drain_time(self) -> None:
-        # A caller's request reached a runner 2082 ms after it had left: the
-        # store had turned this host away three seconds before the runner
-        # left for good, and the removal was taken for a lapse.
+        # Guards against requests to a runner that has left. One was sent 2082
+        # ms after that: the store had rejected this host's read three seconds
+        # before the runner left, and the removal was taken for a lapse.
         self.runners.note_outage(9.9)
         self.runners.remove(ids.Runner('r1'), 10.0)
         self.runners.note_outage(11.0)
@@ -420,8 +423,9 @@
         self.assertEqual(set(), self.health.list_avoided(self.names, 1.1))
 
     def test_dead_runner_gets_nothing_for_a_while(self) -> None:
-        # Under overload every request tried a crashed runner first: a dead
-        # one always has free places, and its registration outlives it.
+        # Guards against every request trying a crashed runner first under
+        # overload: a crashed runner always has free slots, and its registration
+        # remains for a while.
         runner = gatewayparts.make_start('r1')
         self.health.note_unreachable(runner, 0.0)
         self.assertTrue(self.health.is_closed(runner, 0.4))
@@ -442,7 +446,7 @@
 
 
 class TestRetryBudget(testtools.TestCase):
-    """A fifth of the requests and ten more in ten seconds, over all hosts."""
+    """A fifth of the requests plus ten in ten seconds, over all hosts."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -467,8 +471,9 @@
         self.assertEqual(24, taken)
 
     def test_pool_that_fails_leaves_the_others_their_retries(self) -> None:
-        # Callers of a pool with one bad runner got its errors, because all
-        # runners of another pool failed and its requests used up the retries.
+        # Guards against one pool using up the retries of another. All runners
+        # of one pool failed, and callers of a pool with only one bad runner
+        # received its errors.
         while self.budget.take(gatewayparts.POOL, 1, 0.0):
             continue
         self.assertTrue(self.budget.take(ids.Pool('other'), 1, 0.0))
@@ -480,7 +485,7 @@
 
 
 class TestEventReader(testtools.TestCase):
-    """Whole events, in order, once."""
+    """Events are passed on complete, in order and once."""
 
     def test_half_an_event_waits_for_its_rest(self) -> None:
         reader = streams.EventReader('')
@@ -581,7 +586,7 @@
 
 
 class TestMesh(testtools.TestCase):
-    """States of hosts."""
+    """States that hosts report to each other."""
 
     def make_state(
         self, number: int, running: dict[str, int], incarnation: str = 'b/1'
@@ -648,8 +653,8 @@
         self.assertEqual({'festin': 7.0}, peer.state.usage)
 
     def test_change_leaves_totals_that_it_does_not_name(self) -> None:
-        # An organisation was handed out its whole use a second time: a
-        # message without its name made its total start anew.
+        # Guards against counting an organisation's whole use a second time,
+        # because a message without its name reset its total.
         found = self.make_mesh()
         state = self.make_state(1, {})
         usage = {ids.Organisation('festin'): 5.0}
@@ -677,8 +682,8 @@
         self.assertEqual(3, found.count_running(gatewayparts.make_start('r1')))
 
     def test_change_takes_a_third_of_the_bytes(self) -> None:
-        # Messages between hosts were half of the bytes between failure
-        # domains on a quiet day: 271 bytes after each change, and now 77.
+        # At low load, messages between hosts are half of the bytes sent between
+        # failure domains. A change takes 77 bytes instead of 271 for a state.
         place = '10.1.0.25:7600'
         process = ids.make_incarnation(ids.Host('edge-a-1'), place, 123.4)
         running = {f'i-7f3a91c{number}': 2 for number in range(5)}
@@ -693,9 +698,9 @@
         self.assertLess(len(messages.registry.encode(change)), whole / 3)
 
     def test_host_that_looks_for_a_dead_one_goes_on_telling(self) -> None:
-        # A host fell silent for its peers. It looked for a host that is
-        # down while it told the others its state, and the two met on one
-        # socket, which ended the task that tells.
+        # Guards against a host that stops reporting. It looked for a host that
+        # is down while it sent its state to the others; both used one socket
+        # at the same time, which ended the reporting task.
         ports = [processes.find_port() for _ in range(3)]
         one, two, dead = [
             addresses.Address('127.0.0.1', port) for port in ports
