--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -1,4 +1,4 @@
-"""Allowances while hosts restart one after another, without a network."""
+"""Allowances during rolling restarts, without a network."""
 
 import dataclasses
 
@@ -12,25 +12,24 @@
 COST_UNITS = 200.0
 SLACK_UNITS = 2000.0
 HOSTS = 7
-# The operators' window, seconds, and what may run in it.
+# The operators' window, and the most units that may run in it.
 WINDOW_S = 8.0
 MAX_UNITS = (2000.0 * WINDOW_S + 2000.0) * 1.1 + SLACK_UNITS
 STEP_S = 0.01
-# Seconds between two messages of a host.
 REPORT_INTERVAL_S = 0.05
-# When the first host stops, until the next one does, and how long each is
-# away; seconds.
+# When the first host stops, how long until the next one does, and how long each
+# is down.
 FIRST_STOP_S = 3.0
 STOP_INTERVAL_S = 1.0
 DOWNTIME_S = 0.45
-# Seconds between two stops of a host that stops again and again.
+# Time between two stops of a host that is restarted repeatedly.
 STOP_PERIOD_S = 4.65
 
 
 @dataclasses.dataclass
 class Host:
     number: int
-    # Full buckets: these hosts have run for a while.
+    # Full buckets: these hosts have been running for a while.
     buckets: quotas.Quotas = dataclasses.field(
         default_factory=lambda: quotas.Quotas(SLACK_UNITS, -100.0)
     )
@@ -44,7 +43,7 @@
         return now - self.started_at < 3.0
 
     def tell_levels(self, now: float) -> quotas.Usage:
-        # What a host that has run for a while tells a new one.
+        # Only hosts that have been running for a while report levels.
         if self.is_new(now):
             return {}
         return self.buckets.list_levels(now)
@@ -58,7 +57,7 @@
 
 
 class RepeatedlyStoppedHost(Host):
-    """A host that stops again and again."""
+    """A host that is restarted repeatedly."""
 
     def is_down(self, now: float) -> bool:
         first = FIRST_STOP_S + STOP_PERIOD_S / HOSTS * self.number
@@ -66,25 +65,25 @@
 
 
 class TestRollingRestart(testtools.TestCase):
-    """An organisation asks every host for many times its allowance."""
+    """An organisation requests many times its allowance at every host."""
 
     def test_allowance_is_handed_out_once(self) -> None:
-        # An organisation ran more than its allowance and all slack. Each host
-        # in turn was stopped and came back with half a bucket, which its
-        # peers had handed out already; and the peers, whose buckets were
-        # empty, did not count what it handed out before they heard it first.
+        # Guards against an organisation that runs more than its allowance and
+        # the whole slack. A restarted host has half a bucket that its peers
+        # have already handed out, and peers with empty buckets may fail to
+        # deduct what it hands out before its first report.
         self.assertLessEqual(self.find_peak_units(Host), MAX_UNITS)
 
     def test_hosts_that_stop_again_and_again(self) -> None:
-        # The same, with 23,800 units in 8 s where 21,800 are allowed: hosts
-        # that had just started took what other new ones had handed out for
-        # something of the past, and knew nothing of their peers' debts.
+        # The same fault, with 23,800 units in 8 s where 21,800 are allowed:
+        # new hosts treat the use of other new hosts as older than themselves,
+        # and do not know that the buckets of their peers are overdrawn.
         self.assertLessEqual(
             self.find_peak_units(RepeatedlyStoppedHost), MAX_UNITS
         )
 
     def find_peak_units(self, kind: type[Host]) -> float:
-        """Return the most units that ran within a window."""
+        """Return the largest number of units that ran within a window."""
         runs = self.play([kind(number) for number in range(HOSTS)])
         return max(
             sum(COST_UNITS for other in runs if at <= other <= at + WINDOW_S)
@@ -92,7 +91,7 @@
         )
 
     def play(self, hosts: list[Host]) -> list[float]:
-        """Return when the requests ran."""
+        """Return the times at which requests ran."""
         stopped: set[int] = set()
         runs: list[float] = []
         for step in range(1500):
@@ -117,7 +116,7 @@
         return runs
 
     def exchange_totals(self, hosts: list[Host], now: float) -> None:
-        """Let each host hear the totals of all others."""
+        """Send the totals of each host to all others."""
         for host in hosts:
             for peer in hosts:
                 if peer is not host:
