--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -1,4 +1,4 @@
-"""Sizes of requests under an allowance, played without a network."""
+"""Requests of different sizes under one allowance, without a network."""
 
 import dataclasses
 import random
@@ -8,11 +8,11 @@
 from apricotlandingd.gateway.decisions import quotas
 import gatewayparts
 
-# Units a second, and the operators' slack.
+# The allowance, and the operators' slack.
 RATE_UNITS_PER_S = 1000.0
 SLACK_UNITS = 20_000.0
 DURATION_S = 60.0
-# Sizes of one kind of request: most are small, a tenth is ten times as large.
+# Most requests are small; a tenth of them are ten times as large.
 SMALL_UNITS = 100.0
 LARGE_UNITS = 1000.0
 LARGE_SHARE = 0.1
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass
 class Counts:
-    """What became of the requests of one size."""
+    """Number of requests of one size that were sent and admitted."""
 
     asked: int = 0
     taken: int = 0
@@ -30,7 +30,7 @@
 
 
 def play(load: float, slack: float = SLACK_UNITS) -> dict[float, Counts]:
-    """Ask for so many times the allowance; return what became of it."""
+    """Request ``load`` times the allowance; return counts by size."""
     rng = random.Random(7)
     buckets = quotas.Quotas(slack, 0.0)
     organisation = gatewayparts.make_organisation(RATE_UNITS_PER_S)
@@ -47,13 +47,13 @@
 
 
 class TestSizes(testtools.TestCase):
-    """An organisation whose callers press beyond its allowance."""
+    """An organisation that requests more than its allowance."""
 
     def test_large_requests_are_not_starved_by_small_ones(self) -> None:
-        # The callers with the largest prompts of an organisation were told
-        # again and again to come back. Others of the same organisation asked
-        # for more than its allowance, and their small requests took each unit
-        # as it came: there were never enough at once for a large one.
+        # Guards against starvation of callers with large prompts. If other
+        # callers of the organisation exceed its allowance with small requests,
+        # these use up the units as they arrive, and there are never enough at
+        # once for a large request.
         counts = play(load=2.0)
         self.assertGreaterEqual(
             counts[LARGE_UNITS].find_share(),
@@ -74,8 +74,8 @@
             self.assertEqual(found.asked, found.taken)
 
     def test_without_slack_the_whole_burst_is_handed_out(self) -> None:
-        # What is held back comes out of the slack only: a caller within its
-        # burst is owed its place.
+        # Units are held back out of the slack only: a request within the burst
+        # must be admitted.
         buckets = quotas.Quotas(0.0, -100.0)
         organisation = gatewayparts.make_organisation(RATE_UNITS_PER_S)
         self.assertIsNone(
