--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -1,7 +1,7 @@
-"""Whatever peers, strangers and runners send, it ends typed.
+"""Fuzz tests of input from peers, unknown senders and runners.
 
 Each test generates input for one reader of the gateway and accepts two
-results: a value whose promises hold, or the reader's own error.
+results: a value that satisfies its invariants, or the reader's own error.
 """
 
 import math
@@ -46,13 +46,13 @@
 
 
 def to_plain(message: object) -> ty.Any:
-    """Return the array of a message, in plain lists and maps."""
+    """Return the encoded message as plain lists and maps."""
     packed = messages.registry.encode(message)
     return msgpack.unpackb(packed, strict_map_key=False)
 
 
 def pack(value: ty.Any) -> bytes:
-    """Return a value as msgpack; what that cannot hold becomes a text."""
+    """Return a value as msgpack; unsupported objects become strings."""
     return ty.cast(
         bytes,
         msgpack.packb(
@@ -74,7 +74,7 @@
 
 
 def generate_corrupted(message: object) -> strategies.SearchStrategy[bytes]:
-    """Return data that is nearly a message, or far off."""
+    """Return a strategy for corrupted messages and random data."""
     plain = to_plain(message)
     return strategies.one_of(
         fuzzing.corrupt(plain).map(pack),
@@ -110,7 +110,7 @@
         self.assertLess(len(str(error)), MAX_ERROR_CHARACTERS)
 
     def decode(self, data: bytes) -> ty.Any:
-        """Return a message; None for the decoder's own error."""
+        """Return a message; None if the decoder rejects the data."""
         try:
             return messages.registry.decode(data)
         except errors.Refused as error:
@@ -119,14 +119,14 @@
 
 
 class TestStates(FuzzTestCase):
-    """Datagrams of other hosts."""
+    """Datagrams from other hosts."""
 
     @fuzzing.configure_examples()
     @hypothesis.given(
         strategies.lists(generate_corrupted(GOOD_STATE), max_size=4)
     )
     def test_states(self, received: list[bytes]) -> None:
-        # Everything that is done with a state, and a good one behind.
+        # Processes each state completely, and a valid one at the end.
         host = mesh.Mesh(
             ids.Host('host-1'),
             addresses.Address('10.0.0.1', 7600),
@@ -175,7 +175,7 @@
             *state.hints.values(),
         ):
             self.assertTrue(0 < messages.read_address(text).port < 65536)
-        # It can be told on.
+        # It can be forwarded.
         messages.registry.encode(state)
 
 
@@ -207,7 +207,7 @@
 
 
 class TestPlaceMessages(FuzzTestCase):
-    """What hosts and coordinators of runners send each other."""
+    """Messages between hosts and the coordinators of runners."""
 
     @fuzzing.configure_examples()
     @hypothesis.given(
@@ -234,7 +234,7 @@
                 self.check_reply(item.reply)
         for item in found.pump(now + 5.0):
             self.check_reply(item.reply)
-        # Nothing that a stranger has sent keeps a place for good.
+        # No message from an unknown sender holds a slot forever.
         self.assertEqual(0, found.count_subsets())
 
     @fuzzing.configure_examples()
@@ -263,7 +263,7 @@
         if isinstance(reply, placemessages.PlaceReply):
             host.dispatcher.take_reply(reply, 0.1)
         play.play()
-        # Whatever was said, the request is decided in the end.
+        # The request is decided whatever the reply contained.
         self.assertIsNotNone(ticket.decision)
 
     def make_runners(self) -> directory.Directory:
@@ -273,7 +273,7 @@
         return found
 
     def check_reply(self, reply: placemessages.PlaceReply) -> None:
-        # It can be sent, and a host takes it.
+        # It can be encoded, and a host can decode it.
         data = messages.registry.encode(reply)
         self.assertEqual(reply, messages.registry.decode(data))
         for refused in reply.refused.values():
@@ -303,7 +303,7 @@
 
 
 class TestAllowanceMessages(FuzzTestCase):
-    """What hosts send to the one that keeps an allowance for all."""
+    """Messages to the host that keeps an allowance for all hosts."""
 
     @fuzzing.configure_examples()
     @hypothesis.given(
@@ -333,7 +333,7 @@
 
 
 class ScriptedStream(anyio.abc.ByteStream):
-    """A connection whose other side has sent all that it will."""
+    """A connection whose peer sends ``received`` and then closes."""
 
     def __init__(self, received: bytes) -> None:
         self.received = received
@@ -367,7 +367,7 @@
 
 
 class TestRecordStreams(FuzzTestCase):
-    """Questions and replies about records."""
+    """Queries and replies about records."""
 
     @fuzzing.configure_examples()
     @hypothesis.given(
@@ -399,7 +399,7 @@
             self.assertTrue(0 <= board.positions[topic] < 2**63)
             for record in board.list_since(topic, 0).records:
                 self.assertTrue(0 <= record.offset < 2**63)
-        # It can be told on.
+        # It can be forwarded.
         passed = exchange._make_page(GOOD_QUERY)
         messages.registry.encode(passed)
 
@@ -441,7 +441,7 @@
 
 
 class TestAnswers(FuzzTestCase):
-    """What runners send."""
+    """Responses of runners."""
 
     @fuzzing.configure_examples()
     @hypothesis.given(ANSWERS, strategies.sampled_from(['GET', 'POST']))
@@ -464,7 +464,7 @@
             async with client.open(call) as answer:
                 self.assertTrue(200 <= answer.status < 600)
                 for _, value in answer.headers:
-                    # Our server writes it; tabs are no harm.
+                    # The server sends it on; tabs are harmless.
                     text = value.replace(b'\t', b'')
                     self.assertEqual(b'', bytes(set(text) & CONTROL))
                 async for part in answer.iterate():
@@ -511,7 +511,7 @@
             self.assertTrue(passed.endswith((b'\n\n', b'\r\n\r\n')))
         if reader.last_event == last_event:
             return
-        # Another runner can be asked to go on behind it.
+        # Another runner can be asked to resume after this event.
         h11.Request(
             method='GET',
             target='/',
