--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -1,9 +1,9 @@
-"""Generated input: values of a wrong shape, and how many of them are tried.
+"""Strategies for malformed input, and the number of examples per test.
 
-Most faults lie close to good input: one field of another type, one byte that
-is another one. So good values are spoiled in a few places, besides plain
-random ones. Without ``APRICOT_EXAMPLES`` a test tries the same examples in
-each run, so that its verdict changes only with the code.
+Most faults are triggered by input that is almost valid: one field of another
+type, or one changed byte. So besides random values, valid values are corrupted
+in a few places. Without ``APRICOT_EXAMPLES`` a test uses the same examples in
+each run, so that its result changes only with the code.
 """
 
 import copy
@@ -26,9 +26,9 @@
 ]
 
 EXAMPLES_VARIABLE = 'APRICOT_EXAMPLES'
-# Examples of each test that are tried without the variable; half a second.
+# Examples per test if the variable is not set; they take half a second.
 EXAMPLES = 150
-# Examples of the other tests that take about as long as a play of whole hosts.
+# Examples that take about as long as one seed of a test with whole hosts.
 EXAMPLES_PER_SEED = 500
 T = ty.TypeVar('T')
 
@@ -41,7 +41,7 @@
     ),
     strategies.floats(),
     strategies.sampled_from([1e308, -1e308, 1e16, 0.1, -0.0]),
-    # With halves of characters, which JSON can hold and UTF-8 cannot.
+    # With lone surrogates, which JSON can represent and UTF-8 cannot.
     strategies.text(strategies.characters(exclude_categories=()), max_size=20),
     strategies.sampled_from(
         [
@@ -83,7 +83,7 @@
 
 
 def configure_examples() -> ty.Callable[[T], T]:
-    """Return the decorator that says how many examples a test tries."""
+    """Return the decorator with the Hypothesis settings of a test."""
     is_fresh = EXAMPLES_VARIABLE in os.environ
     return ty.cast(
         ty.Callable[[T], T],
@@ -98,10 +98,10 @@
 
 
 def list_seeds() -> list[int]:
-    """Return the seeds of tests that play whole hosts.
+    """Return the seeds for tests that simulate whole hosts.
 
-    One that is always the same, or as many fresh ones as fit the time that
-    the examples of the other tests take.
+    Without the variable, this is one fixed seed; otherwise as many random ones
+    as fit the time that the examples of the other tests take.
     """
     if EXAMPLES_VARIABLE not in os.environ:
         return [1]
@@ -111,7 +111,7 @@
 
 @strategies.composite
 def corrupt(draw: strategies.DrawFn, good: ty.Any) -> ty.Any:
-    """Return a good value with a few places spoiled."""
+    """Return a valid value that is corrupted in a few places."""
     value = copy.deepcopy(good)
     for _ in range(draw(strategies.integers(1, 3))):
         value = _corrupt_once(draw, value)
@@ -121,7 +121,7 @@
 def _corrupt_once(draw: strategies.DrawFn, value: ty.Any) -> ty.Any:
     if not isinstance(value, (dict, list)) or not value:
         return draw(JSON)
-    # Mostly further in: there are far more places there.
+    # Mostly descend, as most of the value is nested.
     if draw(strategies.integers(0, 9)) == 0:
         return draw(JSON)
     keys = list(value) if isinstance(value, dict) else range(len(value))
@@ -135,7 +135,7 @@
 
 @strategies.composite
 def corrupt_bytes(draw: strategies.DrawFn, good: bytes) -> bytes:
-    """Return good data that was cut, changed or added to."""
+    """Return valid data that is truncated, changed or extended."""
     data = good
     for _ in range(draw(strategies.integers(1, 4))):
         place = draw(strategies.integers(0, len(data)))
@@ -151,7 +151,7 @@
         elif kind == 2:
             data = data[:place] + draw(strategies.binary(max_size=8))
         elif kind == 3:
-            # A length or an offset that leaps.
+            # A wrong length or offset.
             number = draw(
                 strategies.sampled_from([0, 1, 2**16, 2**31, 2**32 - 1])
             )
@@ -164,7 +164,7 @@
 
 
 def generate_corrupted(good: ty.Any) -> strategies.SearchStrategy[bytes]:
-    """Return texts that are nearly the JSON of a good value, or far off."""
+    """Return a strategy for corrupted JSON of a value and random data."""
     return strategies.one_of(
         corrupt(good).map(encode_json),
         corrupt_bytes(encode_json(good)),
@@ -175,5 +175,5 @@
 
 
 def encode_json(value: ty.Any) -> bytes:
-    """Return a value as JSON; a whole number may be as long as it likes."""
+    """Return a value as JSON, with integers of any length."""
     return json.dumps(value).encode()
