--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -6,23 +6,15 @@
 import anyio
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlanding import retrybudget
-from apricotlandingd.gateway.decisions import queueing
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import scheduler
+import gatewayparts
+from apricotlanding import addresses, ids, retrybudget
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import groups
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.decisions import queueing, quotas, scheduler
+from apricotlandingd.gateway.hosts import groups, mesh, messages
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.requests import streams
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import directory, health, pace
 from apricotstandins import processes
-import gatewayparts
 
 FESTIN = gatewayparts.make_organisation(100.0)
 
@@ -94,7 +86,7 @@
         assert isinstance(grant, queueing.Grant)
         self.scheduler.release(gatewayparts.POOL, grant.runner, now)
 
-    def test_free_place_is_granted_at_once(self) -> None:
+    def test_free_slot_is_granted_at_once(self) -> None:
         for request in self.fill():
             self.assertIsInstance(request.decision, queueing.Grant)
 
