--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -90,7 +90,7 @@
         for request in self.fill():
             self.assertIsInstance(request.decision, queueing.Grant)
 
-    def test_places_are_never_overfilled(self) -> None:
+    def test_slots_are_never_overcommitted(self) -> None:
         self.fill()
         self.assertIsNone(self.enter(0.0).decision)
 
