--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -94,7 +94,7 @@
         self.fill()
         self.assertIsNone(self.enter(0.0).decision)
 
-    def test_places_of_peers_count(self) -> None:
+    def test_slots_of_peers_count(self) -> None:
         self.others.running = {
             gatewayparts.make_start('r1'): 2,
             gatewayparts.make_start('r2'): 2,
