--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -117,7 +117,7 @@
         self.assertIsInstance(fresh.decision, queueing.Grant)
         self.assertIsNone(late.decision)
 
-    def test_place_is_yielded_to_a_peer_that_goes_first(self) -> None:
+    def test_slot_is_yielded_to_a_peer_that_goes_first(self) -> None:
         full = self.fill()
         mine = self.enter(0.0, tier=1)
         self.others.ranks = [queueing.Rank(0, 0, False, 1.0)]
