--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -124,7 +124,7 @@
         self.release(full[0], 0.1)
         self.assertIsNone(mine.decision)
 
-    def test_place_that_the_peer_leaves_is_taken(self) -> None:
+    def test_yielded_slot_is_taken_after_the_timeout(self) -> None:
         # A peer that stopped with a waiting request must not block a slot.
         full = self.fill()
         mine = self.enter(0.0, tier=1)
