--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -133,7 +133,7 @@
         self.scheduler.schedule_all(0.1 + scheduler.YIELD_TIMEOUT_S * 1.5)
         self.assertIsInstance(mine.decision, queueing.Grant)
 
-    def test_hopeless_request_is_refused_at_once(self) -> None:
+    def test_late_request_is_rejected_at_once(self) -> None:
         self.fill()
         for _ in range(20):
             self.enter(0.0)
