--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -142,7 +142,7 @@
         assert isinstance(refusal, queueing.Refusal)
         self.assertGreater(refusal.wait_s, 1.0)
 
-    def test_time_to_come_back_fits_the_callers_time(self) -> None:
+    def test_retry_delay_fits_the_callers_deadline(self) -> None:
         self.fill()
         for _ in range(20):
             self.enter(0.0)
