--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -150,7 +150,7 @@
         assert isinstance(refusal, queueing.Refusal)
         self.assertLessEqual(refusal.retry_after_s, 15 / 3)
 
-    def test_lower_tier_is_refused_and_the_higher_one_kept(self) -> None:
+    def test_lower_tier_is_rejected_and_the_higher_one_kept(self) -> None:
         # All slots are taken and requests of the lower tier wait. As requests
         # of the higher tier arrive, the last one of the lower tier would wait
         # too long to be useful.
