--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -160,7 +160,7 @@
         self.assertTrue(all(item.decision is None for item in high))
         self.assertIsInstance(low[-1].decision, queueing.Refusal)
 
-    def test_one_that_is_refused_is_out_of_the_way(self) -> None:
+    def test_rejected_request_does_not_count_as_ahead(self) -> None:
         # Guards against rejecting a request that would get a slot: twelve
         # requests ahead of it are rejected in the same pass and must not count
         # as ahead any more.
