--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -171,7 +171,7 @@
         self.scheduler.schedule_all(3.0)
         self.assertIsNone(last.decision)
 
-    def test_no_runner_is_waited_for_only_a_moment(self) -> None:
+    def test_request_without_runners_times_out(self) -> None:
         for name in ('r1', 'r2'):
             self.runners.update(
                 gatewayparts.make_entry(name, is_draining=True)
