--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -181,7 +181,7 @@
         self.scheduler.schedule_all(scheduler.NO_RUNNER_TIMEOUT_S + 0.1)
         self.assertIsInstance(request.decision, queueing.Refusal)
 
-    def test_host_that_hears_nobody_uses_its_share(self) -> None:
+    def test_partitioned_host_uses_its_share(self) -> None:
         # The host is partitioned from the others, which may still be serving.
         # Together they must not overcommit the runners.
         self.others.silent = 0.5
