--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -189,7 +189,7 @@
         count = sum(isinstance(item, queueing.Grant) for item in granted)
         self.assertEqual(2, count)
 
-    def test_stated_load_shows_that_silent_peers_are_gone(self) -> None:
+    def test_reported_load_shows_that_silent_peers_stopped(self) -> None:
         self.others.silent = 0.5
         for name in ('r1', 'r2'):
             self.scheduler.note_load(
