--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -207,7 +207,7 @@
             assert isinstance(grant, queueing.Grant)
             self.assertEqual(gatewayparts.make_start('r2'), grant.runner)
 
-    def test_closed_runner_gets_nothing_though_it_is_free(self) -> None:
+    def test_closed_runner_gets_no_requests(self) -> None:
         self.health.note_unreachable(gatewayparts.make_start('r1'), 0.0)
         granted = [self.enter(0.1).decision for _ in range(4)]
         count = sum(isinstance(item, queueing.Grant) for item in granted)
