--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -248,7 +248,7 @@
         self.take(100, 0.0)
         self.assertTrue(self.take(50, 0.5))
 
-    def test_time_to_come_back_is_when_there_is_enough(self) -> None:
+    def test_retry_delay_ends_when_units_suffice(self) -> None:
         self.take(100, 0.0)
         wait = gatewayparts.take_units(self.quotas, FESTIN, 50, 0.0, 0.0)
         assert wait is not None
