--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -262,7 +262,7 @@
         self.assertFalse(self.take(20, 0.0))
         self.assertTrue(self.take(10, 0.0))
 
-    def test_use_of_a_peer_counts_after_a_quiet_time(self) -> None:
+    def test_use_of_a_peer_counts_after_idle_time(self) -> None:
         # Guards against two hosts handing out the same burst: without recent
         # requests here, the bucket was refilled only after the peer's use was
         # deducted, which cancelled the deduction.
