--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -289,7 +289,7 @@
         self.quotas.apply_totals(peer, {FESTIN.name: 100.0}, 10.0)
         self.assertTrue(self.take(100, 11.0))
 
-    def test_hosts_that_hear_nobody_hand_out_the_rate_once(self) -> None:
+    def test_partitioned_hosts_hand_out_the_rate_once(self) -> None:
         # Four hosts, each partitioned from the three others.
         hosts = [quotas.Quotas(0.0, 0.0) for _ in range(4)]
         total = 0.0
