--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -325,7 +325,7 @@
         self.quotas.apply_totals(peer, {FESTIN.name: 90.0}, 0.0)
         self.assertFalse(self.take(20, 0.0))
 
-    def test_history_of_peers_is_left_out_at_the_start(self) -> None:
+    def test_earlier_use_of_peers_is_ignored_at_the_start(self) -> None:
         young = quotas.Quotas(0.0, 0.0)
         gatewayparts.take_units(young, FESTIN, 0, 0.0, 1.0)
         young.apply_totals(ids.Incarnation('o/1'), {FESTIN.name: 1e6}, 1.0)
