--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -331,7 +331,7 @@
         young.apply_totals(ids.Incarnation('o/1'), {FESTIN.name: 1e6}, 1.0)
         self.assertIsNone(gatewayparts.take_units(young, FESTIN, 90, 0.0, 1.0))
 
-    def test_units_of_a_request_that_did_not_run_come_back(self) -> None:
+    def test_units_of_a_request_that_did_not_run_are_refunded(self) -> None:
         self.take(100, 0.0)
         self.quotas.charge(FESTIN, -100)
         self.assertTrue(self.take(100, 0.0))
