--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -400,7 +400,7 @@
         for _ in range(times):
             self.health.note_failure(gatewayparts.make_start(name), now)
 
-    def test_one_failure_is_forgiven(self) -> None:
+    def test_one_failure_is_tolerated(self) -> None:
         self.note('r1', 1)
         self.assertEqual(set(), self.health.list_avoided(self.names, 0.1))
 
