--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -414,7 +414,7 @@
         self.note('r1', 3)
         self.assertEqual(set(), self.health.list_avoided(self.names, 1.1))
 
-    def test_dead_runner_gets_nothing_for_a_while(self) -> None:
+    def test_unreachable_runner_is_closed_for_a_while(self) -> None:
         # Guards against every request trying a crashed runner first under
         # overload: a crashed runner always has free slots, and its
         # registration remains for a while.
