--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -479,7 +479,7 @@
 class TestEventReader(testtools.TestCase):
     """Events are passed on complete, in order and once."""
 
-    def test_half_an_event_waits_for_its_rest(self) -> None:
+    def test_partial_event_is_buffered(self) -> None:
         reader = streams.EventReader('')
         self.assertEqual(b'', reader.take(b'id: 1\ndata: a'))
         self.assertEqual(b'id: 1\ndata: a\n\n', reader.take(b'\n\n'))
