--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -689,7 +689,7 @@
         whole = len(messages.registry.encode(state))
         self.assertLess(len(messages.registry.encode(change)), whole / 3)
 
-    def test_host_that_looks_for_a_dead_one_goes_on_telling(self) -> None:
+    def test_host_reports_while_it_looks_for_a_dead_one(self) -> None:
         # Guards against a host that stops reporting. It looked for a host that
         # is down while it sent its state to the others; both used one socket
         # at the same time, which ended the reporting task.
