--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -617,7 +617,7 @@
         found.take(self.make_state(1, {'r1': 3}), 0.1)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
 
-    def test_silent_peer_is_left_out_until_it_is_heard(self) -> None:
+    def test_silent_peer_is_ignored_until_it_reports(self) -> None:
         found = self.make_mesh()
         found.take(self.make_state(1, {'r1': 3}), 0.0)
         found.drop_silent(1.0)
