--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -655,7 +655,7 @@
         peer = found.peers[ids.Host('b')]
         self.assertEqual({'festin': 5.0, 'ishami': 1.0}, peer.state.usage)
 
-    def test_change_of_a_process_that_was_not_heard_is_left_out(self) -> None:
+    def test_change_of_an_unknown_process_is_ignored(self) -> None:
         found = self.make_mesh()
         found.take_change(make_change('b/1', 2, {'r1': 1}), 0.0)
         self.assertEqual({}, found.peers)
