--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -660,7 +660,7 @@
         found.take_change(make_change('b/1', 2, {'r1': 1}), 0.0)
         self.assertEqual({}, found.peers)
 
-    def test_change_of_an_ended_process_is_left_out(self) -> None:
+    def test_change_of_an_ended_process_is_ignored(self) -> None:
         found = self.make_mesh()
         found.take(self.make_state(9, {'r1': 3}), 0.0)
         found.take(self.make_state(1, {'r1': 1}, 'b/2'), 0.1)
