--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -667,7 +667,7 @@
         found.take_change(make_change('b/1', 10, {'r1': 5}), 0.2)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
 
-    def test_change_that_arrives_late_is_left_out(self) -> None:
+    def test_change_that_arrives_late_is_ignored(self) -> None:
         found = self.make_mesh()
         found.take(self.make_state(3, {'r1': 3}), 0.0)
         found.take_change(make_change('b/1', 2, {'r1': 5}), 0.1)
