--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -611,7 +611,7 @@
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
         self.assertEqual(2, found.count_running(gatewayparts.make_start('r2')))
 
-    def test_state_that_arrives_late_is_left_out(self) -> None:
+    def test_state_that_arrives_late_is_ignored(self) -> None:
         found = self.make_mesh()
         found.take(self.make_state(2, {'r1': 1}), 0.0)
         found.take(self.make_state(1, {'r1': 3}), 0.1)
