--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -4,9 +4,9 @@
 
 import testtools
 
+import gatewayparts
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import quotas
-import gatewayparts
 
 ORGANISATION = gatewayparts.make_organisation(2000.0)
 COST_UNITS = 200.0
@@ -74,7 +74,7 @@
         # deduct what it hands out before its first report.
         self.assertLessEqual(self.find_peak_units(Host), MAX_UNITS)
 
-    def test_hosts_that_stop_again_and_again(self) -> None:
+    def test_repeated_restarts(self) -> None:
         # The same fault, with 23,800 units in 8 s where 21,800 are allowed:
         # new hosts treat the use of other new hosts as older than themselves,
         # and do not know that the buckets of their peers are overdrawn.
