--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -5,8 +5,8 @@
 
 import testtools
 
-from apricotlandingd.gateway.decisions import quotas
 import gatewayparts
+from apricotlandingd.gateway.decisions import quotas
 
 # The allowance, and the operators' slack.
 RATE_UNITS_PER_S = 1000.0
@@ -60,7 +60,7 @@
             0.8 * counts[SMALL_UNITS].find_share(),
         )
 
-    def test_allowance_is_used_all_the_same(self) -> None:
+    def test_whole_allowance_is_used(self) -> None:
         for load in (1.5, 2.0, 4.0):
             counts = play(load)
             used = (
