--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -69,7 +69,7 @@
             )
             self.assertGreaterEqual(used, RATE_UNITS_PER_S * DURATION_S)
 
-    def test_nobody_below_the_allowance_is_refused(self) -> None:
+    def test_requests_within_the_allowance_are_admitted(self) -> None:
         for found in play(load=0.7).values():
             self.assertEqual(found.asked, found.taken)
 
