--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -17,8 +17,8 @@
 MAX_UNITS = (2000.0 * WINDOW_S + 2000.0) * 1.1 + SLACK_UNITS
 STEP_S = 0.01
 REPORT_INTERVAL_S = 0.05
-# When the first host stops, the time until the next one does, and how long each
-# is down.
+# When the first host stops, the time until the next one does, and how long
+# each is down.
 FIRST_STOP_S = 3.0
 STOP_INTERVAL_S = 1.0
 DOWNTIME_S = 0.45
