--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -10,7 +10,7 @@
 import enum
 import typing as ty
 
-__all__ = ['INITIAL_FILL_RATIO', 'Bucket', 'UseKind', 'PeerUse']
+__all__ = ['INITIAL_FILL_RATIO', 'Bucket', 'PeerUse', 'UseKind']
 
 # Fill level of a bucket when a process starts. Operators allow a tenth of the
 # burst and a slack beyond the allowance. Two half bursts within a window stay
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/queueing.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/queueing.py
@@ -25,9 +25,9 @@
 
 __all__ = [
     'Grant',
+    'QueuedRequest',
     'Rank',
     'Refusal',
-    'QueuedRequest',
     'choose_retry_delay',
     'predict_wait',
 ]
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/quotas.py
@@ -24,7 +24,7 @@
 from apricotlandingd.gateway.decisions import averages
 from apricotlandingd.gateway.decisions import buckets
 
-__all__ = ['SLACK_SHARE', 'Quotas', 'AllowanceShare', 'Usage']
+__all__ = ['SLACK_SHARE', 'AllowanceShare', 'Quotas', 'Usage']
 
 # Share of the operators' slack that a bucket may hold beyond its burst. The
 # rest of the slack covers what hosts hand out before they receive each other's
@@ -58,7 +58,7 @@
     silent_share: float = 0.0
     # Share of the allowance that these buckets hold.
     group_share: float = 1.0
-    # Units per second that hosts of other groups hand out.
+    # Units per second that hosts outside the group hand out.
     remote_units_per_s: float = 0.0
     # Units that must remain, because others may have handed them out since
     # their last report. If negative, so many may be handed out in advance.
@@ -296,10 +296,10 @@
             bucket = buckets.Bucket(0.0, self._started_at)
             self._buckets[organisation.name] = bucket
             is_starting = True
-            stated = self._reported_levels.pop(organisation.name, None)
-            if stated is not None:
-                bucket.adopt(stated[0])
-                bucket.updated_at = stated[1]
+            reported = self._reported_levels.pop(organisation.name, None)
+            if reported is not None:
+                bucket.adopt(reported[0])
+                bucket.updated_at = reported[1]
         if is_starting and 1 - silent_share > bucket.initial_share:
             # The initial fill, too, is shared with hosts that are silent:
             # forty hosts that started together handed out the initial fill
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -25,7 +25,7 @@
 from apricotlandingd.gateway.runners import health
 from apricotlandingd.gateway.runners import pace
 
-__all__ = ['Peers', 'Scheduler', 'RunnerFilter']
+__all__ = ['Peers', 'RunnerFilter', 'Scheduler']
 
 # How long a free slot is left to a peer whose request comes first. Peers are
 # notified within a few milliseconds; one that has not taken the slot by then
--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -18,11 +18,11 @@
 __all__ = [
     'JSON',
     'configure_examples',
-    'list_seeds',
     'corrupt',
     'corrupt_bytes',
     'encode_json',
     'generate_corrupted',
+    'list_seeds',
 ]
 
 EXAMPLES_VARIABLE = 'APRICOT_EXAMPLES'
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -14,8 +14,8 @@
     'POOL',
     'make_entry',
     'make_organisation',
-    'make_start',
     'make_queued_request',
+    'make_start',
     'take_units',
 ]
 
