--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -4,9 +4,9 @@
 
 import testtools
 
+import gatewayparts
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import quotas
-import gatewayparts
 
 ORGANISATION = gatewayparts.make_organisation(2000.0)
 COST_UNITS = 200.0
@@ -84,13 +84,13 @@
 
     def find_peak_units(self, kind: type[Host]) -> float:
         """Return the largest number of units that ran within a window."""
-        runs = self.play([kind(number) for number in range(HOSTS)])
+        runs = self.simulate([kind(number) for number in range(HOSTS)])
         return max(
             sum(COST_UNITS for other in runs if at <= other <= at + WINDOW_S)
             for at in runs
         )
 
-    def play(self, hosts: list[Host]) -> list[float]:
+    def simulate(self, hosts: list[Host]) -> list[float]:
         """Return the times at which requests ran."""
         stopped: set[int] = set()
         runs: list[float] = []
--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -5,8 +5,8 @@
 
 import testtools
 
-from apricotlandingd.gateway.decisions import quotas
 import gatewayparts
+from apricotlandingd.gateway.decisions import quotas
 
 # The allowance, and the operators' slack.
 RATE_UNITS_PER_S = 1000.0
@@ -29,7 +29,7 @@
         return self.taken / self.asked
 
 
-def play(load: float, slack: float = SLACK_UNITS) -> dict[float, Counts]:
+def simulate(load: float, slack: float = SLACK_UNITS) -> dict[float, Counts]:
     """Request ``load`` times the allowance; return counts by size."""
     rng = random.Random(7)
     buckets = quotas.Quotas(slack, 0.0)
@@ -54,7 +54,7 @@
         # callers of the organisation exceed its allowance with small requests,
         # these use up the units as they arrive, and there are never enough at
         # once for a large request.
-        counts = play(load=2.0)
+        counts = simulate(load=2.0)
         self.assertGreaterEqual(
             counts[LARGE_UNITS].find_share(),
             0.8 * counts[SMALL_UNITS].find_share(),
@@ -62,7 +62,7 @@
 
     def test_whole_allowance_is_used(self) -> None:
         for load in (1.5, 2.0, 4.0):
-            counts = play(load)
+            counts = simulate(load)
             used = (
                 SMALL_UNITS * counts[SMALL_UNITS].taken
                 + LARGE_UNITS * counts[LARGE_UNITS].taken
@@ -70,7 +70,7 @@
             self.assertGreaterEqual(used, RATE_UNITS_PER_S * DURATION_S)
 
     def test_requests_within_the_allowance_are_admitted(self) -> None:
-        for found in play(load=0.7).values():
+        for found in simulate(load=0.7).values():
             self.assertEqual(found.asked, found.taken)
 
     def test_without_slack_the_whole_burst_is_handed_out(self) -> None:
