--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -22,11 +22,11 @@
 class Counts:
     """Number of requests of one size that were sent and admitted."""
 
-    asked: int = 0
+    requested: int = 0
     taken: int = 0
 
     def find_share(self) -> float:
-        return self.taken / self.asked
+        return self.taken / self.requested
 
 
 def simulate(load: float, slack: float = SLACK_UNITS) -> dict[float, Counts]:
@@ -40,7 +40,7 @@
     while now < DURATION_S:
         now += rng.expovariate(load * RATE_UNITS_PER_S / mean)
         cost = LARGE_UNITS if rng.random() < LARGE_SHARE else SMALL_UNITS
-        counts[cost].asked += 1
+        counts[cost].requested += 1
         wait = gatewayparts.take_units(buckets, organisation, cost, 0.0, now)
         counts[cost].taken += wait is None
     return counts
@@ -71,7 +71,7 @@
 
     def test_requests_within_the_allowance_are_admitted(self) -> None:
         for found in simulate(load=0.7).values():
-            self.assertEqual(found.asked, found.taken)
+            self.assertEqual(found.requested, found.taken)
 
     def test_without_slack_the_whole_burst_is_handed_out(self) -> None:
         # Units are held back out of the slack only: a request within the burst
