--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -23,10 +23,10 @@
     """Number of requests of one size that were sent and admitted."""
 
     requested: int = 0
-    taken: int = 0
+    admitted: int = 0
 
     def find_share(self) -> float:
-        return self.taken / self.requested
+        return self.admitted / self.requested
 
 
 def simulate(load: float, slack: float = SLACK_UNITS) -> dict[float, Counts]:
@@ -42,7 +42,7 @@
         cost = LARGE_UNITS if rng.random() < LARGE_SHARE else SMALL_UNITS
         counts[cost].requested += 1
         wait = gatewayparts.take_units(buckets, organisation, cost, 0.0, now)
-        counts[cost].taken += wait is None
+        counts[cost].admitted += wait is None
     return counts
 
 
@@ -64,14 +64,14 @@
         for load in (1.5, 2.0, 4.0):
             counts = simulate(load)
             used = (
-                SMALL_UNITS * counts[SMALL_UNITS].taken
-                + LARGE_UNITS * counts[LARGE_UNITS].taken
+                SMALL_UNITS * counts[SMALL_UNITS].admitted
+                + LARGE_UNITS * counts[LARGE_UNITS].admitted
             )
             self.assertGreaterEqual(used, RATE_UNITS_PER_S * DURATION_S)
 
     def test_requests_within_the_allowance_are_admitted(self) -> None:
         for found in simulate(load=0.7).values():
-            self.assertEqual(found.requested, found.taken)
+            self.assertEqual(found.requested, found.admitted)
 
     def test_without_slack_the_whole_burst_is_handed_out(self) -> None:
         # Units are held back out of the slack only: a request within the burst
