--- a/tests/test_gateway_allowances.py
+++ b/tests/test_gateway_allowances.py
@@ -4,9 +4,9 @@
 
 import testtools
 
-import gatewayparts
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import quotas
+import gatewayparts
 
 ORGANISATION = gatewayparts.make_organisation(2000.0)
 COST_UNITS = 200.0
--- a/tests/test_gateway_sizes.py
+++ b/tests/test_gateway_sizes.py
@@ -5,8 +5,8 @@
 
 import testtools
 
-import gatewayparts
 from apricotlandingd.gateway.decisions import quotas
+import gatewayparts
 
 # The allowance, and the operators' slack.
 RATE_UNITS_PER_S = 1000.0
