--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -15,8 +15,8 @@
 
 from apricotlanding import addresses
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import mesh
 from apricotlandingd.gateway.hosts import messages
@@ -63,7 +63,7 @@
         positions=[40, 400],
         running={make_start(item): 1 for item in range(runners)},
         usage={ids.Organisation(f'org{item}'): 1e6 for item in range(5)},
-        ranks={POOL: [waiting.Rank(0, 0, False, 0.3)] * 2},
+        ranks={POOL: [queueing.Rank(0, 0, False, 0.3)] * 2},
         hints={},
     )
 
@@ -87,9 +87,9 @@
     )
 
 
-def make_ticket(number: int) -> waiting.Ticket:
+def make_ticket(number: int) -> queueing.QueuedRequest:
     """Return a request that never gives up."""
-    return waiting.Ticket(
+    return queueing.QueuedRequest(
         attempt=f'a-{number}',
         service=POOL,
         tier=ids.Tier(number % 3),
@@ -125,14 +125,14 @@
     while left > 0:
         ticket = make_ticket(next(numbers))
         found.enter(ticket, 0.0)
-        if isinstance(ticket.decision, waiting.Grant):
+        if isinstance(ticket.decision, queueing.Grant):
             granted.append(ticket.decision.runner)
         else:
             left -= 1
 
     def step() -> None:
         runner = granted[next(numbers) % len(granted)]
-        if found.places.running[runner] == 0:
+        if found.held_slots.running[runner] == 0:
             return
         found.release(POOL, runner, 0.0)
         found.enter(make_ticket(next(numbers)), 0.0)
--- /dev/null
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/queueing.py
@@ -0,0 +1,144 @@
+"""Queue order and admission of waiting requests.
+
+Runners admit requests in order of arrival and know no priorities. So requests
+wait here (``QueuedRequest``), and a runner is sent only as many as it has
+slots.
+
+Order: requests are sorted by tier, as set by the operators. Within a tier,
+requests that can still meet their objective come before those that cannot, and
+both groups are sorted by deadline. A late answer is worth less to a caller, so
+under overload a slot goes to a request that can still be on time.
+
+Rejection: a request is rejected as soon as its predicted start is after the
+time at which its caller will have left or has no more use for the answer. A
+caller that is rejected at once can retry when the burst is over; one that is
+held until it leaves gets nothing.
+"""
+
+import dataclasses
+import random
+import typing as ty
+
+import anyio
+
+from apricotlanding import ids
+
+__all__ = [
+    'Grant',
+    'QueuedRequest',
+    'Rank',
+    'Refusal',
+    'choose_retry_delay',
+    'predict_wait',
+]
+
+# Callers honour a retry delay up to this share of their remaining time.
+MAX_RETRY_DELAY_SHARE = 0.32
+# An earlier retry would only be rejected again.
+MIN_RETRY_DELAY_S = 0.1
+
+
+class Rank(ty.NamedTuple):
+    """Position of a request in the queue; the smallest comes first."""
+
+    tier: int
+    route_tier: int
+    # The objective can no longer be met.
+    is_late: bool
+    # Latest start that meets the objective.
+    on_time_by: float
+
+    def shift(self, seconds: float) -> 'Rank':
+        """Return the rank on a clock that is ``seconds`` ahead."""
+        return self._replace(on_time_by=self.on_time_by + seconds)
+
+
+@ty.final
+@dataclasses.dataclass(frozen=True, slots=True)
+class Grant:
+    """A slot at a runner."""
+
+    runner: ids.RunnerStart
+    # Number of the slot at the host that holds it; 0 if this host granted it
+    # without a coordinator.
+    number: int = 0
+
+
+@ty.final
+@dataclasses.dataclass(frozen=True, slots=True)
+class Refusal:
+    """No slot is expected in time."""
+
+    retry_after_s: float
+    # Predicted wait for a slot, the reason for the rejection.
+    wait_s: float
+    # Number of requests ahead of this one.
+    ahead: int
+
+
+@ty.final
+@dataclasses.dataclass(slots=True)
+class QueuedRequest:
+    """A request that waits for a slot."""
+
+    attempt: str
+    service: ids.Pool
+    tier: ids.Tier
+    route_tier: ids.Tier
+    arrived_at: float
+    # Latest start that meets the objective.
+    on_time_by: float
+    # Latest start that is still useful to the caller.
+    useful_until: float
+    # Deadline of the caller.
+    ends_at: float
+    prompt_tokens: int
+    # Expected number of events in the answer.
+    events: float
+    # Digest of the last part of the prompt's prefix; '' if there is none.
+    last_part: str
+    # Runners that this request was already sent to.
+    tried: set[ids.RunnerStart] = dataclasses.field(default_factory=set)
+    # Number of the slot requested from coordinators; 0 if none was requested.
+    number: int = 0
+    # How much it counts for the requests behind it: a request that waits in
+    # two queues takes a slot of only one.
+    queue_weight: float = 1.0
+    decision: Grant | Refusal | None = None
+    decided: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+
+    def find_rank(self, now: float) -> Rank:
+        """Return the position in the queue; the smallest comes first."""
+        is_late = now > self.on_time_by
+        return Rank(self.tier, self.route_tier, is_late, self.on_time_by)
+
+    def decide(self, decision: Grant | Refusal) -> None:
+        """Set the decision and notify the waiting task."""
+        self.decision = decision
+        self.decided.set()
+
+
+def predict_wait(ahead: float, free: int, slots: int, hold_s: float) -> float:
+    """Return the expected seconds until a slot is free.
+
+    ``ahead`` requests come first. Each of ``slots`` slots is held for
+    ``hold_s`` seconds on average, so one becomes free every hold_s / slots.
+    """
+    if slots <= 0:
+        return float('inf')
+    missing = ahead + 1 - free
+    return max(0, missing) * hold_s / slots
+
+
+def choose_retry_delay(
+    wait_s: float, left_s: float, rng: random.Random
+) -> float:
+    """Return after how many seconds a rejected caller should retry.
+
+    The delay is random, between the predicted wait and the longest delay that
+    the caller accepts. Callers that are rejected together would otherwise
+    retry together and cause the next burst.
+    """
+    longest = max(MIN_RETRY_DELAY_S, left_s * MAX_RETRY_DELAY_SHARE)
+    shortest = min(max(MIN_RETRY_DELAY_S, wait_s), longest * 0.6)
+    return rng.uniform(shortest, longest)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -3,7 +3,7 @@
 Ties the buckets of this host (``quotas``) to what the other hosts say
 (``mesh``): near hosts state what they handed out, and it is taken out of the
 buckets here; other groups state what they are asked for and hand out a second
-(``groupuses``). Up to some twenty hosts all go by their own buckets; in a
+(``groupusage``). Up to some twenty hosts all go by their own buckets; in a
 larger system that is for those that reach no host that keeps an allowance for
 all (``sharedallowances``).
 """
@@ -15,7 +15,7 @@
 from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import averages
-from apricotlandingd.gateway.decisions import groupuses
+from apricotlandingd.gateway.decisions import groupusage
 from apricotlandingd.gateway.decisions import quotas
 from apricotlandingd.gateway.hosts import mesh
 from apricotlandingd.gateway.hosts import messages
@@ -65,7 +65,7 @@
         self._others = others
         self._started_at = now
         self._is_listed = False
-        self._group_uses = groupuses.GroupUses()
+        self._group_uses = groupusage.GroupUsage()
         self._used = averages.Rates(USED_TIME)
 
     def set_slack(self, slack_units: float) -> None:
@@ -78,14 +78,14 @@
 
     def find_terms(
         self, organisation: catalogue.Organisation, now: float
-    ) -> quotas.Terms:
+    ) -> quotas.AllowanceShare:
         """Return which part of an allowance is for this host's group."""
         silent = self._others.find_unheard_share()
         if not self.knows_hosts(now):
             silent = 1.0
-        return quotas.Terms(
+        return quotas.AllowanceShare(
             silent_share=silent,
-            group_part=self._find_group_part(organisation, now),
+            group_share=self._find_group_part(organisation, now),
             reserve=-self._find_ahead(now),
         )
 
@@ -105,7 +105,7 @@
         self,
         organisation: catalogue.Organisation,
         cost: float,
-        part: quotas.Terms,
+        part: quotas.AllowanceShare,
         now: float,
     ) -> float | None:
         """Hand out units, or return seconds until there are enough.
@@ -121,7 +121,7 @@
             self._charge(organisation, cost, now)
         return wait
 
-    def find_keeper_terms(self, now: float) -> quotas.Terms:
+    def find_keeper_terms(self, now: float) -> quotas.AllowanceShare:
         """Return what a host that keeps an allowance for all may count on."""
         silent = self._others.find_unheard_share()
         if not self.knows_hosts(now):
@@ -129,7 +129,7 @@
         ahead = 0.0
         if now - self._started_at < UNSETTLED_TIME:
             ahead = self._slack * AHEAD_SHARE * (1 - silent)
-        return quotas.Terms(silent_share=silent, reserve=-ahead)
+        return quotas.AllowanceShare(silent_share=silent, reserve=-ahead)
 
     def note_handed_out(
         self, organisation: catalogue.Organisation, cost: float, now: float
@@ -193,10 +193,10 @@
     def hear(self, state: messages.HostState, now: float) -> None:
         """Take what another host handed out, or what its group does."""
         if not self._others.partition.is_near(state.host):
-            self.buckets.skip(state.incarnation, state.usage)
-            self._parts.skip(state.incarnation, state.usage)
+            self.buckets.set_baseline(state.incarnation, state.usage)
+            self._parts.set_baseline(state.incarnation, state.usage)
             group = self._others.partition.find_group(state.host)
-            self._group_uses.hear(
+            self._group_uses.update(
                 group,
                 state.group_asked,
                 state.group_used,
@@ -206,12 +206,14 @@
             return
         self.buckets.adopt(state.levels, now)
         is_new = state.hosts == 0
-        lately = self.buckets.hear(state.incarnation, state.usage, now, is_new)
+        lately = self.buckets.apply_totals(
+            state.incarnation, state.usage, now, is_new
+        )
         if not self._keeps_parts(now):
             return
-        self._parts.hear(state.incarnation, state.usage, now, is_new)
+        self._parts.apply_totals(state.incarnation, state.usage, now, is_new)
         for name, units in lately.items():
-            self._used.note(name, units, now)
+            self._used.record(name, units, now)
 
     def forget(self, process: ids.Incarnation) -> None:
         """Drop what is kept about a process that has ended."""
@@ -231,14 +233,16 @@
 
     def _has_heard_all(self) -> bool:
         partition = self._others.partition
-        return self._group_uses.has_heard_all(partition.own, partition.count)
+        return self._group_uses.has_received_all(
+            partition.own, partition.count
+        )
 
     def _widen_terms(
         self,
         organisation: catalogue.Organisation,
-        part: quotas.Terms,
+        part: quotas.AllowanceShare,
         now: float,
-    ) -> quotas.Terms:
+    ) -> quotas.AllowanceShare:
         # From the part for this host's group to the whole allowance.
         if not self._is_divided():
             return part
@@ -252,8 +256,8 @@
         unseen = asked * UNSEEN_TIME - self._slack * UNSEEN_SHARE
         return dataclasses.replace(
             part,
-            group_part=1.0,
-            drain=self._group_uses.sum_used(name, count),
+            group_share=1.0,
+            remote_units_per_s=self._group_uses.sum_used(name, count),
             reserve=part.reserve + max(0.0, unseen),
         )
 
@@ -275,7 +279,7 @@
         # A request that is given back may have come before the groups formed.
         if self._parts.has_bucket(organisation.name):
             self._parts.charge(organisation, units)
-        self._used.note(organisation.name, units, now)
+        self._used.record(organisation.name, units, now)
 
     def _find_group_part(
         self, organisation: catalogue.Organisation, now: float
@@ -284,7 +288,7 @@
         if count == 1:
             return 1.0
         asked = self._find_asked(organisation.name, now)
-        part = self._group_uses.find_part(organisation, asked, count)
+        part = self._group_uses.find_share(organisation, asked, count)
         if now < self._find_settled_time():
             return min(part, 1 / count)
         return part
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -14,9 +14,9 @@
 
 from apricotlanding import addresses
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import scheduler
 from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.hosts import placemessages
@@ -53,7 +53,7 @@
     def count_running(self, runner: ids.RunnerStart) -> int:
         return 0
 
-    def list_waiting(self, service: ids.Pool) -> list[waiting.Rank]:
+    def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
         return []
 
     def find_silent_share(self) -> float:
@@ -81,7 +81,7 @@
     number: int
     heard_at: float
     # What waits or was decided, and places held, by number of the place.
-    tickets: dict[int, waiting.Ticket] = dataclasses.field(
+    tickets: dict[int, queueing.QueuedRequest] = dataclasses.field(
         default_factory=dict
     )
     held: dict[int, ids.RunnerStart] = dataclasses.field(default_factory=dict)
@@ -96,7 +96,7 @@
     # By the digest of the process.
     clients: dict[int, _Client] = dataclasses.field(default_factory=dict)
     # What waits, by process and number of the place.
-    open: dict[tuple[int, int], waiting.Ticket] = dataclasses.field(
+    open: dict[tuple[int, int], queueing.QueuedRequest] = dataclasses.field(
         default_factory=dict
     )
 
@@ -125,13 +125,13 @@
         spread: random.Random,
         is_stopping: collections.abc.Callable[[], bool],
         knows_runners: collections.abc.Callable[[], bool],
-        find_hold: collections.abc.Callable[[ids.Pool], float],
+        find_hold_time: collections.abc.Callable[[ids.Pool], float],
     ) -> None:
         """Start without subsets.
 
         While ``knows_runners`` says no, this host answers nobody.
-        ``find_hold`` returns how long this host's own requests hold a place
-        of a service, for subsets of which nothing is known yet.
+        ``find_hold_time`` returns how long this host's own requests hold a
+        place of a service, for subsets of which nothing is known yet.
         """
         self._host = host
         self._runners = runners
@@ -141,7 +141,7 @@
         self._spread = spread
         self._is_stopping = is_stopping
         self._knows_runners = knows_runners
-        self._find_hold = find_hold
+        self._find_hold = find_hold_time
         self._schedules: dict[subsets.Subset, _Schedule] = {}
         # The last host that could not reach a runner, and when.
         self._missed: dict[ids.RunnerStart, tuple[int, float]] = {}
@@ -178,7 +178,7 @@
             if not schedule.clients:
                 del self._schedules[subset]
                 continue
-            schedule.decisions.pump(now)
+            schedule.decisions.schedule_all(now)
             found.extend(self._answer(subset, schedule, None, now))
         return found
 
@@ -204,7 +204,7 @@
                 )
             )
             held_s = self._find_hold(subset.service)
-            found.decisions.assume_hold(subset.service, held_s)
+            found.decisions.set_hold_time(subset.service, held_s)
             self._schedules[subset] = found
         return found
 
@@ -223,7 +223,7 @@
                 continue
             del client.tickets[number]
             schedule.open.pop((request.process, number), None)
-            if isinstance(ticket.decision, waiting.Grant):
+            if isinstance(ticket.decision, queueing.Grant):
                 client.held[number] = ticket.decision.runner
             elif ticket.decision is None:
                 schedule.decisions.leave(ticket)
@@ -240,7 +240,7 @@
                 continue
             # Granted by another coordinator, or before the subsets changed.
             client.held[number] = known
-            schedule.decisions.places.take(known)
+            schedule.decisions.held_slots.take(known)
 
     def _enter(
         self,
@@ -252,7 +252,7 @@
         for number, wanted in request.wanted.items():
             known = client.tickets.get(number)
             if known is not None:
-                known.share = 1 / wanted.coordinators
+                known.queue_weight = 1 / wanted.coordinators
             if known is not None or number in client.held:
                 continue
             ticket = self._make_ticket(request, number, wanted, now)
@@ -266,9 +266,9 @@
         number: int,
         wanted: placemessages.Wanted,
         now: float,
-    ) -> waiting.Ticket:
+    ) -> queueing.QueuedRequest:
         excluded = (self._starts.find(item) for item in wanted.excluded)
-        return waiting.Ticket(
+        return queueing.QueuedRequest(
             attempt=f'{request.host}/{number}',
             service=request.service,
             tier=ids.Tier(wanted.tier),
@@ -281,7 +281,7 @@
             events=wanted.events,
             last_part=wanted.last_part,
             tried={start for start in excluded if start is not None},
-            share=1 / wanted.coordinators,
+            queue_weight=1 / wanted.coordinators,
         )
 
     def _drop_silent(
@@ -295,7 +295,7 @@
                 schedule.open.pop((process, number), None)
                 if ticket.decision is None:
                     schedule.decisions.leave(ticket)
-                elif isinstance(ticket.decision, waiting.Grant):
+                elif isinstance(ticket.decision, queueing.Grant):
                     schedule.decisions.release(
                         subset.service, ticket.decision.runner, now
                     )
@@ -316,7 +316,7 @@
             told.add(asking)
         if not told:
             return []
-        free = schedule.decisions.count_free(subset.service, now)
+        free = schedule.decisions.count_free_slots(subset.service, now)
         found: list[Outgoing] = []
         for process in sorted(told):
             client = schedule.clients[process]
@@ -337,11 +337,11 @@
             decision = ticket.decision
             if decision is None:
                 continue
-            if isinstance(decision, waiting.Grant):
+            if isinstance(decision, queueing.Grant):
                 granted[number] = messages.digest_start(decision.runner)
                 continue
             refused[number] = placemessages.Refused(
-                decision.return_s,
+                decision.retry_after_s,
                 min(decision.wait_s, placemessages.LONGEST),
                 decision.ahead,
             )
@@ -350,7 +350,7 @@
             process=process,
             answers=client.number,
             service=subset.service,
-            place=subset.place,
+            place=subset.number,
             total=subset.total,
             granted=granted,
             refused=refused,
@@ -371,10 +371,10 @@
         if start is None:
             return
         if item.kind is observations.Kind.HOLD:
-            schedule.decisions.note_hold(request.service, item.seconds)
+            schedule.decisions.note_hold_time(request.service, item.seconds)
             return
         if item.kind is observations.Kind.FIRST:
-            schedule.decisions.note_part(item.part, start, now)
+            schedule.decisions.note_cached_prefix(item.part, start, now)
         if request.host == self._host:
             # This host has learned from it already.
             return
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -19,9 +19,9 @@
 
 from apricotlanding import addresses
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import scheduler
 from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway.hosts import candidates
 from apricotlandingd.gateway.hosts import coordinator
 from apricotlandingd.gateway.hosts import messages
@@ -50,11 +50,11 @@
 class _Waiting:
     """A request for which coordinators are asked."""
 
-    ticket: waiting.Ticket
+    ticket: queueing.QueuedRequest
     since: float
     # Subsets that are asked, and those that refused.
     asked: list[subsets.Subset]
-    refusals: list[waiting.Refusal] = dataclasses.field(default_factory=list)
+    refusals: list[queueing.Refusal] = dataclasses.field(default_factory=list)
     # Digests of runners that were granted and are not known here.
     unknown: set[int] = dataclasses.field(default_factory=set)
     is_local: bool = False
@@ -128,7 +128,7 @@
 
     # Requests.
 
-    def enter(self, ticket: waiting.Ticket, now: float) -> None:
+    def enter(self, ticket: queueing.QueuedRequest, now: float) -> None:
         """Let a request wait; it may be decided at once."""
         found = self._list_subsets(ticket.service)
         if not self._hosts.is_divided() or not found:
@@ -139,14 +139,14 @@
         self._waiting[ticket.number] = _Waiting(ticket, now, [])
         self._ask(ticket.number, self._spread.choice(found), now)
 
-    def leave(self, ticket: waiting.Ticket, now: float) -> None:
+    def leave(self, ticket: queueing.QueuedRequest, now: float) -> None:
         """Drop a request that waits no more."""
         self._local.leave(ticket)
         if ticket.number in self._waiting:
             self._withdraw(ticket.number, None, now)
 
     def release(
-        self, service: ids.Pool, grant: waiting.Grant, now: float
+        self, service: ids.Pool, grant: queueing.Grant, now: float
     ) -> None:
         """Give a place back."""
         if not grant.number:
@@ -155,7 +155,7 @@
         start = self._held.pop(grant.number, None)
         if start is None:
             return
-        self._local.places.release(start)
+        self._local.held_slots.release(start)
         subset = self._find_subset(start)
         if subset is not None:
             self._send(self._open(subset, now), now, wants_reply=False)
@@ -165,7 +165,7 @@
     ) -> bool:
         """Tell whether a runner that was not tried may have a free place."""
         if not self._hosts.is_divided():
-            return self._local.has_place(service, tried, now)
+            return self._local.has_free_slot(service, tried, now)
         if all(
             entry.start in tried for entry in self._runners.list_open(service)
         ):
@@ -191,9 +191,9 @@
             seen, service, start, self._paces, self._health, now
         )
         if seen.kind is observations.Kind.HOLD:
-            self._local.note_hold(service, seen.seconds)
+            self._local.note_hold_time(service, seen.seconds)
         if seen.kind is observations.Kind.FIRST:
-            self._local.note_part(seen.part, start, now)
+            self._local.note_cached_prefix(seen.part, start, now)
         if not self._hosts.is_divided():
             return
         subset = self._find_subset(start)
@@ -351,8 +351,8 @@
         self._withdraw(number, subset, now)
         self._held[number] = entry.start
         # Counts when this host decides by itself, and is told to its group.
-        self._local.places.take(entry.start)
-        item.ticket.decide(waiting.Grant(entry.start, number))
+        self._local.held_slots.take(entry.start)
+        item.ticket.decide(queueing.Grant(entry.start, number))
 
     def _renew(
         self, number: int, item: _Waiting, digest: int, now: float
@@ -379,7 +379,7 @@
         item = self._waiting[number]
         link = self._links[subset]
         link.wanted.discard(number)
-        item.refusals.append(waiting.Refusal(*refused))
+        item.refusals.append(queueing.Refusal(*refused))
         self._send(link, now, wants_reply=False)
         if len(item.asked) == 1:
             self._ask_second(number, item, now)
@@ -434,7 +434,7 @@
             process=self.process,
             number=self._message,
             service=link.subset.service,
-            place=link.subset.place,
+            place=link.subset.number,
             total=link.subset.total,
             wanted={},
             held={},
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -216,7 +216,7 @@
         self, news: allowancemessages.KeeperNews, now: float
     ) -> None:
         """Take what another host that keeps allowances has handed out."""
-        if not self._kept.has_heard(news.incarnation):
+        if not self._kept.has_totals(news.incarnation):
             self.hear(news.incarnation, news.before, False, now)
         self.hear(news.incarnation, news.usage, False, now)
 
@@ -234,10 +234,10 @@
         """
         if process == self._incarnation:
             return
-        if is_new or self._kept.has_heard(process):
-            self._kept.hear(process, usage, now, is_new)
+        if is_new or self._kept.has_totals(process):
+            self._kept.apply_totals(process, usage, now, is_new)
         else:
-            self._kept.skip(process, usage)
+            self._kept.set_baseline(process, usage)
 
     def _hand_out(
         self, organisation: catalogue.Organisation, cost: float, now: float
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -213,7 +213,7 @@
                 self._rng,
                 lambda: self._is_stopping,
                 lambda: records.has_all_topics(self._replica.positions),
-                self._scheduler.find_hold,
+                self._scheduler.find_hold_time,
             ),
             self._directory,
             self._paces,
@@ -370,7 +370,7 @@
             self._handle_catalogue(record, now)
         else:
             self._handle_runner(record, now)
-        self._scheduler.pump(now)
+        self._scheduler.schedule_all(now)
         if self._mesh.is_divided():
             # Few hosts read the store; the others depend on peers' messages.
             self._mesh.tell()
@@ -461,7 +461,7 @@
 
     def _end_earlier_starts(self, later: ids.RunnerStart) -> None:
         for start, count in self._clients.end_earlier(later).items():
-            self._scheduler.places.hand_over(start, later, count)
+            self._scheduler.held_slots.hand_over(start, later, count)
 
     def _find_readers(self) -> freshness.Readers:
         # Readers are the first hosts by name that report reaching the store. A
@@ -586,7 +586,7 @@
 
     def _pump(self, now: float) -> None:
         self._pumped_at = now
-        self._scheduler.pump(now)
+        self._scheduler.schedule_all(now)
 
     async def _clean_up_forever(self) -> None:
         while True:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -8,9 +8,9 @@
 
 from apricotlanding import clocks
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import quotas
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway.hosts import allowances
 from apricotlandingd.gateway.hosts import mesh
 from apricotlandingd.gateway.hosts import messages
@@ -61,14 +61,14 @@
             asked = _round_units(self._allowances.buckets.list_asked(now))
             group_asked = _round_units(self._allowances.sum_group_asked(asked))
         running: dict[ids.RunnerStart, int] = {}
-        ranks: dict[ids.Pool, list[waiting.Rank]] = {}
+        ranks: dict[ids.Pool, list[queueing.Rank]] = {}
         usage = _round_units(self._allowances.buckets.usage)
         if scope is not mesh.Scope.WHOLE:
             group_used = _round_units(self._allowances.list_used(now))
         if scope is mesh.Scope.FAR:
             ages = self._freshness.list_group_ages(now)
         else:
-            running = dict(self._scheduler.places.running)
+            running = dict(self._scheduler.held_slots.running)
             ranks = self._list_ranks(now)
             ages = self._list_near_ages(now, is_full_state=True)
         levels = quotas.Usage()
@@ -99,7 +99,7 @@
     def make_change(self, number: int) -> messages.HostChange:
         """Return the fields that near peers use and that may have changed."""
         now = clocks.read_monotonic()
-        running = messages.digest_starts(self._scheduler.places.running)
+        running = messages.digest_starts(self._scheduler.held_slots.running)
         usage = _round_units(self._allowances.buckets.usage)
         return messages.HostChange(
             process=self._process,
@@ -122,7 +122,7 @@
             now, self._reads_store(now), is_full_state
         )
 
-    def _list_ranks(self, now: float) -> dict[ids.Pool, list[waiting.Rank]]:
+    def _list_ranks(self, now: float) -> dict[ids.Pool, list[queueing.Rank]]:
         return {
             service: [rank.shift(-now) for rank in items[: mesh.RANKS]]
             for service, items in self._scheduler.list_waiting(now).items()
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/inputerrors.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/inputerrors.py
@@ -9,7 +9,7 @@
 
 import eliot
 
-from apricotlandingd.gateway.decisions import noticelimit
+from apricotlandingd.gateway.decisions import logratelimit
 from apricotlandingd.gateway.process import telemetry
 
 __all__ = ['InputErrors', 'Source']
@@ -46,7 +46,7 @@
     def __init__(self, found: telemetry.MetricRegistry) -> None:
         """Count into a registry of metrics."""
         self._telemetry = found
-        self._limit = noticelimit.NoticeLimit()
+        self._limit = logratelimit.LogRateLimit()
 
     def report(
         self, source: Source, key: str, detail: str, now: float
--- a/tests/placesplay.py
+++ b/tests/placesplay.py
@@ -15,8 +15,8 @@
 
 from apricotlanding import addresses
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway.hosts import candidates
 from apricotlandingd.gateway.hosts import coordinator
 from apricotlandingd.gateway.hosts import dispatch
@@ -108,7 +108,7 @@
     def count_running(self, runner: ids.RunnerStart) -> int:
         return 0
 
-    def list_waiting(self, service: ids.Pool) -> list[waiting.Rank]:
+    def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
         return []
 
     def find_silent_share(self) -> float:
@@ -161,7 +161,7 @@
     # Takes no connection.
     is_lost: bool = False
     running: int = 0
-    queue: collections.deque[tuple[Host, waiting.Grant, float]] = (
+    queue: collections.deque[tuple[Host, queueing.Grant, float]] = (
         dataclasses.field(default_factory=collections.deque)
     )
 
@@ -212,7 +212,7 @@
             self.spread,
             lambda: False,
             lambda: True,
-            local.find_hold,
+            local.find_hold_time,
         )
         hosts = _Known(self, name)
         found = dispatch.Dispatcher(
@@ -299,7 +299,7 @@
         host = self.choose_host()
         self.outcome.asked += 1
         tier = self.spread.randrange(self.load.tiers)
-        ticket = gatewayparts.make_ticket(
+        ticket = gatewayparts.make_queued_request(
             f'a{self.outcome.asked}',
             self.now,
             tier=ids.Tier(tier),
@@ -319,7 +319,7 @@
         ]
         return self.spread.choices(up, weights)[0]
 
-    def watch(self, host: Host, ticket: waiting.Ticket) -> None:
+    def watch(self, host: Host, ticket: queueing.QueuedRequest) -> None:
         """Look for the decision a little later, as a waiting task does."""
         if ticket.decision is None and host.is_up:
             self.plan(0.001, lambda: self.watch(host, ticket))
@@ -327,7 +327,7 @@
         host.dispatcher.leave(ticket, self.now)
         decision = ticket.decision
         tier = int(ticket.tier)
-        if isinstance(decision, waiting.Grant):
+        if isinstance(decision, queueing.Grant):
             self.outcome.granted[tier] += 1
             waited = self.now - ticket.arrived_at
             self.outcome.waited_s += waited
@@ -339,7 +339,7 @@
     # Runners.
 
     def arrive(
-        self, host: Host, grant: waiting.Grant, ticket: waiting.Ticket
+        self, host: Host, grant: queueing.Grant, ticket: queueing.QueuedRequest
     ) -> None:
         runner = self.runners[grant.runner]
         if runner.is_lost:
@@ -352,14 +352,14 @@
         self.run(runner, host, grant, self.now)
 
     def miss(
-        self, host: Host, grant: waiting.Grant, ticket: waiting.Ticket
+        self, host: Host, grant: queueing.Grant, ticket: queueing.QueuedRequest
     ) -> None:
         """Ask for another runner than the one that takes no connection."""
         self.outcome.missed += 1
         seen = observations.Observation(observations.Kind.UNREACHABLE)
         host.dispatcher.note(gatewayparts.POOL, grant.runner, seen, self.now)
         host.dispatcher.release(gatewayparts.POOL, grant, self.now)
-        again = gatewayparts.make_ticket(
+        again = gatewayparts.make_queued_request(
             ticket.attempt,
             ticket.arrived_at,
             tier=ticket.tier,
@@ -375,7 +375,7 @@
         self,
         runner: Runner,
         host: Host,
-        grant: waiting.Grant,
+        grant: queueing.Grant,
         sent_at: float,
     ) -> None:
         runner.running += 1
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -8,7 +8,7 @@
 import testtools
 
 from apricotlanding import ids
-from apricotlandingd.gateway.decisions import noticelimit
+from apricotlandingd.gateway.decisions import logratelimit
 from apricotlandingd.gateway.process import inputerrors
 from apricotlandingd.gateway.process import logwriter
 from apricotlandingd.gateway.process import telemetry
@@ -79,7 +79,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.limit = noticelimit.NoticeLimit()
+        self.limit = logratelimit.LogRateLimit()
 
     def test_one_notice_a_key_and_minute(self) -> None:
         self.assertEqual(0, self.limit.admit('a', 10.0))
@@ -98,14 +98,18 @@
             for number in range(10_000)
             if self.limit.admit(f'key {number}', number / 1000) is not None
         ]
-        self.assertEqual(noticelimit.KEYS + 1, len(given))
-        self.assertEqual(noticelimit.KEYS + 1, self.limit.count_keys())
+        self.assertEqual(logratelimit.MAX_KEYS + 1, len(given))
+        self.assertEqual(logratelimit.MAX_KEYS + 1, self.limit.count_keys())
 
     def test_expired_keys_make_room(self) -> None:
-        for number in range(noticelimit.KEYS):
+        for number in range(logratelimit.MAX_KEYS):
             self.limit.admit(f'key {number}', 0.0)
-        self.assertEqual(0, self.limit.admit('new', noticelimit.INTERVAL))
-        self.assertIsNone(self.limit.admit('new', noticelimit.INTERVAL + 1))
+        self.assertEqual(
+            0, self.limit.admit('new', logratelimit.LOG_INTERVAL_S)
+        )
+        self.assertIsNone(
+            self.limit.admit('new', logratelimit.LOG_INTERVAL_S + 1)
+        )
 
     def test_long_keys_are_truncated(self) -> None:
         long = 'k' * 100_000
--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -13,7 +13,7 @@
 from apricotlanding import addresses
 from apricotlanding import errors
 from apricotlanding import ids
-from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import mesh
 from apricotlandingd.gateway.hosts import messages
@@ -40,7 +40,7 @@
         'positions': [3, 4],
         'running': {'r1': 2},
         'usage': {'festin': 10.0},
-        'ranks': {'pool': [waiting.Rank(0, 0, False, 1.0)]},
+        'ranks': {'pool': [queueing.Rank(0, 0, False, 1.0)]},
         'hints': {'host-3': '127.0.0.1:7602'},
     }
     return messages.HostState(**(fields | changes))
@@ -56,7 +56,7 @@
         'positions': [3, 4],
         'running': {17: 2},
         'usage': {'festin': 10.0},
-        'ranks': {'pool': [waiting.Rank(0, 0, False, 1.0)]},
+        'ranks': {'pool': [queueing.Rank(0, 0, False, 1.0)]},
         'answer_ages': [],
     }
     return messages.HostChange(**(fields | changes))
@@ -84,7 +84,7 @@
     {'levels': {'festin': -INFINITE}},
     {'hosts': -1},
     # An order that is none.
-    {'ranks': {'pool': [waiting.Rank(0, 0, False, NAN)]}},
+    {'ranks': {'pool': [queueing.Rank(0, 0, False, NAN)]}},
     # Half of the message is used, the rest is not.
     {'state_address': 'nowhere'},
     {'state_address': 'host.example:7600'},
@@ -105,7 +105,7 @@
     {'running': {-17: 5}},
     {'usage': {'festin': NAN}},
     {'usage': {'festin': -INFINITE}},
-    {'ranks': {'pool': [waiting.Rank(0, 0, False, NAN)]}},
+    {'ranks': {'pool': [queueing.Rank(0, 0, False, NAN)]}},
     {'positions': [-1, 4]},
     {'answer_ages': [2**63]},
 )
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -1,4 +1,4 @@
-"""The gateway's decisions, without a network: time is an argument."""
+"""The gateway's decisions, without a network and with simulated time."""
 
 import dataclasses
 import random
@@ -9,9 +9,9 @@
 from apricotlanding import addresses
 from apricotlanding import ids
 from apricotlanding import retrybudget
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import quotas
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import groups
 from apricotlandingd.gateway.hosts import mesh
@@ -27,19 +27,19 @@
 FESTIN = gatewayparts.make_organisation(100.0)
 
 
-class QuietOthers:
-    """Other hosts that run and want what a test says."""
+class FakePeers:
+    """Peers with the load and the ranks that a test sets."""
 
     def __init__(self) -> None:
         self.running: dict[ids.RunnerStart, int] = {}
-        self.ranks: list[waiting.Rank] = []
+        self.ranks: list[queueing.Rank] = []
         self.silent = 0.0
         self.partition = groups.Partition()
 
     def count_running(self, runner: ids.RunnerStart) -> int:
         return self.running.get(runner, 0)
 
-    def list_waiting(self, service: ids.Pool) -> list[waiting.Rank]:
+    def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
         return sorted(self.ranks)
 
     def find_silent_share(self) -> float:
@@ -47,11 +47,11 @@
 
 
 class TestScheduler(testtools.TestCase):
-    """Two runners with two places each."""
+    """Two runners with two slots each."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.others = QuietOthers()
+        self.others = FakePeers()
         self.runners = directory.Directory(2.0)
         for name in ('r1', 'r2'):
             self.runners.update(gatewayparts.make_entry(name))
@@ -72,9 +72,9 @@
         tier: int = 0,
         on_time_by: float | None = None,
         useful_until: float | None = None,
-    ) -> waiting.Ticket:
+    ) -> queueing.QueuedRequest:
         self.count += 1
-        ticket = gatewayparts.make_ticket(
+        request = gatewayparts.make_queued_request(
             f'a{self.count}',
             now,
             tier=ids.Tier(tier),
@@ -83,26 +83,26 @@
             useful_until=now + 3 if useful_until is None else useful_until,
             ends_at=now + 15,
         )
-        self.scheduler.enter(ticket, now)
-        return ticket
+        self.scheduler.enter(request, now)
+        return request
 
-    def fill(self, now: float = 0.0) -> list[waiting.Ticket]:
+    def fill(self, now: float = 0.0) -> list[queueing.QueuedRequest]:
         return [self.enter(now) for _ in range(4)]
 
-    def release(self, ticket: waiting.Ticket, now: float) -> None:
-        grant = ticket.decision
-        assert isinstance(grant, waiting.Grant)
+    def release(self, request: queueing.QueuedRequest, now: float) -> None:
+        grant = request.decision
+        assert isinstance(grant, queueing.Grant)
         self.scheduler.release(gatewayparts.POOL, grant.runner, now)
 
-    def test_free_place_is_granted_at_once(self) -> None:
-        for ticket in self.fill():
-            self.assertIsInstance(ticket.decision, waiting.Grant)
+    def test_free_slot_is_granted_at_once(self) -> None:
+        for request in self.fill():
+            self.assertIsInstance(request.decision, queueing.Grant)
 
-    def test_places_are_never_overfilled(self) -> None:
+    def test_slots_are_never_overcommitted(self) -> None:
         self.fill()
         self.assertIsNone(self.enter(0.0).decision)
 
-    def test_places_of_peers_count(self) -> None:
+    def test_slots_of_peers_count(self) -> None:
         self.others.running = {
             gatewayparts.make_start('r1'): 2,
             gatewayparts.make_start('r2'): 2,
@@ -114,7 +114,7 @@
         low = self.enter(0.0, tier=1)
         high = self.enter(0.1, tier=0)
         self.release(full[0], 0.2)
-        self.assertIsInstance(high.decision, waiting.Grant)
+        self.assertIsInstance(high.decision, queueing.Grant)
         self.assertIsNone(low.decision)
 
     def test_one_in_time_goes_before_one_that_is_late(self) -> None:
@@ -122,87 +122,89 @@
         late = self.enter(0.0, on_time_by=0.1)
         fresh = self.enter(0.2, on_time_by=1.0)
         self.release(full[0], 0.3)
-        self.assertIsInstance(fresh.decision, waiting.Grant)
+        self.assertIsInstance(fresh.decision, queueing.Grant)
         self.assertIsNone(late.decision)
 
-    def test_place_is_yielded_to_a_peer_that_goes_first(self) -> None:
+    def test_slot_is_yielded_to_a_peer_that_goes_first(self) -> None:
         full = self.fill()
         mine = self.enter(0.0, tier=1)
-        self.others.ranks = [waiting.Rank(0, 0, False, 1.0)]
+        self.others.ranks = [queueing.Rank(0, 0, False, 1.0)]
         self.release(full[0], 0.1)
         self.assertIsNone(mine.decision)
 
-    def test_place_that_the_peer_leaves_is_taken(self) -> None:
-        # A peer that died with a request waiting must not keep a place free.
+    def test_yielded_slot_is_taken_after_the_timeout(self) -> None:
+        # A peer that stopped with a waiting request must not block a slot.
         full = self.fill()
         mine = self.enter(0.0, tier=1)
-        self.others.ranks = [waiting.Rank(0, 0, False, 1.0)]
+        self.others.ranks = [queueing.Rank(0, 0, False, 1.0)]
         self.release(full[0], 0.1)
-        self.scheduler.pump(0.1 + scheduler.YIELD_TIME * 1.5)
-        self.assertIsInstance(mine.decision, waiting.Grant)
+        self.scheduler.schedule_all(0.1 + scheduler.YIELD_TIMEOUT_S * 1.5)
+        self.assertIsInstance(mine.decision, queueing.Grant)
 
-    def test_hopeless_request_is_refused_at_once(self) -> None:
+    def test_late_request_is_rejected_at_once(self) -> None:
         self.fill()
         for _ in range(20):
             self.enter(0.0)
         last = self.enter(0.0, useful_until=1.0)
         refusal = last.decision
-        assert isinstance(refusal, waiting.Refusal)
+        assert isinstance(refusal, queueing.Refusal)
         self.assertGreater(refusal.wait_s, 1.0)
 
-    def test_time_to_come_back_fits_the_callers_time(self) -> None:
+    def test_retry_delay_fits_the_callers_deadline(self) -> None:
         self.fill()
         for _ in range(20):
             self.enter(0.0)
         refusal = self.enter(0.0, useful_until=1.0).decision
-        assert isinstance(refusal, waiting.Refusal)
-        self.assertLessEqual(refusal.return_s, 15 / 3)
+        assert isinstance(refusal, queueing.Refusal)
+        self.assertLessEqual(refusal.retry_after_s, 15 / 3)
 
-    def test_lower_tier_is_refused_and_the_higher_one_kept(self) -> None:
-        # The places are full and six of the lower tier wait. As the higher
-        # tier comes in, the wait of the lower one outgrows its use.
+    def test_lower_tier_is_rejected_and_the_higher_one_kept(self) -> None:
+        # All slots are taken and requests of the lower tier wait. As requests
+        # of the higher tier arrive, the last one of the lower tier would wait
+        # too long to be useful.
         self.fill()
         low = [self.enter(0.0, tier=1, useful_until=1.5) for _ in range(5)]
         high = [self.enter(0.1, tier=0) for _ in range(4)]
         self.assertTrue(all(item.decision is None for item in high))
-        self.assertIsInstance(low[-1].decision, waiting.Refusal)
+        self.assertIsInstance(low[-1].decision, queueing.Refusal)
 
-    def test_one_that_is_refused_is_out_of_the_way(self) -> None:
-        # A caller was refused with a place in sight: twelve before it were
-        # refused in the same moment, and still counted as going first.
+    def test_rejected_request_does_not_count_as_ahead(self) -> None:
+        # Guards against rejecting a request that would get a slot: twelve
+        # requests ahead of it are rejected in the same pass and must not count
+        # as ahead any more.
         self.fill()
         for _ in range(12):
             self.enter(0.0, useful_until=3.1)
         last = self.enter(0.0, tier=1, useful_until=3.4)
-        self.scheduler.pump(3.0)
+        self.scheduler.schedule_all(3.0)
         self.assertIsNone(last.decision)
 
-    def test_no_runner_is_waited_for_only_a_moment(self) -> None:
+    def test_request_without_runners_times_out(self) -> None:
         for name in ('r1', 'r2'):
             self.runners.update(
                 gatewayparts.make_entry(name, is_draining=True)
             )
-        ticket = self.enter(0.0)
-        self.assertIsNone(ticket.decision)
-        self.scheduler.pump(scheduler.EMPTY_WAIT + 0.1)
-        self.assertIsInstance(ticket.decision, waiting.Refusal)
-
-    def test_host_that_hears_nobody_uses_its_share(self) -> None:
-        # Cut off from the other hosts, which may go on serving: all of them
-        # together must not overfill the runners.
+        request = self.enter(0.0)
+        self.assertIsNone(request.decision)
+        self.scheduler.schedule_all(scheduler.NO_RUNNER_TIMEOUT_S + 0.1)
+        self.assertIsInstance(request.decision, queueing.Refusal)
+
+    def test_partitioned_host_uses_its_share(self) -> None:
+        # The host is partitioned from the others, which may still be serving.
+        # Together they must not overcommit the runners.
         self.others.silent = 0.5
         granted = [self.enter(0.0).decision for _ in range(4)]
-        count = sum(isinstance(item, waiting.Grant) for item in granted)
+        count = sum(isinstance(item, queueing.Grant) for item in granted)
         self.assertEqual(2, count)
 
-    def test_stated_load_shows_that_silent_peers_are_gone(self) -> None:
+    def test_reported_load_shows_that_silent_peers_stopped(self) -> None:
         self.others.silent = 0.5
         for name in ('r1', 'r2'):
             self.scheduler.note_load(
                 gatewayparts.make_start(name), (0, 0), 0.0
             )
         granted = [self.enter(0.1).decision for _ in range(4)]
-        count = sum(isinstance(item, waiting.Grant) for item in granted)
+        count = sum(isinstance(item, queueing.Grant) for item in granted)
         self.assertEqual(4, count)
 
     def test_failing_runner_is_avoided_while_others_are_free(self) -> None:
@@ -210,13 +212,13 @@
             self.health.note_failure(gatewayparts.make_start('r1'), 0.0)
         for _ in range(2):
             grant = self.enter(0.1).decision
-            assert isinstance(grant, waiting.Grant)
+            assert isinstance(grant, queueing.Grant)
             self.assertEqual(gatewayparts.make_start('r2'), grant.runner)
 
-    def test_closed_runner_gets_nothing_though_it_is_free(self) -> None:
+    def test_closed_runner_gets_no_requests(self) -> None:
         self.health.note_unreachable(gatewayparts.make_start('r1'), 0.0)
         granted = [self.enter(0.1).decision for _ in range(4)]
-        count = sum(isinstance(item, waiting.Grant) for item in granted)
+        count = sum(isinstance(item, queueing.Grant) for item in granted)
         self.assertEqual(2, count)
 
     def test_faster_runner_is_taken_first(self) -> None:
@@ -228,16 +230,16 @@
                 gatewayparts.POOL, gatewayparts.make_start('r2'), 100, 0.05
             )
         grant = self.enter(0.0).decision
-        assert isinstance(grant, waiting.Grant)
+        assert isinstance(grant, queueing.Grant)
         self.assertEqual(gatewayparts.make_start('r2'), grant.runner)
 
 
 class TestQuotas(testtools.TestCase):
-    """A hundred units a second, a hundred at once."""
+    """A rate of a hundred units per second and a burst of a hundred."""
 
     def setUp(self) -> None:
         super().setUp()
-        # A start long enough ago for full buckets.
+        # Started long enough ago for full buckets.
         self.quotas = quotas.Quotas(0.0, -100.0)
 
     def take(self, units: float, now: float, silent: float = 0.0) -> bool:
@@ -254,7 +256,7 @@
         self.take(100, 0.0)
         self.assertTrue(self.take(50, 0.5))
 
-    def test_time_to_come_back_is_when_there_is_enough(self) -> None:
+    def test_retry_delay_ends_when_units_suffice(self) -> None:
         self.take(100, 0.0)
         wait = gatewayparts.take_units(self.quotas, FESTIN, 50, 0.0, 0.0)
         assert wait is not None
@@ -263,40 +265,40 @@
     def test_use_of_a_peer_counts(self) -> None:
         self.take(0, 0.0)
         peer = ids.Incarnation('other/1')
-        self.quotas.hear(peer, {FESTIN.name: 0.0}, 0.0)
-        self.quotas.hear(peer, {FESTIN.name: 90.0}, 0.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 0.0}, 0.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 90.0}, 0.0)
         self.assertFalse(self.take(20, 0.0))
         self.assertTrue(self.take(10, 0.0))
 
-    def test_use_of_a_peer_counts_after_a_quiet_time(self) -> None:
-        # Two hosts handed out the same burst. This one had not been asked
-        # for a while; its bucket was filled only after the peer's use had
-        # been taken out, which was thereby forgotten.
+    def test_use_of_a_peer_counts_after_idle_time(self) -> None:
+        # Guards against two hosts handing out the same burst: without recent
+        # requests here, the bucket was refilled only after the peer's use was
+        # deducted, which cancelled the deduction.
         self.take(100, 0.0)
         peer = ids.Incarnation('other/1')
-        self.quotas.hear(peer, {FESTIN.name: 0.0}, 0.0)
-        self.quotas.hear(peer, {FESTIN.name: 100.0}, 10.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 0.0}, 0.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 100.0}, 10.0)
         self.assertFalse(self.take(50, 10.0))
 
     def test_use_of_a_peer_counts_before_the_first_request(self) -> None:
-        # Two hosts handed out the same burst. An organisation had only asked
-        # the other one; this one, which is asked for the first time, took its
-        # bucket to be full.
+        # Guards against two hosts handing out the same burst: on the first
+        # request here, the host took its bucket to be full, although the
+        # organisation had used up the burst at the other host.
         peer = ids.Incarnation('other/1')
-        self.quotas.hear(peer, {FESTIN.name: 0.0}, 9.0)
-        self.quotas.hear(peer, {FESTIN.name: 60.0}, 10.0)
-        self.quotas.hear(peer, {FESTIN.name: 100.0}, 10.1)
+        self.quotas.apply_totals(peer, {FESTIN.name: 0.0}, 9.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 60.0}, 10.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 100.0}, 10.1)
         self.assertFalse(self.take(20, 10.1))
         self.assertTrue(self.take(9, 10.1))
 
     def test_bucket_fills_again_before_the_first_request(self) -> None:
         peer = ids.Incarnation('other/1')
-        self.quotas.hear(peer, {FESTIN.name: 0.0}, 9.0)
-        self.quotas.hear(peer, {FESTIN.name: 100.0}, 10.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 0.0}, 9.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 100.0}, 10.0)
         self.assertTrue(self.take(100, 11.0))
 
-    def test_hosts_that_hear_nobody_hand_out_the_rate_once(self) -> None:
-        # Four hosts, each cut off from the three others.
+    def test_partitioned_hosts_hand_out_the_rate_once(self) -> None:
+        # Four hosts, each partitioned from the three others.
         hosts = [quotas.Quotas(0.0, 0.0) for _ in range(4)]
         total = 0.0
         for step in range(1000):
@@ -311,9 +313,10 @@
         self.assertLessEqual(total, FESTIN.burst_units + 10 * 100.0 + 4)
 
     def test_restarted_hosts_do_not_hand_out_a_second_burst(self) -> None:
-        # An organisation got more in eight seconds than its allowance and
-        # all slack. Every host was killed at once while it asked for many
-        # times its allowance, and each restarted with a full bucket.
+        # Guards against handing out more in eight seconds than the allowance
+        # and the whole slack. All hosts are killed at once while the
+        # organisation requests many times its allowance; they must not restart
+        # with full buckets.
         before = quotas.Quotas(0.0, -100.0)
         self.assertIsNone(
             gatewayparts.take_units(before, FESTIN, 100, 0.0, 0.0)
@@ -327,16 +330,16 @@
     def test_use_of_a_restarted_peer_counts(self) -> None:
         self.take(0, 0.0)
         peer = ids.Incarnation('other/2')
-        self.quotas.hear(peer, {FESTIN.name: 90.0}, 0.0)
+        self.quotas.apply_totals(peer, {FESTIN.name: 90.0}, 0.0)
         self.assertFalse(self.take(20, 0.0))
 
-    def test_history_of_peers_is_left_out_at_the_start(self) -> None:
+    def test_earlier_use_of_peers_is_ignored_at_the_start(self) -> None:
         young = quotas.Quotas(0.0, 0.0)
         gatewayparts.take_units(young, FESTIN, 0, 0.0, 1.0)
-        young.hear(ids.Incarnation('o/1'), {FESTIN.name: 1e6}, 1.0)
+        young.apply_totals(ids.Incarnation('o/1'), {FESTIN.name: 1e6}, 1.0)
         self.assertIsNone(gatewayparts.take_units(young, FESTIN, 90, 0.0, 1.0))
 
-    def test_units_of_a_request_that_did_not_run_come_back(self) -> None:
+    def test_units_of_a_request_that_did_not_run_are_refunded(self) -> None:
         self.take(100, 0.0)
         self.quotas.charge(FESTIN, -100)
         self.assertTrue(self.take(100, 0.0))
@@ -348,7 +351,7 @@
 
 
 class TestDirectory(testtools.TestCase):
-    """Runners whose registration goes."""
+    """Runners whose registration is removed."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -363,9 +366,9 @@
         self.runners.remove(ids.Runner('r1'), 10.0)
         self.assertFalse(self.is_open(10.0))
 
-    def test_lapse_in_an_outage_is_waited_for(self) -> None:
-        # The store comes back and all registrations are gone, because no
-        # runner could renew its own. Each of them serves.
+    def test_lapse_during_an_outage_is_tolerated(self) -> None:
+        # After a store outage all registrations have expired, because no
+        # runner could renew its own. The runners are still serving.
         self.runners.note_outage(9.9)
         self.runners.remove(ids.Runner('r1'), 10.0)
         self.assertTrue(self.is_open(11.0))
@@ -376,9 +379,9 @@
         self.assertFalse(self.is_open(12.2))
 
     def test_lapse_never_outlasts_the_drain_time(self) -> None:
-        # A caller's request reached a runner 2082 ms after it had left: the
-        # store had turned this host away three seconds before the runner
-        # left for good, and the removal was taken for a lapse.
+        # Guards against requests to a runner that has left. One was sent
+        # 2082 ms after that: the store had rejected this host three seconds
+        # before the runner left, and the removal was taken for a lapse.
         self.runners.note_outage(9.9)
         self.runners.remove(ids.Runner('r1'), 10.0)
         self.runners.note_outage(11.0)
@@ -405,7 +408,7 @@
         for _ in range(times):
             self.health.note_failure(gatewayparts.make_start(name), now)
 
-    def test_one_failure_is_forgiven(self) -> None:
+    def test_one_failure_is_tolerated(self) -> None:
         self.note('r1', 1)
         self.assertEqual(set(), self.health.list_avoided(self.names, 0.1))
 
@@ -419,9 +422,10 @@
         self.note('r1', 3)
         self.assertEqual(set(), self.health.list_avoided(self.names, 1.1))
 
-    def test_dead_runner_gets_nothing_for_a_while(self) -> None:
-        # Under overload every request tried a crashed runner first: a dead
-        # one always has free places, and its registration outlives it.
+    def test_unreachable_runner_is_closed_for_a_while(self) -> None:
+        # Guards against every request trying a crashed runner first under
+        # overload: a crashed runner always has free slots, and its
+        # registration remains for a while.
         runner = gatewayparts.make_start('r1')
         self.health.note_unreachable(runner, 0.0)
         self.assertTrue(self.health.is_closed(runner, 0.4))
@@ -442,7 +446,7 @@
 
 
 class TestRetryBudget(testtools.TestCase):
-    """A fifth of the requests and ten more in ten seconds, over all hosts."""
+    """A fifth of the requests plus ten in ten seconds, over all hosts."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -467,8 +471,9 @@
         self.assertEqual(24, taken)
 
     def test_pool_that_fails_leaves_the_others_their_retries(self) -> None:
-        # Callers of a pool with one bad runner got its errors, because all
-        # runners of another pool failed and its requests used up the retries.
+        # Guards against one pool using up the retries of another. All runners
+        # of one pool failed, and callers of a pool with only one bad runner
+        # received its errors.
         while self.budget.take(gatewayparts.POOL, 1, 0.0):
             continue
         self.assertTrue(self.budget.take(ids.Pool('other'), 1, 0.0))
@@ -480,9 +485,9 @@
 
 
 class TestEventReader(testtools.TestCase):
-    """Whole events, in order, once."""
+    """Events are passed on complete, in order and once."""
 
-    def test_half_an_event_waits_for_its_rest(self) -> None:
+    def test_partial_event_is_buffered(self) -> None:
         reader = streams.EventReader('')
         self.assertEqual(b'', reader.take(b'id: 1\ndata: a'))
         self.assertEqual(b'id: 1\ndata: a\n\n', reader.take(b'\n\n'))
@@ -581,7 +586,7 @@
 
 
 class TestMesh(testtools.TestCase):
-    """States of hosts."""
+    """States that hosts report to each other."""
 
     def make_state(
         self, number: int, running: dict[str, int], incarnation: str = 'b/1'
@@ -614,13 +619,13 @@
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
         self.assertEqual(2, found.count_running(gatewayparts.make_start('r2')))
 
-    def test_state_that_arrives_late_is_left_out(self) -> None:
+    def test_state_that_arrives_late_is_ignored(self) -> None:
         found = self.make_mesh()
         found.take(self.make_state(2, {'r1': 1}), 0.0)
         found.take(self.make_state(1, {'r1': 3}), 0.1)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
 
-    def test_silent_peer_is_left_out_until_it_is_heard(self) -> None:
+    def test_silent_peer_is_ignored_until_it_reports(self) -> None:
         found = self.make_mesh()
         found.take(self.make_state(1, {'r1': 3}), 0.0)
         found.drop_silent(1.0)
@@ -648,8 +653,8 @@
         self.assertEqual({'festin': 7.0}, peer.state.usage)
 
     def test_change_leaves_totals_that_it_does_not_name(self) -> None:
-        # An organisation was handed out its whole use a second time: a
-        # message without its name made its total start anew.
+        # Guards against counting an organisation's whole use a second time,
+        # because a message without its name reset its total.
         found = self.make_mesh()
         state = self.make_state(1, {})
         usage = {ids.Organisation('festin'): 5.0}
@@ -658,27 +663,27 @@
         peer = found.peers[ids.Host('b')]
         self.assertEqual({'festin': 5.0, 'ishami': 1.0}, peer.state.usage)
 
-    def test_change_of_a_process_that_was_not_heard_is_left_out(self) -> None:
+    def test_change_of_an_unknown_process_is_ignored(self) -> None:
         found = self.make_mesh()
         found.take_change(make_change('b/1', 2, {'r1': 1}), 0.0)
         self.assertEqual({}, found.peers)
 
-    def test_change_of_an_ended_process_is_left_out(self) -> None:
+    def test_change_of_an_ended_process_is_ignored(self) -> None:
         found = self.make_mesh()
         found.take(self.make_state(9, {'r1': 3}), 0.0)
         found.take(self.make_state(1, {'r1': 1}, 'b/2'), 0.1)
         found.take_change(make_change('b/1', 10, {'r1': 5}), 0.2)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
 
-    def test_change_that_arrives_late_is_left_out(self) -> None:
+    def test_change_that_arrives_late_is_ignored(self) -> None:
         found = self.make_mesh()
         found.take(self.make_state(3, {'r1': 3}), 0.0)
         found.take_change(make_change('b/1', 2, {'r1': 5}), 0.1)
         self.assertEqual(3, found.count_running(gatewayparts.make_start('r1')))
 
     def test_change_takes_a_third_of_the_bytes(self) -> None:
-        # Messages between hosts were half of the bytes between failure
-        # domains on a quiet day: 271 bytes after each change, and now 77.
+        # At low load, states sent after each change were half of the bytes
+        # between failure domains: 271 bytes each, where a change takes 77.
         place = '10.1.0.25:7600'
         process = ids.make_incarnation(ids.Host('edge-a-1'), place, 123.4)
         running = {f'i-7f3a91c{number}': 2 for number in range(5)}
@@ -692,10 +697,10 @@
         whole = len(messages.registry.encode(state))
         self.assertLess(len(messages.registry.encode(change)), whole / 3)
 
-    def test_host_that_looks_for_a_dead_one_goes_on_telling(self) -> None:
-        # A host fell silent for its peers. It looked for a host that is
-        # down while it told the others its state, and the two met on one
-        # socket, which ended the task that tells.
+    def test_host_reports_while_it_looks_for_a_dead_one(self) -> None:
+        # Guards against a host that stops reporting. It looked for a host that
+        # is down while it sent its state to the others; both used one socket
+        # at the same time, which ended the reporting task.
         ports = [processes.find_port() for _ in range(3)]
         one, two, dead = [
             addresses.Address('127.0.0.1', port) for port in ports
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -9,9 +9,9 @@
 from apricotlanding import addresses
 from apricotlanding import clocks
 from apricotlanding import ids
-from apricotlandingd.gateway.decisions import groupuses
+from apricotlandingd.gateway.decisions import groupusage
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import groups
 from apricotlandingd.gateway.hosts import mesh
@@ -82,17 +82,19 @@
 class TestGroupUses(testtools.TestCase):
     """An organisation whose callers come to four groups."""
 
-    def make_uses(self, asked: tuple[float, ...]) -> list[groupuses.GroupUses]:
-        found = [groupuses.GroupUses() for _ in asked]
+    def make_uses(
+        self, asked: tuple[float, ...]
+    ) -> list[groupusage.GroupUsage]:
+        found = [groupusage.GroupUsage() for _ in asked]
         for own, uses in enumerate(found):
             for group, units in enumerate(asked):
                 if group != own:
-                    uses.hear(group, {FESTIN.name: units}, {}, True, 0.0)
+                    uses.update(group, {FESTIN.name: units}, {}, True, 0.0)
         return found
 
     def find_parts(self, asked: tuple[float, ...]) -> list[float]:
         return [
-            uses.find_part(FESTIN, own, len(asked))
+            uses.find_share(FESTIN, own, len(asked))
             for uses, own in zip(self.make_uses(asked), asked, strict=True)
         ]
 
@@ -104,7 +106,7 @@
         self.assertGreater(self.find_parts((900, 0, 0, 0))[0], 0.85)
 
     def test_group_that_heard_nobody_takes_an_equal_part(self) -> None:
-        part = groupuses.GroupUses().find_part(FESTIN, 5000.0, 4)
+        part = groupusage.GroupUsage().find_share(FESTIN, 5000.0, 4)
         self.assertEqual(0.25, part)
 
     def test_groups_together_hand_out_the_allowance_once(self) -> None:
@@ -115,7 +117,7 @@
         total = 0.0
         for step in range(500):
             for heard, bucket in zip(uses, buckets, strict=True):
-                part = heard.find_part(FESTIN, 800, 4)
+                part = heard.find_share(FESTIN, 800, 4)
                 if (
                     gatewayparts.take_units(
                         bucket, FESTIN, 10, 0.0, step / 100, part
@@ -158,7 +160,7 @@
                 positions=[1, 1],
                 running={gatewayparts.make_start('r1'): 1},
                 usage={},
-                ranks={gatewayparts.POOL: [waiting.Rank(0, 0, False, 1.0)]},
+                ranks={gatewayparts.POOL: [queueing.Rank(0, 0, False, 1.0)]},
                 hints={},
             ),
             now,
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -7,8 +7,8 @@
 import testtools
 
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway.hosts import candidates
 from apricotlandingd.gateway.hosts import coordinator
 from apricotlandingd.gateway.hosts import messages
@@ -228,14 +228,14 @@
         # Guards against callers of a quick service that a new coordinator
         # refuses because it takes each place to be held for a second.
         found = placesplay.Play(placesplay.Load(hosts=1), 1).make_scheduler()
-        found.note_hold(gatewayparts.POOL, 0.05)
-        self.assertAlmostEqual(0.05, found.find_hold(gatewayparts.POOL))
-        found.note_hold(gatewayparts.POOL, 0.15)
-        self.assertAlmostEqual(0.1, found.find_hold(gatewayparts.POOL))
+        found.note_hold_time(gatewayparts.POOL, 0.05)
+        self.assertAlmostEqual(0.05, found.find_hold_time(gatewayparts.POOL))
+        found.note_hold_time(gatewayparts.POOL, 0.15)
+        self.assertAlmostEqual(0.1, found.find_hold_time(gatewayparts.POOL))
         for _ in range(200):
-            found.note_hold(gatewayparts.POOL, 0.05)
-        found.note_hold(gatewayparts.POOL, 1.05)
-        self.assertAlmostEqual(0.1, found.find_hold(gatewayparts.POOL), 2)
+            found.note_hold_time(gatewayparts.POOL, 0.05)
+        found.note_hold_time(gatewayparts.POOL, 1.05)
+        self.assertAlmostEqual(0.1, found.find_hold_time(gatewayparts.POOL), 2)
 
 
 class TestLostCoordinators(testtools.TestCase):
@@ -284,7 +284,8 @@
         play = placesplay.Play(load, 5)
         host = play.hosts[ids.Host('host-7')]
         tickets = [
-            gatewayparts.make_ticket(f'b{number}', 0.0) for number in range(9)
+            gatewayparts.make_queued_request(f'b{number}', 0.0)
+            for number in range(9)
         ]
         for ticket in tickets:
             host.dispatcher.enter(ticket, 0.0)
@@ -292,17 +293,17 @@
         held = [
             ticket.decision.runner
             for ticket in tickets
-            if isinstance(ticket.decision, waiting.Grant)
+            if isinstance(ticket.decision, queueing.Grant)
         ]
         self.assertEqual(9, len(held))
         for runner in held:
-            self.assertGreater(host.local.places.running[runner], 0)
+            self.assertGreater(host.local.held_slots.running[runner], 0)
         for ticket in tickets:
-            assert isinstance(ticket.decision, waiting.Grant)
+            assert isinstance(ticket.decision, queueing.Grant)
             host.dispatcher.release(
                 gatewayparts.POOL, ticket.decision, play.now
             )
-        self.assertEqual(0, sum(host.local.places.running.values()))
+        self.assertEqual(0, sum(host.local.held_slots.running.values()))
 
     def test_halves_that_are_cut_apart_both_go_on(self) -> None:
         play = self.make_play(4)
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -10,9 +10,9 @@
 from apricotlanding import addresses
 from apricotlanding import ids
 from apricotlanding import webclient
-from apricotlandingd.gateway.decisions import places
+from apricotlandingd.gateway.decisions import heldslots
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import mesh
 from apricotlandingd.gateway.hosts import messages
@@ -160,8 +160,8 @@
             self.runners, self.paces, self.health, self.others, self.spread
         )
 
-    def enter(self, now: float, last_part: str = '') -> waiting.Ticket:
-        ticket = gatewayparts.make_ticket(
+    def enter(self, now: float, last_part: str = '') -> queueing.QueuedRequest:
+        ticket = gatewayparts.make_queued_request(
             f'a-{now}',
             now,
             ends_at=now + 3.0,
@@ -174,7 +174,7 @@
     def fill(self) -> None:
         for _ in range(2):
             grant = self.enter(0.0).decision
-            assert isinstance(grant, waiting.Grant)
+            assert isinstance(grant, queueing.Grant)
             self.assertEqual(EARLIER, grant.runner)
 
     def hear(self, number: int, start: ids.RunnerStart) -> None:
@@ -194,9 +194,9 @@
         )
         self.others.take(state, 0.0)
 
-    def assert_granted(self, ticket: waiting.Ticket) -> None:
+    def assert_granted(self, ticket: queueing.QueuedRequest) -> None:
         grant = ticket.decision
-        assert isinstance(grant, waiting.Grant)
+        assert isinstance(grant, queueing.Grant)
         self.assertEqual(LATER, grant.runner)
 
     def test_own_places_are_free_again(self) -> None:
@@ -283,18 +283,18 @@
         reborn = gatewayparts.make_start('b', 2)
         for start, seconds in ((quick, 0.05), (slow, 0.9), (reborn, 0.9)):
             paces.note_first(gatewayparts.POOL, start, 0, seconds)
-        found.note_part('p', slow, 0.0)
+        found.note_cached_prefix('p', slow, 0.0)
         self.assertEqual(slow, self.choose(found))
         runners.update(gatewayparts.make_entry('b', birth=2))
         self.assertEqual(quick, self.choose(found))
 
     def choose(self, found: scheduler.Scheduler) -> ids.RunnerStart:
-        ticket = gatewayparts.make_ticket(
+        ticket = gatewayparts.make_queued_request(
             'a', 0.0, ends_at=3.0, prompt_tokens=20000, events=1, last_part='p'
         )
         found.enter(ticket, 0.0)
         grant = ticket.decision
-        assert isinstance(grant, waiting.Grant)
+        assert isinstance(grant, queueing.Grant)
         found.release(gatewayparts.POOL, grant.runner, 0.0)
         return grant.runner
 
@@ -304,14 +304,14 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.places = places.Places()
+        self.held_slots = heldslots.HeldSlots()
         for _ in range(3):
-            self.places.take(EARLIER)
+            self.held_slots.take(EARLIER)
 
     def assert_running(self, **expected: int) -> None:
         found = {
             ids.read_birth(start): count
-            for start, count in self.places.running.items()
+            for start, count in self.held_slots.running.items()
         }
         wanted = {EARLY: expected.get('early'), LATE: expected.get('late')}
         self.assertEqual(
@@ -322,32 +322,32 @@
         # Callers queue at a runner that is full. Hosts that heard late of its
         # restart had sent requests to it by the old registration, and then
         # took all its places to be free.
-        self.places.hand_over(EARLIER, LATER, 2)
+        self.held_slots.hand_over(EARLIER, LATER, 2)
         self.assert_running(early=1, late=2)
 
     def test_places_are_given_back_once(self) -> None:
-        self.places.hand_over(EARLIER, LATER, 2)
-        self.places.take(LATER)
+        self.held_slots.hand_over(EARLIER, LATER, 2)
+        self.held_slots.take(LATER)
         for _ in range(3):
-            self.places.release(EARLIER)
+            self.held_slots.release(EARLIER)
         self.assert_running(late=1)
-        self.places.release(EARLIER)
+        self.held_slots.release(EARLIER)
         self.assert_running(late=1)
-        self.places.release(LATER)
+        self.held_slots.release(LATER)
         self.assert_running()
 
     def test_third_start_takes_over(self) -> None:
         latest = gatewayparts.make_start('r1', LATE + 1)
-        self.places.hand_over(EARLIER, LATER, 3)
-        self.places.hand_over(LATER, latest, 3)
+        self.held_slots.hand_over(EARLIER, LATER, 3)
+        self.held_slots.hand_over(LATER, latest, 3)
         for _ in range(3):
-            self.places.release(EARLIER)
-        self.assertEqual({}, dict(self.places.running))
+            self.held_slots.release(EARLIER)
+        self.assertEqual({}, dict(self.held_slots.running))
 
     def test_no_more_than_there_are(self) -> None:
-        self.places.hand_over(EARLIER, LATER, 5)
+        self.held_slots.hand_over(EARLIER, LATER, 5)
         self.assert_running(late=3)
-        self.places.hand_over(EARLIER, LATER, 1)
+        self.held_slots.hand_over(EARLIER, LATER, 1)
         self.assert_running(late=3)
 
 
