--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -303,7 +303,7 @@
         """Send this host's state soon."""
         self._changed.set()
 
-    def take(self, state: messages.HostState, now: float) -> None:
+    def handle_state(self, state: messages.HostState, now: float) -> None:
         """Take a peer's message."""
         if state.host == self._host:
             return
@@ -524,7 +524,7 @@
             if not isinstance(state, messages.HostState):
                 self.on_unreadable(sender[0], 'no state of a host', now)
                 continue
-            self.take(state, now)
+            self.handle_state(state, now)
 
     async def _tell_near(self) -> None:
         while True:
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -150,7 +150,7 @@
         if isinstance(message, messages.HostChange):
             self.others.take_change(message, now)
         elif isinstance(message, messages.HostState):
-            self.others.take(message, now)
+            self.others.handle_state(message, now)
 
 
 class Play:
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -146,7 +146,7 @@
             state = self.decode(data)
             if not isinstance(state, messages.HostState):
                 continue
-            host.take(state, now)
+            host.handle_state(state, now)
             self.check_state(state)
         host.drop_silent(now)
         self.assertGreaterEqual(host.count_running(ids.RunnerStart('r1')), 0)
@@ -159,7 +159,7 @@
         good = test_foreign_messages.make_state(
             host='host-9', incarnation='host-9.1'
         )
-        host.take(good, now)
+        host.handle_state(good, now)
         self.assertIn('host-9', host.peers)
 
     def check_state(self, state: messages.HostState) -> None:
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -609,37 +609,37 @@
 
     def test_latest_state_counts(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(1, {'r1': 3}), 0.0)
-        found.take(self.make_state(2, {'r1': 1, 'r2': 2}), 0.1)
+        found.handle_state(self.make_state(1, {'r1': 3}), 0.0)
+        found.handle_state(self.make_state(2, {'r1': 1, 'r2': 2}), 0.1)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
         self.assertEqual(2, found.count_running(gatewayparts.make_start('r2')))
 
     def test_state_that_arrives_late_is_left_out(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(2, {'r1': 1}), 0.0)
-        found.take(self.make_state(1, {'r1': 3}), 0.1)
+        found.handle_state(self.make_state(2, {'r1': 1}), 0.0)
+        found.handle_state(self.make_state(1, {'r1': 3}), 0.1)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
 
     def test_silent_peer_is_left_out_until_it_is_heard(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(1, {'r1': 3}), 0.0)
+        found.handle_state(self.make_state(1, {'r1': 3}), 0.0)
         found.drop_silent(1.0)
         self.assertEqual(0, found.count_running(gatewayparts.make_start('r1')))
         self.assertEqual(0.5, found.find_silent_share())
-        found.take(self.make_state(2, {'r1': 2}), 1.1)
+        found.handle_state(self.make_state(2, {'r1': 2}), 1.1)
         self.assertEqual(2, found.count_running(gatewayparts.make_start('r1')))
         self.assertEqual(0.0, found.find_silent_share())
 
     def test_restarted_peer_replaces_its_predecessor(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(9, {'r1': 3}), 0.0)
-        found.take(self.make_state(1, {'r1': 1}, 'b/2'), 0.1)
-        found.take(self.make_state(10, {'r1': 3}), 0.2)
+        found.handle_state(self.make_state(9, {'r1': 3}), 0.0)
+        found.handle_state(self.make_state(1, {'r1': 1}, 'b/2'), 0.1)
+        found.handle_state(self.make_state(10, {'r1': 3}), 0.2)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
 
     def test_change_counts_from_the_state_before(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(1, {'r1': 3}), 0.0)
+        found.handle_state(self.make_state(1, {'r1': 3}), 0.0)
         change = make_change('b/1', 2, {'r1': 1, 'r2': 2}, {'festin': 7.0})
         found.take_change(change, 0.1)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
@@ -653,7 +653,7 @@
         found = self.make_mesh()
         state = self.make_state(1, {})
         usage = {ids.Organisation('festin'): 5.0}
-        found.take(dataclasses.replace(state, usage=usage), 0.0)
+        found.handle_state(dataclasses.replace(state, usage=usage), 0.0)
         found.take_change(make_change('b/1', 2, {}, {'ishami': 1.0}), 0.1)
         peer = found.peers[ids.Host('b')]
         self.assertEqual({'festin': 5.0, 'ishami': 1.0}, peer.state.usage)
@@ -665,14 +665,14 @@
 
     def test_change_of_an_ended_process_is_left_out(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(9, {'r1': 3}), 0.0)
-        found.take(self.make_state(1, {'r1': 1}, 'b/2'), 0.1)
+        found.handle_state(self.make_state(9, {'r1': 3}), 0.0)
+        found.handle_state(self.make_state(1, {'r1': 1}, 'b/2'), 0.1)
         found.take_change(make_change('b/1', 10, {'r1': 5}), 0.2)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
 
     def test_change_that_arrives_late_is_left_out(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(3, {'r1': 3}), 0.0)
+        found.handle_state(self.make_state(3, {'r1': 3}), 0.0)
         found.take_change(make_change('b/1', 2, {'r1': 5}), 0.1)
         self.assertEqual(3, found.count_running(gatewayparts.make_start('r1')))
 
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -146,7 +146,7 @@
 
     def hear(self, host: ids.Host, now: float) -> None:
         self.number += 1
-        self.mesh.take(
+        self.mesh.handle_state(
             messages.HostState(
                 host=host,
                 incarnation=ids.Incarnation(f'{host}/1'),
@@ -214,7 +214,7 @@
         )
         for host in HOSTS[1:41]:
             if host != name:
-                found.take(self.make_state(host, str(own)), now)
+                found.handle_state(self.make_state(host, str(own)), now)
         found.make_state = lambda number, scope, hints: self.make_state(
             HOSTS[0], str(own)
         )
@@ -228,7 +228,7 @@
                     group.start_soon(found.run)
                     await anyio.sleep(0.1)
                     state = self.make_state(name, str(far))
-                    found.take(state, clocks.read_monotonic())
+                    found.handle_state(state, clocks.read_monotonic())
                     with anyio.fail_after(0.5):
                         await receiver.receive()
                     group.cancel_scope.cancel()
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -119,7 +119,7 @@
             state = test_foreign_messages.make_state(
                 host=host, incarnation=f'{host}/1'
             )
-            others.take(state, now)
+            others.handle_state(state, now)
         self.assertGreater(others.partition.count, 1)
         shared.give_back(organisation, COST, now)
         used = shared.buckets.usage[organisation.name]
@@ -191,7 +191,7 @@
             hints={},
             **fields,
         )
-        others.take(state, now)
+        others.handle_state(state, now)
 
     def test_what_a_group_uses_is_not_forgotten(self) -> None:
         # An organisation runs more than it may. A host of another group was
@@ -218,7 +218,7 @@
             state = test_foreign_messages.make_state(
                 host=host, incarnation=f'{host}/1', hints={}, usage={}
             )
-            others.take(state, now)
+            others.handle_state(state, now)
         organisation = PRESSING.organisation
         terms = shared.find_terms(organisation, now)
         self.assertIsNone(shared.take(organisation, COST, terms, now))
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -192,7 +192,7 @@
             ranks={},
             hints={},
         )
-        self.others.take(state, 0.0)
+        self.others.handle_state(state, 0.0)
 
     def assert_granted(self, ticket: waiting.Ticket) -> None:
         grant = ticket.decision
