--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -146,7 +146,7 @@
         # The last host that could not reach a runner, and when.
         self._missed: dict[ids.RunnerStart, tuple[int, float]] = {}
 
-    def take(
+    def handle_request(
         self, request: placemessages.PlaceRequest, now: float
     ) -> list[Outgoing]:
         """Take a host's request; return the replies to it and to others."""
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -212,9 +212,11 @@
 
     # Replies, and what time brings.
 
-    def take(self, request: placemessages.PlaceRequest, now: float) -> None:
+    def handle_request(
+        self, request: placemessages.PlaceRequest, now: float
+    ) -> None:
         """Take the request of a host that this one coordinates for."""
-        self._deliver(self._own.take(request, now), now)
+        self._deliver(self._own.handle_request(request, now), now)
 
     def take_reply(self, reply: placemessages.PlaceReply, now: float) -> None:
         """Take the decisions of a coordinator."""
@@ -449,7 +451,7 @@
         now: float,
     ) -> None:
         if target == self._host:
-            self.take(request, now)
+            self.handle_request(request, now)
             return
         address = self._hosts.find_address(target)
         if address is not None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -176,7 +176,7 @@
 
     # Requests of other hosts.
 
-    def take(
+    def handle_request(
         self, request: allowancemessages.AllowanceRequest, now: float
     ) -> None:
         """Hand out units to another host, or take some back."""
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -233,10 +233,12 @@
             lambda: self._is_stopping,
             now,
         )
-        self._mesh.on_allowance_request = self._shared_allowances.take
+        self._mesh.on_allowance_request = (
+            self._shared_allowances.handle_request
+        )
         self._mesh.on_keeper_news = self._shared_allowances.hear_news
         self._mesh.on_allowance_reply = self._shared_allowances.take_reply
-        self._mesh.on_place_request = self._dispatcher.take
+        self._mesh.on_place_request = self._dispatcher.handle_request
         self._mesh.on_place_reply = self._dispatcher.take_reply
         states = hoststates.HostStates(
             config,
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -142,7 +142,7 @@
 
     def take(self, message: object, now: float) -> None:
         if isinstance(message, allowancemessages.AllowanceRequest):
-            self.keeper.take(message, now)
+            self.keeper.handle_request(message, now)
         elif isinstance(message, allowancemessages.AllowanceReply):
             self.keeper.take_reply(message, now)
         elif isinstance(message, allowancemessages.KeeperNews):
--- a/tests/placesplay.py
+++ b/tests/placesplay.py
@@ -286,7 +286,7 @@
                 return
             found = messages.registry.decode(data)
             if isinstance(found, placemessages.PlaceRequest):
-                target.dispatcher.take(found, self.now)
+                target.dispatcher.handle_request(found, self.now)
             else:
                 target.dispatcher.take_reply(found, self.now)
 
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -224,7 +224,7 @@
             request = self.decode(data)
             if not isinstance(request, placemessages.PlaceRequest):
                 continue
-            for item in found.take(request, now):
+            for item in found.handle_request(request, now):
                 self.check_reply(item.reply)
         for item in found.pump(now + 5.0):
             self.check_reply(item.reply)
@@ -315,7 +315,7 @@
             now += 0.1
             message = self.decode(data)
             if isinstance(message, allowancemessages.AllowanceRequest):
-                play.keeper.take(message, now)
+                play.keeper.handle_request(message, now)
             elif isinstance(message, allowancemessages.AllowanceReply):
                 play.keeper.take_reply(message, now)
             elif isinstance(message, allowancemessages.KeeperNews):
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -201,7 +201,7 @@
             ],
             wants_reply=False,
         )
-        self.coordinator.take(request, now)
+        self.coordinator.handle_request(request, now)
 
     def test_host_that_is_cut_off_closes_no_runner_for_others(self) -> None:
         # Guards against a host whose link is down taking runners from all.
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -81,7 +81,7 @@
     def pass_messages(self, now: float) -> None:
         for message in self.hosts.take_sent():
             if isinstance(message, allowancemessages.AllowanceRequest):
-                self.keeper.take(message, now)
+                self.keeper.handle_request(message, now)
             elif isinstance(message, allowancemessages.AllowanceReply):
                 self.asker.take_reply(message, now)
 
