--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -101,7 +101,7 @@
         """Say that the other hosts were read from the store's list."""
         self._is_listed = True
 
-    def take(
+    def grant(
         self,
         organisation: catalogue.Organisation,
         cost: float,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -299,7 +299,9 @@
 
     def _decide_alone(self, question: Question, now: float) -> None:
         terms = self._own.find_terms(question.organisation, now)
-        wait = self._own.take(question.organisation, question.cost, terms, now)
+        wait = self._own.grant(
+            question.organisation, question.cost, terms, now
+        )
         self._answer(question, wait)
 
     def _answer(self, question: Question, wait: float | None) -> None:
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -113,7 +113,7 @@
         now = 60.0
         organisation = PRESSING.organisation
         terms = shared.find_terms(organisation, now)
-        self.assertIsNone(shared.take(organisation, COST, terms, now))
+        self.assertIsNone(shared.grant(organisation, COST, terms, now))
         for number in range(1, 30):
             host = ids.Host(f'host-{number}')
             state = test_foreign_messages.make_state(
@@ -167,7 +167,7 @@
             if is_greeted and turn % 6 == 1:
                 self.tell(others, far[1], turn, now, incarnation=str(turn))
             terms = shared.find_terms(organisation, now)
-            if shared.take(organisation, COST, terms, now) is None:
+            if shared.grant(organisation, COST, terms, now) is None:
                 units += COST
         return units
 
@@ -221,7 +221,7 @@
             others.handle_state(state, now)
         organisation = PRESSING.organisation
         terms = shared.find_terms(organisation, now)
-        self.assertIsNone(shared.take(organisation, COST, terms, now))
+        self.assertIsNone(shared.grant(organisation, COST, terms, now))
         board = records.Board()
         bounds = dict.fromkeys(records.TOPICS, 1.0)
         schedule = scheduler.Scheduler(
