--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -190,7 +190,7 @@
             total.update(peer.asked)
         return dict(total)
 
-    def hear(self, state: messages.HostState, now: float) -> None:
+    def apply_state(self, state: messages.HostState, now: float) -> None:
         """Take what another host handed out, or what its group does."""
         if not self._others.partition.is_near(state.host):
             self.buckets.skip(state.incarnation, state.usage)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -217,10 +217,10 @@
     ) -> None:
         """Take what another host that keeps allowances has handed out."""
         if not self._kept.has_heard(news.incarnation):
-            self.hear(news.incarnation, news.before, False, now)
-        self.hear(news.incarnation, news.usage, False, now)
+            self.apply_usage(news.incarnation, news.before, False, now)
+        self.apply_usage(news.incarnation, news.usage, False, now)
 
-    def hear(
+    def apply_usage(
         self,
         process: ids.Incarnation,
         usage: quotas.Usage,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -535,8 +535,8 @@
             self._mesh.tell()
 
     def _take_state(self, state: messages.HostState, now: float) -> None:
-        self._allowances.hear(state, now)
-        self._shared_allowances.hear(
+        self._allowances.apply_state(state, now)
+        self._shared_allowances.apply_usage(
             state.incarnation, state.usage, state.hosts == 0, now
         )
         if self._mesh.partition.is_near(state.host):
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -238,9 +238,9 @@
         )
 
         def take_state(state: messages.HostState, now: float) -> None:
-            shared.hear(state, now)
+            shared.apply_state(state, now)
             is_new = state.hosts == 0
-            keeper.hear(state.incarnation, state.usage, is_new, now)
+            keeper.apply_usage(state.incarnation, state.usage, is_new, now)
 
         others.on_state = take_state
         self.hosts[address] = Host(
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -138,7 +138,7 @@
         """
         others = make_mesh()
         shared = allowances.Allowances(SLACK, others, 0.0)
-        others.on_state = shared.hear
+        others.on_state = shared.apply_state
         shared.note_listed()
         for number in range(1, 24):
             host = ids.Host(f'host-{number}')
