--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -13,12 +13,11 @@
 import eliot
 import xxhash
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 
 __all__ = [
     'MOST_SILENT',
-    'RESEND_TIME',
+    'RESEND_INTERVAL_S',
     'SILENT_TIME',
     'Candidates',
     'Hosts',
@@ -27,7 +26,7 @@
 
 # Seconds without a reply after which a message is sent again, and after which
 # the host is passed over.
-RESEND_TIME = 0.015
+RESEND_INTERVAL_S = 0.015
 SILENT_TIME = 0.09
 # Silent hosts in a row after which a host decides by itself.
 MOST_SILENT = 2
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -17,20 +17,21 @@
 
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
-from apricotlandingd.gateway.runners import starts
+from apricotlanding import addresses, ids
+from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
+from apricotlandingd.gateway.hosts import (
+    candidates,
+    coordinator,
+    messages,
+    placemessages,
+)
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    observations,
+    pace,
+    starts,
+)
 
 __all__ = ['Dispatcher']
 
@@ -301,7 +302,7 @@
                 link.silent += 1
                 self._candidates.note_silent(link.target, now)
                 self._retarget(link, now)
-            elif now - link.sent_at > candidates.RESEND_TIME:
+            elif now - link.sent_at > candidates.RESEND_INTERVAL_S:
                 self._send(link, now)
             return
         pause = WAITING_INTERVAL if link.wanted else HOLDING_INTERVAL
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -19,14 +19,15 @@
 
 import anyio
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    allowances,
+    candidates,
+    messages,
+)
 
 __all__ = ['Question', 'SharedAllowances']
 
@@ -168,7 +169,7 @@
                 question.silent += 1
                 question.asked_at = None
                 self._send(question, now)
-            elif now - question.sent_at > candidates.RESEND_TIME:
+            elif now - question.sent_at > candidates.RESEND_INTERVAL_S:
                 self._send(question, now)
         if self._hosts.is_divided() and now - self._told_at > NEWS_INTERVAL:
             self._told_at = now
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -4,15 +4,16 @@
 
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import sharedallowances
 import gatewayparts
+from apricotlanding import addresses, ids
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    allowances,
+    candidates,
+    mesh,
+    messages,
+    sharedallowances,
+)
 
 FESTIN = gatewayparts.make_organisation(1000.0)
 SLACK = 0.0
@@ -116,7 +117,7 @@
         question = self.pair.asker.ask(FESTIN, 600.0, NOW)
         self.pair.pass_messages(NOW)
         self.pair.hosts.take_sent()
-        self.pair.asker.tick(NOW + candidates.RESEND_TIME + 0.01)
+        self.pair.asker.tick(NOW + candidates.RESEND_INTERVAL_S + 0.01)
         self.pair.pass_messages(NOW)
         self.pair.pass_messages(NOW)
         self.assertTrue(question.answered.is_set())
