--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -18,7 +18,7 @@
 __all__ = [
     'MOST_SILENT',
     'RESEND_INTERVAL_S',
-    'SILENT_TIME',
+    'REPLY_TIMEOUT_S',
     'Candidates',
     'Hosts',
     'rank_hosts',
@@ -27,7 +27,7 @@
 # Seconds without a reply after which a message is sent again, and after which
 # the host is passed over.
 RESEND_INTERVAL_S = 0.015
-SILENT_TIME = 0.09
+REPLY_TIMEOUT_S = 0.09
 # Silent hosts in a row after which a host decides by itself.
 MOST_SILENT = 2
 # Seconds for which a silent host is passed over, doubled each time up to the
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -298,7 +298,7 @@
             self._retarget(link, now)
             return
         if link.unanswered_at is not None:
-            if now - link.unanswered_at > candidates.SILENT_TIME:
+            if now - link.unanswered_at > candidates.REPLY_TIMEOUT_S:
                 link.silent += 1
                 self._candidates.note_silent(link.target, now)
                 self._retarget(link, now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -164,7 +164,7 @@
         """Repeat what has no answer, or ask another host."""
         for question in list(self._questions.values()):
             asked_at = question.asked_at or now
-            if now - asked_at > candidates.SILENT_TIME:
+            if now - asked_at > candidates.REPLY_TIMEOUT_S:
                 self._candidates.note_silent(question.target, now)
                 question.silent += 1
                 question.asked_at = None
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -6,19 +6,22 @@
 
 import testtools
 
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import gatewayparts
 import placesplay
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import subsets, waiting
+from apricotlandingd.gateway.hosts import (
+    candidates,
+    coordinator,
+    messages,
+    placemessages,
+)
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    observations,
+    pace,
+)
 
 HOSTS, RUNNERS = 60, 24
 
@@ -257,7 +260,7 @@
             self.assertLessEqual(outcome.find_refused(), 0.002)
             # Resent, passed over, asked elsewhere.
             self.assertLessEqual(
-                outcome.longest_s, 4 * candidates.SILENT_TIME + 0.1
+                outcome.longest_s, 4 * candidates.REPLY_TIMEOUT_S + 0.1
             )
             self.assertLessEqual(outcome.find_wait(), 0.03)
 
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -154,7 +154,7 @@
         # Guards against callers that wait for a host that is gone.
         question = self.pair.asker.ask(FESTIN, 100.0, NOW)
         self.pair.hosts.take_sent()
-        self.pair.asker.tick(NOW + candidates.SILENT_TIME + 0.01)
+        self.pair.asker.tick(NOW + candidates.REPLY_TIMEOUT_S + 0.01)
         # The next in the order is the asking host itself.
         self.assertTrue(question.answered.is_set())
         self.assertIsNone(question.wait_s)
@@ -170,7 +170,7 @@
         self.pair.tell_news(now)
         question = self.pair.asker.ask(FESTIN, 1000.0, now)
         self.pair.hosts.take_sent()
-        self.pair.asker.tick(now + candidates.SILENT_TIME + 0.01)
+        self.pair.asker.tick(now + candidates.REPLY_TIMEOUT_S + 0.01)
         self.assertTrue(question.answered.is_set())
         self.assertIsNotNone(question.wait_s)
 
