--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -16,7 +16,7 @@
 from apricotlanding import addresses, ids
 
 __all__ = [
-    'MOST_SILENT',
+    'MAX_SILENT_HOSTS',
     'RESEND_INTERVAL_S',
     'REPLY_TIMEOUT_S',
     'Candidates',
@@ -29,7 +29,7 @@
 RESEND_INTERVAL_S = 0.015
 REPLY_TIMEOUT_S = 0.09
 # Silent hosts in a row after which a host decides by itself.
-MOST_SILENT = 2
+MAX_SILENT_HOSTS = 2
 # Seconds for which a silent host is passed over, doubled each time up to the
 # longest; and one that is about to stop.
 AVOID_TIME = 1.0
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -277,7 +277,7 @@
             return
         if all(
             subset not in self._links
-            or self._links[subset].silent >= candidates.MOST_SILENT
+            or self._links[subset].silent >= candidates.MAX_SILENT_HOSTS
             for subset in item.asked
         ):
             item.is_local = True
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -284,7 +284,7 @@
     # Asking.
 
     def _send(self, question: Question, now: float) -> None:
-        if question.silent >= candidates.MOST_SILENT:
+        if question.silent >= candidates.MAX_SILENT_HOSTS:
             self._decide_alone(question, now)
             return
         if question.asked_at is None:
