--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -33,7 +33,7 @@
 # Seconds for which a silent host is passed over, doubled each time up to the
 # longest; and one that is about to stop.
 INITIAL_BACKOFF_S = 1.0
-LONGEST_AVOID = 8.0
+MAX_BACKOFF_S = 8.0
 STOPPING_TIME = 10.0
 # Hosts that may be asked for one name.
 MOST_RANKED = 8
@@ -97,7 +97,7 @@
             return
         known = self._avoided.get(host)
         count = 1 if known is None else known.count + 1
-        seconds = min(LONGEST_AVOID, INITIAL_BACKOFF_S * 2 ** (count - 1))
+        seconds = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (count - 1))
         eliot.log_message(
             'gateway:coordinator_silent', peer=host, avoided_s=seconds
         )
