--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -34,7 +34,7 @@
 # longest; and one that is about to stop.
 INITIAL_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 8.0
-STOPPING_TIME = 10.0
+STOPPING_BACKOFF_S = 10.0
 # Hosts that may be asked for one name.
 MOST_RANKED = 8
 
@@ -106,7 +106,7 @@
     def note_stopping(self, host: ids.Host, now: float) -> None:
         """Pass over a host that says that it is about to stop."""
         if host != self._host:
-            self._avoided[host] = _Avoided(now + STOPPING_TIME, 1)
+            self._avoided[host] = _Avoided(now + STOPPING_BACKOFF_S, 1)
 
     def note_heard(self, host: ids.Host) -> None:
         """Ask a host again that has answered."""
