--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -36,7 +36,7 @@
 MAX_BACKOFF_S = 8.0
 STOPPING_BACKOFF_S = 10.0
 # Hosts that may be asked for one name.
-MOST_RANKED = 8
+MAX_RANKED_HOSTS = 8
 
 
 class Hosts(ty.Protocol):
@@ -119,7 +119,7 @@
         found = self._ranked.get(name)
         if found is None:
             hosts = self._hosts.list_coordinators()
-            found = rank_hosts(name, hosts)[:MOST_RANKED]
+            found = rank_hosts(name, hosts)[:MAX_RANKED_HOSTS]
             self._ranked[name] = found
         return found
 
