--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -61,7 +61,7 @@
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class _Avoided:
+class _Backoff:
     until: float
     count: int
 
@@ -74,7 +74,7 @@
         """Start without having asked any."""
         self._host = host
         self._hosts = hosts
-        self._avoided: dict[ids.Host, _Avoided] = {}
+        self._avoided: dict[ids.Host, _Backoff] = {}
         # Hosts in order by name, as of the changes of the hosts.
         self._ranked: dict[str, list[ids.Host]] = {}
         self._ranked_at = -1
@@ -101,12 +101,12 @@
         eliot.log_message(
             'gateway:coordinator_silent', peer=host, avoided_s=seconds
         )
-        self._avoided[host] = _Avoided(now + seconds, count)
+        self._avoided[host] = _Backoff(now + seconds, count)
 
     def note_stopping(self, host: ids.Host, now: float) -> None:
         """Pass over a host that says that it is about to stop."""
         if host != self._host:
-            self._avoided[host] = _Avoided(now + STOPPING_BACKOFF_S, 1)
+            self._avoided[host] = _Backoff(now + STOPPING_BACKOFF_S, 1)
 
     def note_heard(self, host: ids.Host) -> None:
         """Ask a host again that has answered."""
