--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -74,7 +74,7 @@
         """Start without having asked any."""
         self._host = host
         self._hosts = hosts
-        self._avoided: dict[ids.Host, _Backoff] = {}
+        self._backoffs: dict[ids.Host, _Backoff] = {}
         # Hosts in order by name, as of the changes of the hosts.
         self._ranked: dict[str, list[ids.Host]] = {}
         self._ranked_at = -1
@@ -82,7 +82,7 @@
     def choose(self, name: str, now: float) -> ids.Host:
         """Return the host to ask; this one if all are passed over."""
         for host in self._rank(name):
-            avoided = self._avoided.get(host)
+            avoided = self._backoffs.get(host)
             if avoided is None or now >= avoided.until:
                 return host
         return self._host
@@ -95,22 +95,22 @@
         """Pass over a host that did not answer."""
         if host == self._host:
             return
-        known = self._avoided.get(host)
+        known = self._backoffs.get(host)
         count = 1 if known is None else known.count + 1
         seconds = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (count - 1))
         eliot.log_message(
             'gateway:coordinator_silent', peer=host, avoided_s=seconds
         )
-        self._avoided[host] = _Backoff(now + seconds, count)
+        self._backoffs[host] = _Backoff(now + seconds, count)
 
     def note_stopping(self, host: ids.Host, now: float) -> None:
         """Pass over a host that says that it is about to stop."""
         if host != self._host:
-            self._avoided[host] = _Backoff(now + STOPPING_BACKOFF_S, 1)
+            self._backoffs[host] = _Backoff(now + STOPPING_BACKOFF_S, 1)
 
     def note_heard(self, host: ids.Host) -> None:
         """Ask a host again that has answered."""
-        self._avoided.pop(host, None)
+        self._backoffs.pop(host, None)
 
     def _rank(self, name: str) -> list[ids.Host]:
         if self._ranked_at != self._hosts.changes:
