--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -82,8 +82,8 @@
     def choose(self, name: str, now: float) -> ids.Host:
         """Return the host to ask; this one if all are passed over."""
         for host in self._rank(name):
-            avoided = self._backoffs.get(host)
-            if avoided is None or now >= avoided.until:
+            backoff = self._backoffs.get(host)
+            if backoff is None or now >= backoff.until:
                 return host
         return self._host
 
