--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -91,7 +91,7 @@
         """Return the first hosts in the order, whether they answer or not."""
         return self._rank(name)[:count]
 
-    def note_silent(self, host: ids.Host, now: float) -> None:
+    def mark_silent(self, host: ids.Host, now: float) -> None:
         """Pass over a host that did not answer."""
         if host == self._host:
             return
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -300,7 +300,7 @@
         if link.unanswered_at is not None:
             if now - link.unanswered_at > candidates.REPLY_TIMEOUT_S:
                 link.silent += 1
-                self._candidates.note_silent(link.target, now)
+                self._candidates.mark_silent(link.target, now)
                 self._retarget(link, now)
             elif now - link.sent_at > candidates.RESEND_INTERVAL_S:
                 self._send(link, now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -165,7 +165,7 @@
         for question in list(self._questions.values()):
             asked_at = question.asked_at or now
             if now - asked_at > candidates.REPLY_TIMEOUT_S:
-                self._candidates.note_silent(question.target, now)
+                self._candidates.mark_silent(question.target, now)
                 question.silent += 1
                 question.asked_at = None
                 self._send(question, now)
