--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -103,7 +103,7 @@
         )
         self._backoffs[host] = _Backoff(now + seconds, count)
 
-    def note_stopping(self, host: ids.Host, now: float) -> None:
+    def mark_stopping(self, host: ids.Host, now: float) -> None:
         """Pass over a host that says that it is about to stop."""
         if host != self._host:
             self._backoffs[host] = _Backoff(now + STOPPING_BACKOFF_S, 1)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -241,7 +241,7 @@
             if number in link.wanted:
                 self._take_refusal(number, refused, subset, now)
         if reply.is_stopping and reply.host != self._host:
-            self._candidates.note_stopping(reply.host, now)
+            self._candidates.mark_stopping(reply.host, now)
             self._retarget(link, now)
 
     def tick(self, now: float) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -154,7 +154,7 @@
             return
         self._candidates.note_heard(reply.host)
         if reply.is_stopping:
-            self._candidates.note_stopping(reply.host, now)
+            self._candidates.mark_stopping(reply.host, now)
         question = self._questions.pop(reply.number, None)
         if question is not None:
             question.wait_s = reply.wait_s or None
