--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -108,7 +108,7 @@
         if host != self._host:
             self._backoffs[host] = _Backoff(now + STOPPING_BACKOFF_S, 1)
 
-    def note_heard(self, host: ids.Host) -> None:
+    def mark_reachable(self, host: ids.Host) -> None:
         """Ask a host again that has answered."""
         self._backoffs.pop(host, None)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -233,7 +233,7 @@
             link.unanswered_at = None
         elif link.unanswered_at is not None:
             link.unanswered_at = link.sent_at
-        self._candidates.note_heard(reply.host)
+        self._candidates.mark_reachable(reply.host)
         for number, digest in reply.granted.items():
             if number in link.wanted:
                 self._take_grant(number, digest, subset, now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -152,7 +152,7 @@
         """Take the answer of a host that keeps an allowance."""
         if reply.process != self.process:
             return
-        self._candidates.note_heard(reply.host)
+        self._candidates.mark_reachable(reply.host)
         if reply.is_stopping:
             self._candidates.mark_stopping(reply.host, now)
         question = self._questions.pop(reply.number, None)
