--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -42,7 +42,7 @@
 class Hosts(ty.Protocol):
     """What is asked about the other hosts, and how they are reached."""
 
-    def is_divided(self) -> bool:
+    def has_multiple_groups(self) -> bool:
         """Tell whether there are too many hosts to share all they know."""
 
     @property
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -132,7 +132,7 @@
     def enter(self, ticket: waiting.Ticket, now: float) -> None:
         """Let a request wait; it may be decided at once."""
         found = self._list_subsets(ticket.service)
-        if not self._hosts.is_divided() or not found:
+        if not self._hosts.has_multiple_groups() or not found:
             self._local.enter(ticket, now)
             return
         self._count += 1
@@ -165,7 +165,7 @@
         self, service: ids.Pool, tried: set[ids.RunnerStart], now: float
     ) -> bool:
         """Tell whether a runner that was not tried may have a free place."""
-        if not self._hosts.is_divided():
+        if not self._hosts.has_multiple_groups():
             return self._local.has_place(service, tried, now)
         if all(
             entry.start in tried for entry in self._runners.list_open(service)
@@ -195,7 +195,7 @@
             self._local.note_hold(service, seen.seconds)
         if seen.kind is observations.Kind.FIRST:
             self._local.note_part(seen.part, start, now)
-        if not self._hosts.is_divided():
+        if not self._hosts.has_multiple_groups():
             return
         subset = self._find_subset(start)
         if subset is None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -28,15 +28,14 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
+from apricotlanding import addresses, clocks, errors, ids
 from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import groups
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    groups,
+    messages,
+    placemessages,
+)
 
 __all__ = ['Mesh', 'Peer', 'Scope']
 
@@ -258,7 +257,7 @@
         ranks.sort()
         return ranks
 
-    def is_divided(self) -> bool:
+    def has_multiple_groups(self) -> bool:
         """Tell whether there are too many hosts to share all places."""
         return self.partition.count > 1
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -122,7 +122,10 @@
     ) -> Question:
         """Ask for units; the answer may be there at once."""
         question = Question(organisation, cost)
-        if organisation.units_per_s <= 0 or not self._hosts.is_divided():
+        if (
+            organisation.units_per_s <= 0
+            or not self._hosts.has_multiple_groups()
+        ):
             self._decide_alone(question, now)
             return question
         self._count += 1
@@ -171,7 +174,10 @@
                 self._send(question, now)
             elif now - question.sent_at > candidates.RESEND_INTERVAL_S:
                 self._send(question, now)
-        if self._hosts.is_divided() and now - self._told_at > NEWS_INTERVAL:
+        if (
+            self._hosts.has_multiple_groups()
+            and now - self._told_at > NEWS_INTERVAL
+        ):
             self._told_at = now
             self._tell_keepers()
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -31,41 +31,48 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import asgi
-from apricotlanding import clocks
-from apricotlanding import ids
-from apricotlanding import retrybudget
-from apricotlanding import shutdown
-from apricotlanding import supervisor
-from apricotlandingd.gateway import catalogue
+from apricotlanding import (
+    addresses,
+    asgi,
+    clocks,
+    ids,
+    retrybudget,
+    shutdown,
+    supervisor,
+)
+from apricotlandingd.gateway import catalogue, dialect
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import dispatch
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import sharedallowances
-from apricotlandingd.gateway.process import foreigninput
-from apricotlandingd.gateway.process import hoststates
-from apricotlandingd.gateway.process import measures
-from apricotlandingd.gateway.process import settings
-from apricotlandingd.gateway.process import stalls
-from apricotlandingd.gateway.replication import catchup
-from apricotlandingd.gateway.replication import freshness
-from apricotlandingd.gateway.replication import recordexchange
-from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.replication import storereader
-from apricotlandingd.gateway.replication import waits
-from apricotlandingd.gateway.requests import habits
-from apricotlandingd.gateway.requests import listener
-from apricotlandingd.gateway.requests import parts
-from apricotlandingd.gateway.requests import runnerclients
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.hosts import (
+    allowances,
+    candidates,
+    coordinator,
+    dispatch,
+    mesh,
+    messages,
+    sharedallowances,
+)
+from apricotlandingd.gateway.process import (
+    foreigninput,
+    hoststates,
+    measures,
+    settings,
+    stalls,
+)
+from apricotlandingd.gateway.replication import (
+    catchup,
+    freshness,
+    recordexchange,
+    records,
+    storereader,
+    waits,
+)
+from apricotlandingd.gateway.requests import (
+    habits,
+    listener,
+    parts,
+    runnerclients,
+)
+from apricotlandingd.gateway.runners import directory, health, pace
 
 __all__ = ['Gateway']
 
@@ -372,7 +379,7 @@
         else:
             self._take_runner(record, now)
         self._scheduler.pump(now)
-        if self._mesh.is_divided():
+        if self._mesh.has_multiple_groups():
             # Few hosts follow the store; the others hear from each other.
             self._mesh.tell()
 
@@ -531,7 +538,7 @@
     def _tell_change(self) -> None:
         # In a large system coordinators are told, and other hosts go by the
         # next heartbeat.
-        if not self._mesh.is_divided():
+        if not self._mesh.has_multiple_groups():
             self._mesh.tell()
 
     def _take_state(self, state: messages.HostState, now: float) -> None:
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -11,16 +11,17 @@
 import itertools
 import random
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import sharedallowances
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    allowances,
+    candidates,
+    mesh,
+    messages,
+    sharedallowances,
+)
 
 __all__ = ['Load', 'Play']
 
@@ -66,8 +67,8 @@
     def changes(self) -> int:
         return self.others.changes
 
-    def is_divided(self) -> bool:
-        return self.others.is_divided()
+    def has_multiple_groups(self) -> bool:
+        return self.others.has_multiple_groups()
 
     def list_coordinators(self) -> list[ids.Host]:
         return self.others.list_coordinators()
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -29,7 +29,7 @@
         self.names = names
         self.sent: list[object] = []
 
-    def is_divided(self) -> bool:
+    def has_multiple_groups(self) -> bool:
         return True
 
     def list_coordinators(self) -> list[ids.Host]:
