--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -14,11 +14,8 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway.decisions import averages
-from apricotlandingd.gateway.decisions import groupuses
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.decisions import averages, groupuses, quotas
+from apricotlandingd.gateway.hosts import mesh, messages
 
 __all__ = ['Allowances']
 
@@ -149,7 +146,7 @@
         self, wait: float | None, short: float | None
     ) -> float | None:
         # Either the whole allowance or the group's part is enough.
-        if not self._is_divided():
+        if not self._has_multiple_groups():
             return wait
         if short is None or not self._has_heard_all():
             return short
@@ -218,13 +215,13 @@
         self.buckets.forget(process)
         self._parts.forget(process)
 
-    def _is_divided(self) -> bool:
+    def _has_multiple_groups(self) -> bool:
         return self._others.partition.count > 1
 
     def _keeps_parts(self, now: float) -> bool:
         # Also before the groups of hosts that start together have formed:
         # what was handed out until then would else be free once more.
-        return self._is_divided() or now < self._find_settled_time()
+        return self._has_multiple_groups() or now < self._find_settled_time()
 
     def _find_settled_time(self) -> float:
         return self._started_at + UNSETTLED_TIME + self._others.find_turn()
@@ -240,7 +237,7 @@
         now: float,
     ) -> quotas.Terms:
         # From the part for this host's group to the whole allowance.
-        if not self._is_divided():
+        if not self._has_multiple_groups():
             return part
         name, count = organisation.name, self._others.partition.count
         asked = self._group_uses.sum_asked(name, count)
