--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -12,25 +12,23 @@
 import random
 import typing as ty
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
-from apricotlandingd.gateway.runners import starts
+from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
+from apricotlandingd.gateway.hosts import messages, placemessages
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    observations,
+    pace,
+    starts,
+)
 
 __all__ = ['Coordinator', 'Outgoing']
 
 # Seconds without a message after which a host's places are given to others:
 # it sends several times as often while it holds or wants any.
-CLIENT_TIMEOUT = 1.2
+CLIENT_TIMEOUT_S = 1.2
 # Seconds within which a second host that cannot reach a runner shows that the
 # runner is the reason, and not the first host's link.
 CONFIRM_TIME = 2.0
@@ -288,7 +286,7 @@
         self, schedule: _Schedule, subset: subsets.Subset, now: float
     ) -> None:
         for process, client in list(schedule.clients.items()):
-            if now - client.heard_at <= CLIENT_TIMEOUT:
+            if now - client.heard_at <= CLIENT_TIMEOUT_S:
                 continue
             del schedule.clients[process]
             for number, ticket in client.tickets.items():
