--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -31,7 +31,7 @@
 CLIENT_TIMEOUT_S = 1.2
 # Seconds within which a second host that cannot reach a runner shows that the
 # runner is the reason, and not the first host's link.
-CONFIRM_TIME = 2.0
+CONFIRMATION_WINDOW_S = 2.0
 
 
 class Outgoing(ty.NamedTuple):
@@ -400,4 +400,4 @@
         self._missed[start] = (process, now)
         if known is None or known[0] == process:
             return False
-        return now - known[1] < CONFIRM_TIME
+        return now - known[1] < CONFIRMATION_WINDOW_S
