--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -24,7 +24,7 @@
     starts,
 )
 
-__all__ = ['Coordinator', 'Outgoing']
+__all__ = ['Coordinator', 'AddressedReply']
 
 # Seconds without a message after which a host's places are given to others:
 # it sends several times as often while it holds or wants any.
@@ -34,7 +34,7 @@
 CONFIRMATION_WINDOW_S = 2.0
 
 
-class Outgoing(ty.NamedTuple):
+class AddressedReply(ty.NamedTuple):
     """A reply, and where it goes."""
 
     address: addresses.Address
@@ -146,7 +146,7 @@
 
     def handle_request(
         self, request: placemessages.PlaceRequest, now: float
-    ) -> list[Outgoing]:
+    ) -> list[AddressedReply]:
         """Take a host's request; return the replies to it and to others."""
         if request.place >= request.total or not self._knows_runners():
             return []
@@ -168,9 +168,9 @@
         asking = request.process if request.wants_reply else None
         return self._answer(subset, schedule, asking, now)
 
-    def pump(self, now: float) -> list[Outgoing]:
+    def pump(self, now: float) -> list[AddressedReply]:
         """Decide by time; return the replies."""
-        found: list[Outgoing] = []
+        found: list[AddressedReply] = []
         for subset, schedule in list(self._schedules.items()):
             self._drop_silent(schedule, subset, now)
             if not schedule.clients:
@@ -308,18 +308,18 @@
         schedule: _Schedule,
         asking: int | None,
         now: float,
-    ) -> list[Outgoing]:
+    ) -> list[AddressedReply]:
         told = schedule.take_decided()
         if asking is not None:
             told.add(asking)
         if not told:
             return []
         free = schedule.decisions.count_free(subset.service, now)
-        found: list[Outgoing] = []
+        found: list[AddressedReply] = []
         for process in sorted(told):
             client = schedule.clients[process]
             reply = self._make_reply(subset, process, client, free)
-            found.append(Outgoing(client.address, reply))
+            found.append(AddressedReply(client.address, reply))
         return found
 
     def _make_reply(
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -258,7 +258,7 @@
         self._own.keep_only(runners)
 
     def _deliver(
-        self, replies: list[coordinator.Outgoing], now: float
+        self, replies: list[coordinator.AddressedReply], now: float
     ) -> None:
         for item in replies:
             if item.reply.process == self.process:
