--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -98,7 +98,7 @@
         default_factory=dict
     )
 
-    def take_decided(self) -> set[int]:
+    def pop_decided(self) -> set[int]:
         """Return the processes for which there are new decisions."""
         decided = [
             key
@@ -309,7 +309,7 @@
         asking: int | None,
         now: float,
     ) -> list[AddressedReply]:
-        told = schedule.take_decided()
+        told = schedule.pop_decided()
         if asking is not None:
             told.add(asking)
         if not told:
