--- a/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
@@ -20,11 +20,7 @@
 import anyio
 import eliot
 
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import platformlog
-from apricotlanding import records
+from apricotlanding import clocks, errors, ids, platformlog, records
 
 __all__ = ['LogFollower', 'Observer']
 
@@ -169,9 +165,9 @@
         for observer in self._observers:
             observer.observe(offset, envelope, now)
         if envelope.sender == self._incarnation:
-            self._settle(offset, envelope.sequence)
+            self._reconcile_places(offset, envelope.sequence)
 
-    def _settle(self, offset: ids.Offset, sequence: int) -> None:
+    def _reconcile_places(self, offset: ids.Offset, sequence: int) -> None:
         open_still: list[_Pending] = []
         for pending in self._pending:
             if pending.sequence > sequence:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -163,7 +163,7 @@
         client.heard_at = now
         for item in request.seen:
             self._learn(schedule, request, item, now)
-        self._settle(schedule, subset, client, request, now)
+        self._reconcile_places(schedule, subset, client, request, now)
         self._enter(schedule, client, request, now)
         asking = request.process if request.wants_reply else None
         return self._answer(subset, schedule, asking, now)
@@ -208,7 +208,7 @@
 
     # What hosts hold and want.
 
-    def _settle(
+    def _reconcile_places(
         self,
         schedule: _Schedule,
         subset: subsets.Subset,
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -22,23 +22,21 @@
 import anyio
 import anyio.abc
 import eliot
-from opentelemetry import context
-from opentelemetry import trace
-
-from apricotlanding import bundle
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import metrics
-from apricotlanding import retrybudget
-from apricotlanding import tracing
-from apricotlanding import wire
+from opentelemetry import context, trace
+
+from apricotlanding import (
+    bundle,
+    clocks,
+    errors,
+    ids,
+    metrics,
+    retrybudget,
+    tracing,
+    wire,
+)
 from apricotlandingd.ownership import claims
 from apricotlandingd.pools import poolclient
-from apricotlandingd.requests import admission
-from apricotlandingd.requests import answers
-from apricotlandingd.requests import attaching
-from apricotlandingd.requests import relay
+from apricotlandingd.requests import admission, answers, attaching, relay
 
 __all__ = ['Run', 'RunState', 'Runs']
 
@@ -472,12 +470,12 @@
         kept.answer.finish(problem)
         outcome = _name_outcome(problem)
         self._metrics.count(f'{outcome}.{run.request.head.tier_name}')
-        self._settle(kept, problem)
+        self._reconcile_places(kept, problem)
         del self._runs[kept.ticket]
         if not self._runs:
             self.idle.set()
 
-    def _settle(
+    def _reconcile_places(
         self, kept: answers.Kept, problem: errors.Problem | None
     ) -> None:
         if kept.shard is None:
