--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -164,7 +164,7 @@
         for item in request.seen:
             self._learn(schedule, request, item, now)
         self._reconcile_places(schedule, subset, client, request, now)
-        self._enter(schedule, client, request, now)
+        self._enqueue(schedule, client, request, now)
         asking = request.process if request.wants_reply else None
         return self._answer(subset, schedule, asking, now)
 
@@ -240,7 +240,7 @@
             client.held[number] = known
             schedule.decisions.places.take(known)
 
-    def _enter(
+    def _enqueue(
         self,
         schedule: _Schedule,
         client: _Client,
