--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -162,7 +162,7 @@
         client.number = request.number
         client.heard_at = now
         for item in request.seen:
-            self._learn(schedule, request, item, now)
+            self._apply_observation(schedule, request, item, now)
         self._reconcile_places(schedule, subset, client, request, now)
         self._enqueue(schedule, client, request, now)
         asking = request.process if request.wants_reply else None
@@ -358,7 +358,7 @@
 
     # What hosts have seen.
 
-    def _learn(
+    def _apply_observation(
         self,
         schedule: _Schedule,
         request: placemessages.PlaceRequest,
