--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -166,7 +166,7 @@
         self._reconcile_places(schedule, subset, client, request, now)
         self._enqueue(schedule, client, request, now)
         asking = request.process if request.wants_reply else None
-        return self._answer(subset, schedule, asking, now)
+        return self._make_replies(subset, schedule, asking, now)
 
     def pump(self, now: float) -> list[AddressedReply]:
         """Decide by time; return the replies."""
@@ -177,7 +177,7 @@
                 del self._schedules[subset]
                 continue
             schedule.decisions.pump(now)
-            found.extend(self._answer(subset, schedule, None, now))
+            found.extend(self._make_replies(subset, schedule, None, now))
         return found
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
@@ -302,7 +302,7 @@
 
     # What hosts are told.
 
-    def _answer(
+    def _make_replies(
         self,
         subset: subsets.Subset,
         schedule: _Schedule,
