--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -142,7 +142,9 @@
         self._find_hold = find_hold
         self._schedules: dict[subsets.Subset, _Schedule] = {}
         # The last host that could not reach a runner, and when.
-        self._missed: dict[ids.RunnerStart, tuple[int, float]] = {}
+        self._unreachable_reports: dict[
+            ids.RunnerStart, tuple[int, float]
+        ] = {}
 
     def handle_request(
         self, request: placemessages.PlaceRequest, now: float
@@ -182,8 +184,8 @@
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
         """Forget runners that are gone."""
-        for start in set(self._missed) - runners:
-            del self._missed[start]
+        for start in set(self._unreachable_reports) - runners:
+            del self._unreachable_reports[start]
 
     def count_subsets(self) -> int:
         """Return the subsets that hosts have left to this one."""
@@ -396,8 +398,8 @@
         self, start: ids.RunnerStart, process: int, now: float
     ) -> bool:
         # One host alone may itself be cut off from the runner.
-        known = self._missed.get(start)
-        self._missed[start] = (process, now)
+        known = self._unreachable_reports.get(start)
+        self._unreachable_reports[start] = (process, now)
         if known is None or known[0] == process:
             return False
         return now - known[1] < CONFIRMATION_WINDOW_S
