--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -153,7 +153,7 @@
         if request.place >= request.total or not self._knows_runners():
             return []
         subset = subsets.Subset(request.service, request.place, request.total)
-        schedule = self._open(subset)
+        schedule = self._get_schedule(subset)
         client = schedule.clients.get(request.process)
         if client is None:
             address = messages.read_address(request.address)
@@ -191,7 +191,7 @@
         """Return the subsets that hosts have left to this one."""
         return len(self._schedules)
 
-    def _open(self, subset: subsets.Subset) -> _Schedule:
+    def _get_schedule(self, subset: subsets.Subset) -> _Schedule:
         found = self._schedules.get(subset)
         if found is None:
             found = _Schedule(
