--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -36,7 +36,7 @@
 __all__ = ['Dispatcher']
 
 # Seconds that a request waits before a second coordinator is asked.
-SECOND_TIME = 0.03
+SECOND_COORDINATOR_DELAY_S = 0.03
 # Seconds between messages while requests wait, and while places are held.
 WAITING_INTERVAL = 0.1
 HOLDING_INTERVAL = 0.3
@@ -271,7 +271,10 @@
             # Decided by this host alone.
             self._withdraw(number, None, now)
             return
-        if now - item.since > SECOND_TIME and len(item.asked) == 1:
+        if (
+            now - item.since > SECOND_COORDINATOR_DELAY_S
+            and len(item.asked) == 1
+        ):
             self._ask_second(number, item, now)
         if item.is_local:
             return
