--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -39,7 +39,7 @@
 SECOND_COORDINATOR_DELAY_S = 0.03
 # Seconds between messages while requests wait, and while places are held.
 WAITING_INTERVAL_S = 0.1
-HOLDING_INTERVAL = 0.3
+HOLDING_INTERVAL_S = 0.3
 # Seconds for which the free places that a coordinator states are used.
 FREE_TIME = 1.0
 # Observations that wait for the next message to a coordinator.
@@ -308,7 +308,7 @@
             elif now - link.sent_at > candidates.RESEND_INTERVAL_S:
                 self._send(link, now)
             return
-        pause = WAITING_INTERVAL_S if link.wanted else HOLDING_INTERVAL
+        pause = WAITING_INTERVAL_S if link.wanted else HOLDING_INTERVAL_S
         if now - link.sent_at > pause:
             self._send(link, now)
 
