--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -41,7 +41,7 @@
 WAITING_INTERVAL_S = 0.1
 HOLDING_INTERVAL_S = 0.3
 # Seconds for which the free places that a coordinator states are used.
-FREE_TIME = 1.0
+FREE_PLACES_MAX_AGE_S = 1.0
 # Observations that wait for the next message to a coordinator.
 MOST_SEEN = 32
 
@@ -176,7 +176,7 @@
             for link in self._links.values()
             if link.subset.service == service
             and link.heard_at is not None
-            and now - link.heard_at < FREE_TIME
+            and now - link.heard_at < FREE_PLACES_MAX_AGE_S
         ]
         return not heard or any(link.free > 0 for link in heard)
 
@@ -293,7 +293,10 @@
             self._find_subset(start) == subset for start in self._held.values()
         )
         if not link.wanted and not has_held and not link.seen:
-            if link.heard_at is None or now - link.heard_at > FREE_TIME:
+            if (
+                link.heard_at is None
+                or now - link.heard_at > FREE_PLACES_MAX_AGE_S
+            ):
                 del self._links[subset]
             return
         if self._choose_target(subset, now) != link.target:
