--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -43,7 +43,7 @@
 # Seconds for which the free places that a coordinator states are used.
 FREE_PLACES_MAX_AGE_S = 1.0
 # Observations that wait for the next message to a coordinator.
-MOST_SEEN = 32
+MAX_UNSENT_OBSERVATIONS = 32
 
 
 @ty.final
@@ -201,7 +201,7 @@
         if subset is None:
             return
         link = self._open(subset, now)
-        if len(link.seen) < MOST_SEEN:
+        if len(link.seen) < MAX_UNSENT_OBSERVATIONS:
             runner = messages.digest_start(start)
             link.seen.append(placemessages.Seen(runner, *seen))
 
