--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -48,7 +48,7 @@
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class _Waiting:
+class _WaitingRequest:
     """A request for which coordinators are asked."""
 
     ticket: waiting.Ticket
@@ -119,7 +119,7 @@
         self._spread = spread
         self._count = 0
         self._message = 0
-        self._waiting: dict[int, _Waiting] = {}
+        self._waiting: dict[int, _WaitingRequest] = {}
         self._held: dict[int, ids.RunnerStart] = {}
         self._links: dict[subsets.Subset, _Link] = {}
         # Subsets by service and by runner, as of the directory's changes.
@@ -137,7 +137,7 @@
             return
         self._count += 1
         ticket.number = self._count
-        self._waiting[ticket.number] = _Waiting(ticket, now, [])
+        self._waiting[ticket.number] = _WaitingRequest(ticket, now, [])
         self._ask(ticket.number, self._spread.choice(found), now)
 
     def leave(self, ticket: waiting.Ticket, now: float) -> None:
@@ -266,7 +266,7 @@
                 continue
             self._hosts.send(item.reply, item.address)
 
-    def _advance(self, number: int, item: _Waiting, now: float) -> None:
+    def _advance(self, number: int, item: _WaitingRequest, now: float) -> None:
         if item.ticket.decision is not None:
             # Decided by this host alone.
             self._withdraw(number, None, now)
@@ -323,7 +323,9 @@
         link.wanted.add(number)
         self._send(link, now)
 
-    def _ask_second(self, number: int, item: _Waiting, now: float) -> None:
+    def _ask_second(
+        self, number: int, item: _WaitingRequest, now: float
+    ) -> None:
         others = [
             subset
             for subset in self._list_subsets(item.ticket.service)
@@ -364,7 +366,7 @@
         item.ticket.decide(waiting.Grant(entry.start, number))
 
     def _renew(
-        self, number: int, item: _Waiting, digest: int, now: float
+        self, number: int, item: _WaitingRequest, digest: int, now: float
     ) -> None:
         self._withdraw(number, None, now)
         self._count += 1
@@ -465,7 +467,7 @@
             self._hosts.send(request, address)
 
     def _state_wanted(
-        self, item: _Waiting, now: float
+        self, item: _WaitingRequest, now: float
     ) -> placemessages.Wanted:
         ticket = item.ticket
         closed = [
