--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -71,7 +71,7 @@
     sent_at: float = 0.0
     # Number of the newest message that wants a reply, and when the oldest one
     # was sent that has none.
-    awaited: int = 0
+    awaited_number: int = 0
     unanswered_at: float | None = None
     wanted: set[int] = dataclasses.field(default_factory=set)
     seen: list[placemessages.Seen] = dataclasses.field(default_factory=list)
@@ -229,7 +229,7 @@
             # It was passed over; another one has all requests by now.
             return
         link.free, link.heard_at, link.silent = reply.free, now, 0
-        if reply.answers >= link.awaited:
+        if reply.answers >= link.awaited_number:
             link.unanswered_at = None
         elif link.unanswered_at is not None:
             link.unanswered_at = link.sent_at
@@ -416,7 +416,7 @@
         request = self._make_request(link, wants_reply)
         link.sent_at = now
         if wants_reply:
-            link.awaited = request.number
+            link.awaited_number = request.number
             if link.unanswered_at is None:
                 link.unanswered_at = now
         for number in link.wanted:
