--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -357,7 +357,7 @@
         entry = self._starts.find_entry(digest)
         if entry is None or entry.is_draining:
             # The coordinator's directory is behind this one, or ahead.
-            self._renew(number, item, digest, now)
+            self._ask_again(number, item, digest, now)
             return
         self._withdraw(number, subset, now)
         self._held[number] = entry.start
@@ -365,7 +365,7 @@
         self._local.places.take(entry.start)
         item.ticket.decide(waiting.Grant(entry.start, number))
 
-    def _renew(
+    def _ask_again(
         self, number: int, item: _WaitingRequest, digest: int, now: float
     ) -> None:
         self._withdraw(number, None, now)
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -25,17 +25,10 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import bundle
-from apricotlanding import clocks
-from apricotlanding import ids
-from apricotlanding import records
-from apricotlanding import supervisor
-from apricotlanding import wire
+from apricotlanding import bundle, clocks, ids, records, supervisor, wire
 from apricotlandingd.configuration import logfollower
-from apricotlandingd.ownership import leases
-from apricotlandingd.ownership import shardview
-from apricotlandingd.peering import peerlink
-from apricotlandingd.peering import peers
+from apricotlandingd.ownership import leases, shardview
+from apricotlandingd.peering import peerlink, peers
 
 __all__ = ['Owners', 'Role', 'Start', 'list_shards', 'parse_shard']
 
@@ -531,13 +524,13 @@
                     continue
                 self._renewing.add(giver)
                 self._group.start_soon(
-                    supervisor.run_guarded, self._renew, giver, shards
+                    supervisor.run_guarded, self._ask_again, giver, shards
                 )
             self._renew_now = anyio.Event()
             with anyio.move_on_after(lease / PROMISES_A_LEASE):
                 await self._renew_now.wait()
 
-    async def _renew(
+    async def _ask_again(
         self,
         giver: ids.Incarnation,
         shards: list[tuple[ids.Shard, ids.Epoch]],
