--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -300,7 +300,7 @@
                 del self._links[subset]
             return
         if self._choose_target(subset, now) != link.target:
-            self._say_goodbye(link, now)
+            self._release_all(link, now)
             self._retarget(link, now)
             return
         if link.unanswered_at is not None:
@@ -430,7 +430,7 @@
         link.seen.clear()
         self._pass_request(link.target, request, now)
 
-    def _say_goodbye(self, link: _Link, now: float) -> None:
+    def _release_all(self, link: _Link, now: float) -> None:
         # Names no place: the coordinator may give all of them to others.
         request = self._make_request(link, wants_reply=False)
         self._pass_request(link.target, request, now)
