--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -428,12 +428,12 @@
                 request.held[number] = messages.digest_start(start)
         request.seen.extend(link.seen)
         link.seen.clear()
-        self._pass_request(link.target, request, now)
+        self._send_request(link.target, request, now)
 
     def _release_all(self, link: _Link, now: float) -> None:
         # Names no place: the coordinator may give all of them to others.
         request = self._make_request(link, wants_reply=False)
-        self._pass_request(link.target, request, now)
+        self._send_request(link.target, request, now)
 
     def _make_request(
         self, link: _Link, wants_reply: bool
@@ -453,7 +453,7 @@
             wants_reply=wants_reply,
         )
 
-    def _pass_request(
+    def _send_request(
         self,
         target: ids.Host,
         request: placemessages.PlaceRequest,
