--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -420,7 +420,7 @@
             if link.unanswered_at is None:
                 link.unanswered_at = now
         for number in link.wanted:
-            request.wanted[number] = self._state_wanted(
+            request.wanted[number] = self._make_wanted(
                 self._waiting[number], now
             )
         for number, start in self._held.items():
@@ -466,7 +466,7 @@
         if address is not None:
             self._hosts.send(request, address)
 
-    def _state_wanted(
+    def _make_wanted(
         self, item: _WaitingRequest, now: float
     ) -> placemessages.Wanted:
         ticket = item.ticket
