--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -509,14 +509,14 @@
         return self._candidates.choose(subset.find_name(), now)
 
     def _list_subsets(self, service: ids.Pool) -> list[subsets.Subset]:
-        self._divide()
+        self._update_subsets()
         return self._subsets.get(service, [])
 
     def _find_subset(self, start: ids.RunnerStart) -> subsets.Subset | None:
-        self._divide()
+        self._update_subsets()
         return self._subset_of.get(start)
 
-    def _divide(self) -> None:
+    def _update_subsets(self) -> None:
         if self._changes == self._runners.changes:
             return
         self._changes = self._runners.changes
