--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -159,7 +159,7 @@
         self._local.places.release(start)
         subset = self._find_subset(start)
         if subset is not None:
-            self._send(self._open(subset, now), now, wants_reply=False)
+            self._send(self._get_link(subset, now), now, wants_reply=False)
 
     def has_place(
         self, service: ids.Pool, tried: set[ids.RunnerStart], now: float
@@ -200,7 +200,7 @@
         subset = self._find_subset(start)
         if subset is None:
             return
-        link = self._open(subset, now)
+        link = self._get_link(subset, now)
         if len(link.seen) < MAX_UNSENT_OBSERVATIONS:
             runner = messages.digest_start(start)
             link.seen.append(placemessages.Seen(runner, *seen))
@@ -319,7 +319,7 @@
 
     def _ask(self, number: int, subset: subsets.Subset, now: float) -> None:
         self._waiting[number].asked.append(subset)
-        link = self._open(subset, now)
+        link = self._get_link(subset, now)
         link.wanted.add(number)
         self._send(link, now)
 
@@ -493,7 +493,7 @@
 
     # Who is asked.
 
-    def _open(self, subset: subsets.Subset, now: float) -> _Link:
+    def _get_link(self, subset: subsets.Subset, now: float) -> _Link:
         link = self._links.get(subset)
         if link is None:
             link = _Link(subset, self._choose_target(subset, now))
