--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -249,7 +249,7 @@
         self._deliver(self._own.pump(now), now)
         for number, item in list(self._waiting.items()):
             if number in self._waiting:
-                self._advance(number, item, now)
+                self._check_waiting(number, item, now)
         for subset, link in list(self._links.items()):
             self._maintain(subset, link, now)
 
@@ -266,7 +266,9 @@
                 continue
             self._hosts.send(item.reply, item.address)
 
-    def _advance(self, number: int, item: _WaitingRequest, now: float) -> None:
+    def _check_waiting(
+        self, number: int, item: _WaitingRequest, now: float
+    ) -> None:
         if item.ticket.decision is not None:
             # Decided by this host alone.
             self._withdraw(number, None, now)
