--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -251,7 +251,7 @@
             if number in self._waiting:
                 self._check_waiting(number, item, now)
         for subset, link in list(self._links.items()):
-            self._maintain(subset, link, now)
+            self._check_link(subset, link, now)
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
         """Forget what is kept about runners that are gone."""
@@ -288,7 +288,7 @@
             item.is_local = True
             self._local.enter(item.ticket, now)
 
-    def _maintain(
+    def _check_link(
         self, subset: subsets.Subset, link: _Link, now: float
     ) -> None:
         has_held = any(
