--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -118,7 +118,7 @@
         self._candidates = asked
         self._spread = spread
         self._count = 0
-        self._message = 0
+        self._message_count = 0
         self._waiting: dict[int, _WaitingRequest] = {}
         self._held: dict[int, ids.RunnerStart] = {}
         self._links: dict[subsets.Subset, _Link] = {}
@@ -440,12 +440,12 @@
     def _make_request(
         self, link: _Link, wants_reply: bool
     ) -> placemessages.PlaceRequest:
-        self._message += 1
+        self._message_count += 1
         return placemessages.PlaceRequest(
             host=self._host,
             address=self._address,
             process=self.process,
-            number=self._message,
+            number=self._message_count,
             service=link.subset.service,
             place=link.subset.place,
             total=link.subset.total,
