--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -117,7 +117,7 @@
         self._hosts = hosts
         self._candidates = asked
         self._spread = spread
-        self._count = 0
+        self._place_count = 0
         self._message_count = 0
         self._waiting: dict[int, _WaitingRequest] = {}
         self._held: dict[int, ids.RunnerStart] = {}
@@ -135,8 +135,8 @@
         if not self._hosts.has_multiple_groups() or not found:
             self._local.enter(ticket, now)
             return
-        self._count += 1
-        ticket.number = self._count
+        self._place_count += 1
+        ticket.number = self._place_count
         self._waiting[ticket.number] = _WaitingRequest(ticket, now, [])
         self._ask(ticket.number, self._spread.choice(found), now)
 
@@ -371,11 +371,11 @@
         self, number: int, item: _WaitingRequest, digest: int, now: float
     ) -> None:
         self._withdraw(number, None, now)
-        self._count += 1
-        item.ticket.number = self._count
+        self._place_count += 1
+        item.ticket.number = self._place_count
         unknown = item.unknown | {digest}
         asked, item.asked = item.asked, []
-        self._waiting[self._count] = dataclasses.replace(
+        self._waiting[self._place_count] = dataclasses.replace(
             item, unknown=unknown, refusals=[], is_local=False
         )
         for subset in asked:
