--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -109,7 +109,7 @@
         # Stands for this process in messages.
         self.process = messages.digest_process(process)
         self._local = local
-        self._own = own
+        self._own_coordinator = own
         self._runners = runners
         self._starts = starts.Starts(runners)
         self._paces = paces
@@ -217,7 +217,7 @@
         self, request: placemessages.PlaceRequest, now: float
     ) -> None:
         """Take the request of a host that this one coordinates for."""
-        self._deliver(self._own.handle_request(request, now), now)
+        self._deliver(self._own_coordinator.handle_request(request, now), now)
 
     def take_reply(self, reply: placemessages.PlaceReply, now: float) -> None:
         """Take the decisions of a coordinator."""
@@ -246,7 +246,7 @@
 
     def tick(self, now: float) -> None:
         """Send what is due, and decide by time."""
-        self._deliver(self._own.pump(now), now)
+        self._deliver(self._own_coordinator.pump(now), now)
         for number, item in list(self._waiting.items()):
             if number in self._waiting:
                 self._check_waiting(number, item, now)
@@ -255,7 +255,7 @@
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
         """Forget what is kept about runners that are gone."""
-        self._own.keep_only(runners)
+        self._own_coordinator.keep_only(runners)
 
     def _deliver(
         self, replies: list[coordinator.AddressedReply], now: float
