--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -92,7 +92,7 @@
         address: addresses.Address,
         process: ids.Incarnation,
         local: scheduler.Scheduler,
-        own: coordinator.Coordinator,
+        own_coordinator: coordinator.Coordinator,
         runners: directory.Directory,
         paces: pace.Paces,
         fitness: health.Health,
@@ -102,14 +102,14 @@
     ) -> None:
         """Start without requests.
 
-        ``own`` serves the subsets that this host coordinates itself.
+        ``own_coordinator`` serves the subsets that this host coordinates itself.
         """
         self._host = host
         self._address = str(address)
         # Stands for this process in messages.
         self.process = messages.digest_process(process)
         self._local = local
-        self._own_coordinator = own
+        self._own_coordinator = own_coordinator
         self._runners = runners
         self._starts = starts.Starts(runners)
         self._paces = paces
