--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -32,7 +32,7 @@
 __all__ = ['Question', 'SharedAllowances']
 
 # Answers that are remembered for requests that are repeated.
-KEPT_ANSWERS = 4096
+MAX_REMEMBERED_ANSWERS = 4096
 # Hosts that keep what was handed out, with the one that is asked first.
 KEEPERS = 3
 # Seconds between two messages to the others of these.
@@ -284,7 +284,7 @@
 
     def _remember(self, key: tuple[int, int], wait: float | None) -> None:
         self._answers[key] = wait
-        if len(self._answers) > KEPT_ANSWERS:
+        if len(self._answers) > MAX_REMEMBERED_ANSWERS:
             self._answers.popitem(last=False)
 
     # Asking.
