--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -34,7 +34,7 @@
 # Answers that are remembered for requests that are repeated.
 MAX_REMEMBERED_ANSWERS = 4096
 # Hosts that keep what was handed out, with the one that is asked first.
-KEEPERS = 3
+USAGE_REPLICAS = 3
 # Seconds between two messages to the others of these.
 NEWS_INTERVAL = 0.2
 # Seconds that stand for the answer to a question whose units were returned.
@@ -270,7 +270,9 @@
             host
             for name, units in usage.items()
             if units != self._told.get(name)
-            for host in self._candidates.list_first(_name(name), KEEPERS)
+            for host in self._candidates.list_first(
+                _name(name), USAGE_REPLICAS
+            )
             if host != self._host
         }
         before, self._told = self._told, dict(usage)
