--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -36,7 +36,7 @@
 # Hosts that keep what was handed out, with the one that is asked first.
 USAGE_REPLICAS = 3
 # Seconds between two messages to the others of these.
-NEWS_INTERVAL = 0.2
+USAGE_UPDATE_INTERVAL_S = 0.2
 # Seconds that stand for the answer to a question whose units were returned.
 RETURNED_WAIT = 1.0
 
@@ -176,7 +176,7 @@
                 self._send(question, now)
         if (
             self._hosts.has_multiple_groups()
-            and now - self._told_at > NEWS_INTERVAL
+            and now - self._told_at > USAGE_UPDATE_INTERVAL_S
         ):
             self._told_at = now
             self._tell_keepers()
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -166,7 +166,9 @@
         self.pair.keeper.tick(now)
         self.pair.tell_news(now)
         self.assertIsNone(self.pair.ask(1000.0, now).wait_s)
-        self.pair.keeper.tick(now + sharedallowances.NEWS_INTERVAL + 0.01)
+        self.pair.keeper.tick(
+            now + sharedallowances.USAGE_UPDATE_INTERVAL_S + 0.01
+        )
         self.pair.tell_news(now)
         question = self.pair.asker.ask(FESTIN, 1000.0, now)
         self.pair.hosts.take_sent()
