--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -38,7 +38,7 @@
 # Seconds between two messages to the others of these.
 USAGE_UPDATE_INTERVAL_S = 0.2
 # Seconds that stand for the answer to a question whose units were returned.
-RETURNED_WAIT = 1.0
+RETURNED_WAIT_S = 1.0
 
 
 @ty.final
@@ -215,9 +215,9 @@
     ) -> None:
         # Only what was handed out here; a question that arrives behind its
         # return gets nothing.
-        if self._answers.get(key, RETURNED_WAIT) is None:
+        if self._answers.get(key, RETURNED_WAIT_S) is None:
             self._take_units_back(organisation, cost, now)
-        self._remember(key, RETURNED_WAIT)
+        self._remember(key, RETURNED_WAIT_S)
 
     def hear_news(
         self, news: allowancemessages.KeeperNews, now: float
