--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowancemessages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowancemessages.py
@@ -2,7 +2,7 @@
 
 ``AllowanceRequest`` asks for units of one organisation, or gives some back.
 It is repeated until ``AllowanceReply`` comes; the number tells a repetition,
-which is answered as before and hands out nothing more. ``KeeperNews`` goes to
+which is answered as before and hands out nothing more. ``UsageUpdate`` goes to
 the hosts that are asked next when the sender is lost.
 """
 
@@ -14,7 +14,7 @@
 from apricotlanding import ids
 from apricotlandingd.gateway.hosts import messages
 
-__all__ = ['AllowanceReply', 'AllowanceRequest', 'KeeperNews']
+__all__ = ['AllowanceReply', 'AllowanceRequest', 'UsageUpdate']
 
 Cost = ty.Annotated[float, pydantic.Field(ge=0.0, le=messages.LARGEST_UNITS)]
 
@@ -54,7 +54,7 @@
 @messages.registry.register(10)
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeeperNews:
+class UsageUpdate:
     """What a host has handed out for all since its start."""
 
     incarnation: ids.Incarnation
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -184,7 +184,7 @@
             [allowancemessages.AllowanceReply, float], None
         ] = lambda reply, now: None
         self.on_keeper_news: collections.abc.Callable[
-            [allowancemessages.KeeperNews, float], None
+            [allowancemessages.UsageUpdate, float], None
         ] = lambda news, now: None
         # Called with the sender's IP number and the reason for each message
         # that cannot be read.
@@ -517,7 +517,7 @@
             if isinstance(state, allowancemessages.AllowanceReply):
                 self.on_allowance_reply(state, now)
                 continue
-            if isinstance(state, allowancemessages.KeeperNews):
+            if isinstance(state, allowancemessages.UsageUpdate):
                 self.on_keeper_news(state, now)
                 continue
             if not isinstance(state, messages.HostState):
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -220,7 +220,7 @@
         self._remember(key, RETURNED_WAIT_S)
 
     def hear_news(
-        self, news: allowancemessages.KeeperNews, now: float
+        self, news: allowancemessages.UsageUpdate, now: float
     ) -> None:
         """Take what another host that keeps allowances has handed out."""
         if not self._kept.has_heard(news.incarnation):
@@ -276,7 +276,7 @@
             if host != self._host
         }
         before, self._told = self._told, dict(usage)
-        news = allowancemessages.KeeperNews(
+        news = allowancemessages.UsageUpdate(
             self._incarnation, self._told, before
         )
         for host in targets:
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -146,7 +146,7 @@
             self.keeper.handle_request(message, now)
         elif isinstance(message, allowancemessages.AllowanceReply):
             self.keeper.take_reply(message, now)
-        elif isinstance(message, allowancemessages.KeeperNews):
+        elif isinstance(message, allowancemessages.UsageUpdate):
             self.keeper.hear_news(message, now)
         if isinstance(message, messages.HostChange):
             self.others.take_change(message, now)
