--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -183,7 +183,7 @@
         self.on_allowance_reply: collections.abc.Callable[
             [allowancemessages.AllowanceReply, float], None
         ] = lambda reply, now: None
-        self.on_keeper_news: collections.abc.Callable[
+        self.on_usage_update: collections.abc.Callable[
             [allowancemessages.UsageUpdate, float], None
         ] = lambda news, now: None
         # Called with the sender's IP number and the reason for each message
@@ -518,7 +518,7 @@
                 self.on_allowance_reply(state, now)
                 continue
             if isinstance(state, allowancemessages.UsageUpdate):
-                self.on_keeper_news(state, now)
+                self.on_usage_update(state, now)
                 continue
             if not isinstance(state, messages.HostState):
                 self.on_unreadable(sender[0], 'no state of a host', now)
