--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -219,7 +219,7 @@
             self._take_units_back(organisation, cost, now)
         self._remember(key, RETURNED_WAIT_S)
 
-    def hear_news(
+    def handle_usage_update(
         self, news: allowancemessages.UsageUpdate, now: float
     ) -> None:
         """Take what another host that keeps allowances has handed out."""
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -147,7 +147,7 @@
         elif isinstance(message, allowancemessages.AllowanceReply):
             self.keeper.take_reply(message, now)
         elif isinstance(message, allowancemessages.UsageUpdate):
-            self.keeper.hear_news(message, now)
+            self.keeper.handle_usage_update(message, now)
         if isinstance(message, messages.HostChange):
             self.others.take_change(message, now)
         elif isinstance(message, messages.HostState):
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -317,7 +317,7 @@
             elif isinstance(message, allowancemessages.AllowanceReply):
                 play.keeper.take_reply(message, now)
             elif isinstance(message, allowancemessages.UsageUpdate):
-                play.keeper.hear_news(message, now)
+                play.keeper.handle_usage_update(message, now)
         play.keeper.tick(now)
         for sent in play.hosts.take_sent():
             if isinstance(sent, allowancemessages.AllowanceReply):
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -95,7 +95,7 @@
     def tell_news(self, now: float) -> None:
         for message in self.hosts.take_sent():
             if isinstance(message, allowancemessages.UsageUpdate):
-                self.asker.hear_news(message, now)
+                self.asker.handle_usage_update(message, now)
 
 
 class TestKeptAllowance(testtools.TestCase):
