--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -29,7 +29,7 @@
     messages,
 )
 
-__all__ = ['Question', 'SharedAllowances']
+__all__ = ['UnitRequest', 'SharedAllowances']
 
 # Answers that are remembered for requests that are repeated.
 MAX_REMEMBERED_ANSWERS = 4096
@@ -43,7 +43,7 @@
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class Question:
+class UnitRequest:
     """Units that are asked for."""
 
     organisation: catalogue.Organisation
@@ -102,7 +102,7 @@
         self._find_organisation = find_organisation
         self._is_stopping = is_stopping
         self._count = 0
-        self._questions: dict[int, Question] = {}
+        self._questions: dict[int, UnitRequest] = {}
         self._answers: collections.OrderedDict[
             tuple[int, int], float | None
         ] = collections.OrderedDict()
@@ -119,9 +119,9 @@
 
     def ask(
         self, organisation: catalogue.Organisation, cost: float, now: float
-    ) -> Question:
+    ) -> UnitRequest:
         """Ask for units; the answer may be there at once."""
-        question = Question(organisation, cost)
+        question = UnitRequest(organisation, cost)
         if (
             organisation.units_per_s <= 0
             or not self._hosts.has_multiple_groups()
@@ -134,7 +134,7 @@
         self._send(question, now)
         return question
 
-    def give_back(self, question: Question, now: float) -> None:
+    def give_back(self, question: UnitRequest, now: float) -> None:
         """Return the units of a request that was not run.
 
         Also for a question that has no answer yet: it may be handed out all
@@ -291,7 +291,7 @@
 
     # Asking.
 
-    def _send(self, question: Question, now: float) -> None:
+    def _send(self, question: UnitRequest, now: float) -> None:
         if question.silent >= candidates.MAX_SILENT_HOSTS:
             self._decide_alone(question, now)
             return
@@ -306,14 +306,14 @@
         request = self._make_request(question, is_returned=False)
         self._pass(request, question.target)
 
-    def _decide_alone(self, question: Question, now: float) -> None:
+    def _decide_alone(self, question: UnitRequest, now: float) -> None:
         terms = self._own.find_terms(question.organisation, now)
         wait = self._own.grant(
             question.organisation, question.cost, terms, now
         )
         self._answer(question, wait)
 
-    def _answer(self, question: Question, wait: float | None) -> None:
+    def _answer(self, question: UnitRequest, wait: float | None) -> None:
         self._questions.pop(question.number, None)
         question.is_own = wait is None
         question.wait_s = wait
@@ -325,7 +325,7 @@
         return self._candidates.choose(_name(organisation.name), now)
 
     def _make_request(
-        self, question: Question, is_returned: bool
+        self, question: UnitRequest, is_returned: bool
     ) -> allowancemessages.AllowanceRequest:
         return allowancemessages.AllowanceRequest(
             address=self._address,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -8,12 +8,8 @@
 
 import eliot
 
-from apricotlanding import asgi
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway import dialect
+from apricotlanding import asgi, clocks, errors, ids
+from apricotlandingd.gateway import catalogue, dialect
 from apricotlandingd.gateway.hosts import sharedallowances
 from apricotlandingd.gateway.requests import parts
 
@@ -43,7 +39,7 @@
         self.service = ids.Pool('')
         self.organisation: catalogue.Organisation | None = None
         # What was asked of the organisation's allowance, until it is returned.
-        self._question: sharedallowances.Question | None = None
+        self._question: sharedallowances.UnitRequest | None = None
         self.event_tokens = 1.0
         # Of the configuration that the request was admitted under.
         self.version: ids.Version | None = None
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -278,7 +278,7 @@
 
     def look(self, host: Host, item: object, now: float) -> None:
         """Look for the answer a little later, as a waiting task does."""
-        assert isinstance(item, sharedallowances.Question)
+        assert isinstance(item, sharedallowances.UnitRequest)
         if not item.answered.is_set():
             self.plan(now + 0.001, 'look', host.address, item)
             return
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -86,7 +86,7 @@
             elif isinstance(message, allowancemessages.AllowanceReply):
                 self.asker.take_reply(message, now)
 
-    def ask(self, cost: float, now: float) -> sharedallowances.Question:
+    def ask(self, cost: float, now: float) -> sharedallowances.UnitRequest:
         question = self.asker.ask(FESTIN, cost, now)
         self.pass_messages(now)
         self.pass_messages(now)
