--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -121,33 +121,37 @@
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> UnitRequest:
         """Ask for units; the answer may be there at once."""
-        question = UnitRequest(organisation, cost)
+        unit_request = UnitRequest(organisation, cost)
         if (
             organisation.units_per_s <= 0
             or not self._hosts.has_multiple_groups()
         ):
-            self._decide_alone(question, now)
-            return question
+            self._decide_alone(unit_request, now)
+            return unit_request
         self._count += 1
-        question.number = self._count
-        self._questions[question.number] = question
-        self._send(question, now)
-        return question
+        unit_request.number = self._count
+        self._questions[unit_request.number] = unit_request
+        self._send(unit_request, now)
+        return unit_request
 
-    def give_back(self, question: UnitRequest, now: float) -> None:
+    def give_back(self, unit_request: UnitRequest, now: float) -> None:
         """Return the units of a request that was not run.
 
         Also for a question that has no answer yet: it may be handed out all
         the same.
         """
-        is_open = self._questions.pop(question.number, None) is not None
-        if question.is_own and question.target == self._host:
-            self._take_units_back(question.organisation, question.cost, now)
-        elif question.is_own:
-            self._own.give_back(question.organisation, question.cost, now)
-        elif is_open or question.wait_s is None:
-            request = self._make_request(question, is_returned=True)
-            self._pass(request, question.target)
+        is_open = self._questions.pop(unit_request.number, None) is not None
+        if unit_request.is_own and unit_request.target == self._host:
+            self._take_units_back(
+                unit_request.organisation, unit_request.cost, now
+            )
+        elif unit_request.is_own:
+            self._own.give_back(
+                unit_request.organisation, unit_request.cost, now
+            )
+        elif is_open or unit_request.wait_s is None:
+            request = self._make_request(unit_request, is_returned=True)
+            self._pass(request, unit_request.target)
 
     def take_reply(
         self, reply: allowancemessages.AllowanceReply, now: float
@@ -158,22 +162,22 @@
         self._candidates.mark_reachable(reply.host)
         if reply.is_stopping:
             self._candidates.mark_stopping(reply.host, now)
-        question = self._questions.pop(reply.number, None)
-        if question is not None:
-            question.wait_s = reply.wait_s or None
-            question.answered.set()
+        unit_request = self._questions.pop(reply.number, None)
+        if unit_request is not None:
+            unit_request.wait_s = reply.wait_s or None
+            unit_request.answered.set()
 
     def tick(self, now: float) -> None:
         """Repeat what has no answer, or ask another host."""
-        for question in list(self._questions.values()):
-            asked_at = question.asked_at or now
+        for unit_request in list(self._questions.values()):
+            asked_at = unit_request.asked_at or now
             if now - asked_at > candidates.REPLY_TIMEOUT_S:
-                self._candidates.mark_silent(question.target, now)
-                question.silent += 1
-                question.asked_at = None
-                self._send(question, now)
-            elif now - question.sent_at > candidates.RESEND_INTERVAL_S:
-                self._send(question, now)
+                self._candidates.mark_silent(unit_request.target, now)
+                unit_request.silent += 1
+                unit_request.asked_at = None
+                self._send(unit_request, now)
+            elif now - unit_request.sent_at > candidates.RESEND_INTERVAL_S:
+                self._send(unit_request, now)
         if (
             self._hosts.has_multiple_groups()
             and now - self._told_at > USAGE_UPDATE_INTERVAL_S
@@ -291,33 +295,35 @@
 
     # Asking.
 
-    def _send(self, question: UnitRequest, now: float) -> None:
-        if question.silent >= candidates.MAX_SILENT_HOSTS:
-            self._decide_alone(question, now)
+    def _send(self, unit_request: UnitRequest, now: float) -> None:
+        if unit_request.silent >= candidates.MAX_SILENT_HOSTS:
+            self._decide_alone(unit_request, now)
             return
-        if question.asked_at is None:
-            question.asked_at = now
-            question.target = self._choose(question.organisation, now)
-        question.sent_at = now
-        if question.target == self._host:
-            wait = self._hand_out(question.organisation, question.cost, now)
-            self._answer(question, wait)
+        if unit_request.asked_at is None:
+            unit_request.asked_at = now
+            unit_request.target = self._choose(unit_request.organisation, now)
+        unit_request.sent_at = now
+        if unit_request.target == self._host:
+            wait = self._hand_out(
+                unit_request.organisation, unit_request.cost, now
+            )
+            self._answer(unit_request, wait)
             return
-        request = self._make_request(question, is_returned=False)
-        self._pass(request, question.target)
+        request = self._make_request(unit_request, is_returned=False)
+        self._pass(request, unit_request.target)
 
-    def _decide_alone(self, question: UnitRequest, now: float) -> None:
-        terms = self._own.find_terms(question.organisation, now)
+    def _decide_alone(self, unit_request: UnitRequest, now: float) -> None:
+        terms = self._own.find_terms(unit_request.organisation, now)
         wait = self._own.grant(
-            question.organisation, question.cost, terms, now
+            unit_request.organisation, unit_request.cost, terms, now
         )
-        self._answer(question, wait)
+        self._answer(unit_request, wait)
 
-    def _answer(self, question: UnitRequest, wait: float | None) -> None:
-        self._questions.pop(question.number, None)
-        question.is_own = wait is None
-        question.wait_s = wait
-        question.answered.set()
+    def _answer(self, unit_request: UnitRequest, wait: float | None) -> None:
+        self._questions.pop(unit_request.number, None)
+        unit_request.is_own = wait is None
+        unit_request.wait_s = wait
+        unit_request.answered.set()
 
     def _choose(
         self, organisation: catalogue.Organisation, now: float
@@ -325,14 +331,14 @@
         return self._candidates.choose(_name(organisation.name), now)
 
     def _make_request(
-        self, question: UnitRequest, is_returned: bool
+        self, unit_request: UnitRequest, is_returned: bool
     ) -> allowancemessages.AllowanceRequest:
         return allowancemessages.AllowanceRequest(
             address=self._address,
             process=self.process,
-            number=question.number,
-            organisation=question.organisation.name,
-            cost=question.cost,
+            number=unit_request.number,
+            organisation=unit_request.organisation.name,
+            cost=unit_request.cost,
             is_returned=is_returned,
         )
 
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -272,8 +272,8 @@
     def ask(self, host: Host, now: float) -> None:
         organisation = self.load.organisation
         cost = self.load.draw_cost(self.spread)
-        question = host.keeper.ask(organisation, cost, now)
-        self.look(host, question, now)
+        unit_request = host.keeper.ask(organisation, cost, now)
+        self.look(host, unit_request, now)
         self.plan(self.find_next(now), 'ask', host.address, None)
 
     def look(self, host: Host, item: object, now: float) -> None:
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -87,10 +87,10 @@
                 self.asker.take_reply(message, now)
 
     def ask(self, cost: float, now: float) -> sharedallowances.UnitRequest:
-        question = self.asker.ask(FESTIN, cost, now)
+        unit_request = self.asker.ask(FESTIN, cost, now)
         self.pass_messages(now)
         self.pass_messages(now)
-        return question
+        return unit_request
 
     def tell_news(self, now: float) -> None:
         for message in self.hosts.take_sent():
@@ -114,19 +114,19 @@
     def test_lost_reply_costs_nothing(self) -> None:
         # Guards against an organisation that pays twice for one request
         # because the first answer was lost.
-        question = self.pair.asker.ask(FESTIN, 600.0, NOW)
+        unit_request = self.pair.asker.ask(FESTIN, 600.0, NOW)
         self.pair.pass_messages(NOW)
         self.pair.hosts.take_sent()
         self.pair.asker.tick(NOW + candidates.RESEND_INTERVAL_S + 0.01)
         self.pair.pass_messages(NOW)
         self.pair.pass_messages(NOW)
-        self.assertTrue(question.answered.is_set())
-        self.assertIsNone(question.wait_s)
+        self.assertTrue(unit_request.answered.is_set())
+        self.assertIsNone(unit_request.wait_s)
         self.assertIsNone(self.pair.ask(400.0, NOW).wait_s)
 
     def test_returned_units_are_there_again(self) -> None:
-        question = self.pair.ask(1000.0, NOW)
-        self.pair.asker.give_back(question, NOW)
+        unit_request = self.pair.ask(1000.0, NOW)
+        self.pair.asker.give_back(unit_request, NOW)
         self.pair.pass_messages(NOW)
         self.assertIsNone(self.pair.ask(1000.0, NOW).wait_s)
 
@@ -141,9 +141,9 @@
     def test_return_that_overtakes_its_question_is_worth_nothing(self) -> None:
         # Guards against units that are returned and then handed out to a
         # caller that has left, or returned without having been handed out.
-        question = self.pair.asker.ask(FESTIN, 1000.0, NOW)
+        unit_request = self.pair.asker.ask(FESTIN, 1000.0, NOW)
         asked = self.pair.hosts.take_sent()
-        self.pair.asker.give_back(question, NOW)
+        self.pair.asker.give_back(unit_request, NOW)
         self.pair.pass_messages(NOW)
         self.pair.hosts.sent = asked
         self.pair.pass_messages(NOW)
@@ -152,12 +152,12 @@
 
     def test_silent_keeper_is_passed_over(self) -> None:
         # Guards against callers that wait for a host that is gone.
-        question = self.pair.asker.ask(FESTIN, 100.0, NOW)
+        unit_request = self.pair.asker.ask(FESTIN, 100.0, NOW)
         self.pair.hosts.take_sent()
         self.pair.asker.tick(NOW + candidates.REPLY_TIMEOUT_S + 0.01)
         # The next in the order is the asking host itself.
-        self.assertTrue(question.answered.is_set())
-        self.assertIsNone(question.wait_s)
+        self.assertTrue(unit_request.answered.is_set())
+        self.assertIsNone(unit_request.wait_s)
 
     def test_next_keeper_knows_what_was_handed_out(self) -> None:
         # Guards against an allowance that is handed out again because the
@@ -170,15 +170,15 @@
             now + sharedallowances.USAGE_UPDATE_INTERVAL_S + 0.01
         )
         self.pair.tell_news(now)
-        question = self.pair.asker.ask(FESTIN, 1000.0, now)
+        unit_request = self.pair.asker.ask(FESTIN, 1000.0, now)
         self.pair.hosts.take_sent()
         self.pair.asker.tick(now + candidates.REPLY_TIMEOUT_S + 0.01)
-        self.assertTrue(question.answered.is_set())
-        self.assertIsNotNone(question.wait_s)
+        self.assertTrue(unit_request.answered.is_set())
+        self.assertIsNotNone(unit_request.wait_s)
 
     def test_keeper_that_stops_is_left(self) -> None:
         self.pair.is_stopping = True
         self.pair.ask(100.0, NOW)
-        question = self.pair.asker.ask(FESTIN, 100.0, NOW)
+        unit_request = self.pair.asker.ask(FESTIN, 100.0, NOW)
         # Answered by the next in the order, at once.
-        self.assertTrue(question.answered.is_set())
+        self.assertTrue(unit_request.answered.is_set())
