--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -102,7 +102,7 @@
         self._find_organisation = find_organisation
         self._is_stopping = is_stopping
         self._count = 0
-        self._questions: dict[int, UnitRequest] = {}
+        self._pending: dict[int, UnitRequest] = {}
         self._answers: collections.OrderedDict[
             tuple[int, int], float | None
         ] = collections.OrderedDict()
@@ -130,7 +130,7 @@
             return unit_request
         self._count += 1
         unit_request.number = self._count
-        self._questions[unit_request.number] = unit_request
+        self._pending[unit_request.number] = unit_request
         self._send(unit_request, now)
         return unit_request
 
@@ -140,7 +140,7 @@
         Also for a question that has no answer yet: it may be handed out all
         the same.
         """
-        is_open = self._questions.pop(unit_request.number, None) is not None
+        is_open = self._pending.pop(unit_request.number, None) is not None
         if unit_request.is_own and unit_request.target == self._host:
             self._take_units_back(
                 unit_request.organisation, unit_request.cost, now
@@ -162,14 +162,14 @@
         self._candidates.mark_reachable(reply.host)
         if reply.is_stopping:
             self._candidates.mark_stopping(reply.host, now)
-        unit_request = self._questions.pop(reply.number, None)
+        unit_request = self._pending.pop(reply.number, None)
         if unit_request is not None:
             unit_request.wait_s = reply.wait_s or None
             unit_request.answered.set()
 
     def tick(self, now: float) -> None:
         """Repeat what has no answer, or ask another host."""
-        for unit_request in list(self._questions.values()):
+        for unit_request in list(self._pending.values()):
             asked_at = unit_request.asked_at or now
             if now - asked_at > candidates.REPLY_TIMEOUT_S:
                 self._candidates.mark_silent(unit_request.target, now)
@@ -320,7 +320,7 @@
         self._answer(unit_request, wait)
 
     def _answer(self, unit_request: UnitRequest, wait: float | None) -> None:
-        self._questions.pop(unit_request.number, None)
+        self._pending.pop(unit_request.number, None)
         unit_request.is_own = wait is None
         unit_request.wait_s = wait
         unit_request.answered.set()
