--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -58,7 +58,7 @@
     # Seconds until there are enough; None if they were handed out.
     wait_s: float | None = None
     # This host has answered by its own copy.
-    is_own: bool = False
+    is_granted_locally: bool = False
     answered: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
@@ -141,11 +141,14 @@
         the same.
         """
         is_open = self._pending.pop(unit_request.number, None) is not None
-        if unit_request.is_own and unit_request.target == self._host:
+        if (
+            unit_request.is_granted_locally
+            and unit_request.target == self._host
+        ):
             self._take_units_back(
                 unit_request.organisation, unit_request.cost, now
             )
-        elif unit_request.is_own:
+        elif unit_request.is_granted_locally:
             self._own.give_back(
                 unit_request.organisation, unit_request.cost, now
             )
@@ -321,7 +324,7 @@
 
     def _answer(self, unit_request: UnitRequest, wait: float | None) -> None:
         self._pending.pop(unit_request.number, None)
-        unit_request.is_own = wait is None
+        unit_request.is_granted_locally = wait is None
         unit_request.wait_s = wait
         unit_request.answered.set()
 
