--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -118,7 +118,7 @@
             self._charge(organisation, cost, now)
         return wait
 
-    def find_keeper_terms(self, now: float) -> quotas.Terms:
+    def find_coordinator_terms(self, now: float) -> quotas.Terms:
         """Return what a host that keeps an allowance for all may count on."""
         silent = self._others.find_unheard_share()
         if not self.knows_hosts(now):
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -256,7 +256,7 @@
     def _hand_out(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> float | None:
-        terms = self._own.find_keeper_terms(now)
+        terms = self._own.find_coordinator_terms(now)
         wait = self._kept.find_wait(organisation, cost, terms, now)
         if wait is None:
             self._kept.charge(organisation, cost)
