--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -128,7 +128,7 @@
             ahead = self._slack * AHEAD_SHARE * (1 - silent)
         return quotas.Terms(silent_share=silent, reserve=-ahead)
 
-    def note_handed_out(
+    def record_grant(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> None:
         """Count units that were handed out for all hosts.
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -260,7 +260,7 @@
         wait = self._kept.find_wait(organisation, cost, terms, now)
         if wait is None:
             self._kept.charge(organisation, cost)
-            self._own.note_handed_out(organisation, cost, now)
+            self._own.record_grant(organisation, cost, now)
         return wait
 
     def _take_units_back(
