--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -94,7 +94,7 @@
         self.process = messages.digest_process(process)
         self._own = own
         # What this host hands out for all, or would if it were asked.
-        self._kept = quotas.Quotas(slack_units, now)
+        self._shared_buckets = quotas.Quotas(slack_units, now)
         self._told: quotas.Usage = {}
         self._told_at = now
         self._hosts = hosts
@@ -109,11 +109,11 @@
 
     def set_slack(self, slack_units: float) -> None:
         """Take the operators' slack."""
-        self._kept.set_slack(slack_units)
+        self._shared_buckets.set_slack(slack_units)
 
     def forget(self, process: ids.Incarnation) -> None:
         """Drop what is kept about a process that has ended."""
-        self._kept.forget(process)
+        self._shared_buckets.forget(process)
 
     # Requests of this host.
 
@@ -230,7 +230,7 @@
         self, news: allowancemessages.UsageUpdate, now: float
     ) -> None:
         """Take what another host that keeps allowances has handed out."""
-        if not self._kept.has_heard(news.incarnation):
+        if not self._shared_buckets.has_heard(news.incarnation):
             self.apply_usage(news.incarnation, news.before, False, now)
         self.apply_usage(news.incarnation, news.usage, False, now)
 
@@ -248,25 +248,25 @@
         """
         if process == self._incarnation:
             return
-        if is_new or self._kept.has_heard(process):
-            self._kept.hear(process, usage, now, is_new)
+        if is_new or self._shared_buckets.has_heard(process):
+            self._shared_buckets.hear(process, usage, now, is_new)
         else:
-            self._kept.skip(process, usage)
+            self._shared_buckets.skip(process, usage)
 
     def _hand_out(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> float | None:
         terms = self._own.find_coordinator_terms(now)
-        wait = self._kept.find_wait(organisation, cost, terms, now)
+        wait = self._shared_buckets.find_wait(organisation, cost, terms, now)
         if wait is None:
-            self._kept.charge(organisation, cost)
+            self._shared_buckets.charge(organisation, cost)
             self._own.record_grant(organisation, cost, now)
         return wait
 
     def _take_units_back(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> None:
-        self._kept.charge(organisation, -cost)
+        self._shared_buckets.charge(organisation, -cost)
         self._own.give_back(organisation, cost, now)
 
     def _tell_keepers(self) -> None:
