--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -95,7 +95,7 @@
         self._own = own
         # What this host hands out for all, or would if it were asked.
         self._shared_buckets = quotas.Quotas(slack_units, now)
-        self._told: quotas.Usage = {}
+        self._sent_usage: quotas.Usage = {}
         self._told_at = now
         self._hosts = hosts
         self._candidates = asked
@@ -271,20 +271,20 @@
 
     def _tell_keepers(self) -> None:
         usage = self._own.buckets.usage
-        if usage == self._told:
+        if usage == self._sent_usage:
             return
         targets = {
             host
             for name, units in usage.items()
-            if units != self._told.get(name)
+            if units != self._sent_usage.get(name)
             for host in self._candidates.list_first(
                 _name(name), USAGE_REPLICAS
             )
             if host != self._host
         }
-        before, self._told = self._told, dict(usage)
+        before, self._sent_usage = self._sent_usage, dict(usage)
         news = allowancemessages.UsageUpdate(
-            self._incarnation, self._told, before
+            self._incarnation, self._sent_usage, before
         )
         for host in targets:
             address = self._hosts.find_address(host)
