--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -96,7 +96,7 @@
         # What this host hands out for all, or would if it were asked.
         self._shared_buckets = quotas.Quotas(slack_units, now)
         self._sent_usage: quotas.Usage = {}
-        self._told_at = now
+        self._usage_sent_at = now
         self._hosts = hosts
         self._candidates = asked
         self._find_organisation = find_organisation
@@ -183,9 +183,9 @@
                 self._send(unit_request, now)
         if (
             self._hosts.has_multiple_groups()
-            and now - self._told_at > USAGE_UPDATE_INTERVAL_S
+            and now - self._usage_sent_at > USAGE_UPDATE_INTERVAL_S
         ):
-            self._told_at = now
+            self._usage_sent_at = now
             self._tell_keepers()
 
     # Requests of other hosts.
