--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -186,7 +186,7 @@
             and now - self._usage_sent_at > USAGE_UPDATE_INTERVAL_S
         ):
             self._usage_sent_at = now
-            self._tell_keepers()
+            self._send_usage_update()
 
     # Requests of other hosts.
 
@@ -269,7 +269,7 @@
         self._shared_buckets.charge(organisation, -cost)
         self._own.give_back(organisation, cost, now)
 
-    def _tell_keepers(self) -> None:
+    def _send_usage_update(self) -> None:
         usage = self._own.buckets.usage
         if usage == self._sent_usage:
             return
