--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -202,7 +202,7 @@
             self._take_back(key, organisation, request.cost, now)
             return
         if key not in self._answers:
-            wait = self._hand_out(organisation, request.cost, now)
+            wait = self._grant(organisation, request.cost, now)
             self._remember(key, wait)
         reply = allowancemessages.AllowanceReply(
             host=self._host,
@@ -253,7 +253,7 @@
         else:
             self._shared_buckets.skip(process, usage)
 
-    def _hand_out(
+    def _grant(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> float | None:
         terms = self._own.find_coordinator_terms(now)
@@ -307,7 +307,7 @@
             unit_request.target = self._choose(unit_request.organisation, now)
         unit_request.sent_at = now
         if unit_request.target == self._host:
-            wait = self._hand_out(
+            wait = self._grant(
                 unit_request.organisation, unit_request.cost, now
             )
             self._answer(unit_request, wait)
