--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -199,7 +199,7 @@
             return
         key = (request.process, request.number)
         if request.is_returned:
-            self._take_back(key, organisation, request.cost, now)
+            self._handle_return(key, organisation, request.cost, now)
             return
         if key not in self._answers:
             wait = self._grant(organisation, request.cost, now)
@@ -213,7 +213,7 @@
         )
         self._hosts.send(reply, messages.read_address(request.address))
 
-    def _take_back(
+    def _handle_return(
         self,
         key: tuple[int, int],
         organisation: catalogue.Organisation,
