--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -145,9 +145,7 @@
             unit_request.is_granted_locally
             and unit_request.target == self._host
         ):
-            self._take_units_back(
-                unit_request.organisation, unit_request.cost, now
-            )
+            self._refund(unit_request.organisation, unit_request.cost, now)
         elif unit_request.is_granted_locally:
             self._own.give_back(
                 unit_request.organisation, unit_request.cost, now
@@ -223,7 +221,7 @@
         # Only what was handed out here; a question that arrives behind its
         # return gets nothing.
         if self._answers.get(key, RETURNED_WAIT_S) is None:
-            self._take_units_back(organisation, cost, now)
+            self._refund(organisation, cost, now)
         self._remember(key, RETURNED_WAIT_S)
 
     def handle_usage_update(
@@ -263,7 +261,7 @@
             self._own.record_grant(organisation, cost, now)
         return wait
 
-    def _take_units_back(
+    def _refund(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> None:
         self._shared_buckets.charge(organisation, -cost)
