--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -126,7 +126,7 @@
             organisation.units_per_s <= 0
             or not self._hosts.has_multiple_groups()
         ):
-            self._decide_alone(unit_request, now)
+            self._decide_locally(unit_request, now)
             return unit_request
         self._count += 1
         unit_request.number = self._count
@@ -298,7 +298,7 @@
 
     def _send(self, unit_request: UnitRequest, now: float) -> None:
         if unit_request.silent >= candidates.MAX_SILENT_HOSTS:
-            self._decide_alone(unit_request, now)
+            self._decide_locally(unit_request, now)
             return
         if unit_request.asked_at is None:
             unit_request.asked_at = now
@@ -313,7 +313,7 @@
         request = self._make_request(unit_request, is_returned=False)
         self._pass(request, unit_request.target)
 
-    def _decide_alone(self, unit_request: UnitRequest, now: float) -> None:
+    def _decide_locally(self, unit_request: UnitRequest, now: float) -> None:
         terms = self._own.find_terms(unit_request.organisation, now)
         wait = self._own.grant(
             unit_request.organisation, unit_request.cost, terms, now
