--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -152,7 +152,7 @@
             )
         elif is_open or unit_request.wait_s is None:
             request = self._make_request(unit_request, is_returned=True)
-            self._pass(request, unit_request.target)
+            self._send_request(request, unit_request.target)
 
     def take_reply(
         self, reply: allowancemessages.AllowanceReply, now: float
@@ -311,7 +311,7 @@
             self._answer(unit_request, wait)
             return
         request = self._make_request(unit_request, is_returned=False)
-        self._pass(request, unit_request.target)
+        self._send_request(request, unit_request.target)
 
     def _decide_locally(self, unit_request: UnitRequest, now: float) -> None:
         terms = self._own.find_terms(unit_request.organisation, now)
@@ -343,7 +343,7 @@
             is_returned=is_returned,
         )
 
-    def _pass(
+    def _send_request(
         self, request: allowancemessages.AllowanceRequest, target: ids.Host
     ) -> None:
         address = self._hosts.find_address(target)
