--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -276,7 +276,7 @@
             for name, units in usage.items()
             if units != self._sent_usage.get(name)
             for host in self._candidates.list_first(
-                _name(name), USAGE_REPLICAS
+                _make_allowance_key(name), USAGE_REPLICAS
             )
             if host != self._host
         }
@@ -329,7 +329,9 @@
     def _choose(
         self, organisation: catalogue.Organisation, now: float
     ) -> ids.Host:
-        return self._candidates.choose(_name(organisation.name), now)
+        return self._candidates.choose(
+            _make_allowance_key(organisation.name), now
+        )
 
     def _make_request(
         self, unit_request: UnitRequest, is_returned: bool
@@ -351,5 +353,5 @@
             self._hosts.send(request, address)
 
 
-def _name(organisation: ids.Organisation) -> str:
+def _make_allowance_key(organisation: ids.Organisation) -> str:
     return f'allowance/{organisation}'
