--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -101,7 +101,7 @@
         self._candidates = asked
         self._find_organisation = find_organisation
         self._is_stopping = is_stopping
-        self._count = 0
+        self._request_count = 0
         self._pending: dict[int, UnitRequest] = {}
         self._answers: collections.OrderedDict[
             tuple[int, int], float | None
@@ -128,8 +128,8 @@
         ):
             self._decide_locally(unit_request, now)
             return unit_request
-        self._count += 1
-        unit_request.number = self._count
+        self._request_count += 1
+        unit_request.number = self._request_count
         self._pending[unit_request.number] = unit_request
         self._send(unit_request, now)
         return unit_request
