--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -74,7 +74,7 @@
         own: allowances.Allowances,
         slack_units: float,
         hosts: candidates.Hosts,
-        asked: candidates.Candidates,
+        candidate_hosts: candidates.Candidates,
         find_organisation: collections.abc.Callable[
             [ids.Organisation], catalogue.Organisation | None
         ],
@@ -98,7 +98,7 @@
         self._sent_usage: quotas.Usage = {}
         self._usage_sent_at = now
         self._hosts = hosts
-        self._candidates = asked
+        self._candidates = candidate_hosts
         self._find_organisation = find_organisation
         self._is_stopping = is_stopping
         self._request_count = 0
