--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -24,7 +24,7 @@
 # take themselves for the only one. The list is read within 0.2 s of the start;
 # after this long, without the store, seeds and hints have named the others:
 # they come twice a second.
-UNLISTED_TIME = 1.0
+HOST_LIST_TIMEOUT_S = 1.0
 # Seconds after the start of a process, and beside them one turn of all far
 # hosts, in which its group has no more than an equal part. What is asked for
 # is averaged over two seconds: until all are heard with their own averages,
@@ -91,7 +91,7 @@
         return (
             self._is_listed
             or self._others.is_told_of_all()
-            or now - self._started_at >= UNLISTED_TIME
+            or now - self._started_at >= HOST_LIST_TIMEOUT_S
         )
 
     def note_listed(self) -> None:
