--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -29,7 +29,7 @@
 # hosts, in which its group has no more than an equal part. What is asked for
 # is averaged over two seconds: until all are heard with their own averages,
 # each of the groups that start together takes the others for idle.
-UNSETTLED_TIME = 3.0
+STARTUP_WINDOW_S = 3.0
 # Seconds over which the units handed out are averaged.
 USED_TIME = 1.0
 # Seconds in which another group may have handed out what it is asked for
@@ -124,7 +124,7 @@
         if not self.knows_hosts(now):
             silent = 1.0
         ahead = 0.0
-        if now - self._started_at < UNSETTLED_TIME:
+        if now - self._started_at < STARTUP_WINDOW_S:
             ahead = self._slack * AHEAD_SHARE * (1 - silent)
         return quotas.Terms(silent_share=silent, reserve=-ahead)
 
@@ -176,7 +176,7 @@
 
     def count_hosts(self, now: float) -> int:
         """Return the hosts counted on; 0 while some may not be known."""
-        if now - self._started_at < UNSETTLED_TIME:
+        if now - self._started_at < STARTUP_WINDOW_S:
             return 0
         return self._others.count_hosts()
 
@@ -224,7 +224,7 @@
         return self._has_multiple_groups() or now < self._find_settled_time()
 
     def _find_settled_time(self) -> float:
-        return self._started_at + UNSETTLED_TIME + self._others.find_turn()
+        return self._started_at + STARTUP_WINDOW_S + self._others.find_turn()
 
     def _has_heard_all(self) -> bool:
         partition = self._others.partition
@@ -259,7 +259,7 @@
         # has heard the others.
         if not self.knows_hosts(now):
             return 0.0
-        if now - self._started_at >= UNSETTLED_TIME:
+        if now - self._started_at >= STARTUP_WINDOW_S:
             return 0.0
         return self._slack * AHEAD_SHARE / self._others.count_all()
 
