--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -31,7 +31,7 @@
 # each of the groups that start together takes the others for idle.
 STARTUP_WINDOW_S = 3.0
 # Seconds over which the units handed out are averaged.
-USED_TIME = 1.0
+USAGE_DECAY_S = 1.0
 # Seconds in which another group may have handed out what it is asked for
 # before this host hears of it: the time between its messages, and the lag of
 # the average that it states.
@@ -63,7 +63,7 @@
         self._started_at = now
         self._is_listed = False
         self._group_uses = groupuses.GroupUses()
-        self._used = averages.Rates(USED_TIME)
+        self._used = averages.Rates(USAGE_DECAY_S)
 
     def set_slack(self, slack_units: float) -> None:
         """Take the operators' slack."""
