--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -35,7 +35,7 @@
 # Seconds in which another group may have handed out what it is asked for
 # before this host hears of it: the time between its messages, and the lag of
 # the average that it states.
-UNSEEN_TIME = 1.0
+REMOTE_USAGE_LAG_S = 1.0
 # Share of the operators' slack that bears what is handed out unseen. A quarter
 # is what buckets hold beyond their burst, and the last one is for hosts that
 # start.
@@ -246,7 +246,7 @@
             # one knows its own part first.
             asked = max(asked, self._find_asked(name, now) * (count - 1))
         # The operators' slack bears the first of it.
-        unseen = asked * UNSEEN_TIME - self._slack * UNSEEN_SHARE
+        unseen = asked * REMOTE_USAGE_LAG_S - self._slack * UNSEEN_SHARE
         return dataclasses.replace(
             part,
             group_part=1.0,
