--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -39,7 +39,7 @@
 # Share of the operators' slack that bears what is handed out unseen. A quarter
 # is what buckets hold beyond their burst, and the last one is for hosts that
 # start.
-UNSEEN_SHARE = 0.5
+REMOTE_USAGE_SLACK_SHARE = 0.5
 # Share of the operators' slack that all hosts together may hand out before
 # they hear each other when they start at once: they know nothing of what
 # their buckets hold, and callers come back in the first second.
@@ -246,7 +246,9 @@
             # one knows its own part first.
             asked = max(asked, self._find_asked(name, now) * (count - 1))
         # The operators' slack bears the first of it.
-        unseen = asked * REMOTE_USAGE_LAG_S - self._slack * UNSEEN_SHARE
+        unseen = (
+            asked * REMOTE_USAGE_LAG_S - self._slack * REMOTE_USAGE_SLACK_SHARE
+        )
         return dataclasses.replace(
             part,
             group_part=1.0,
