--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -43,7 +43,7 @@
 # Share of the operators' slack that all hosts together may hand out before
 # they hear each other when they start at once: they know nothing of what
 # their buckets hold, and callers come back in the first second.
-AHEAD_SHARE = 0.25
+STARTUP_SLACK_SHARE = 0.25
 
 
 @ty.final
@@ -125,7 +125,7 @@
             silent = 1.0
         ahead = 0.0
         if now - self._started_at < STARTUP_WINDOW_S:
-            ahead = self._slack * AHEAD_SHARE * (1 - silent)
+            ahead = self._slack * STARTUP_SLACK_SHARE * (1 - silent)
         return quotas.Terms(silent_share=silent, reserve=-ahead)
 
     def record_grant(
@@ -263,7 +263,7 @@
             return 0.0
         if now - self._started_at >= STARTUP_WINDOW_S:
             return 0.0
-        return self._slack * AHEAD_SHARE / self._others.count_all()
+        return self._slack * STARTUP_SLACK_SHARE / self._others.count_all()
 
     def _charge(
         self, organisation: catalogue.Organisation, units: float, now: float
