--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -57,7 +57,7 @@
         # Of the whole allowances.
         self.buckets = quotas.Quotas(slack_units, now)
         # Of the parts for this host's group; unused while there is one group.
-        self._parts = quotas.Quotas(slack_units, now)
+        self._group_buckets = quotas.Quotas(slack_units, now)
         self._slack = slack_units
         self._others = others
         self._started_at = now
@@ -69,7 +69,7 @@
         """Take the operators' slack."""
         self._slack = slack_units
         self.buckets.set_slack(slack_units)
-        self._parts.set_slack(slack_units)
+        self._group_buckets.set_slack(slack_units)
 
     # Requests of this host.
 
@@ -112,7 +112,9 @@
         whole = self._widen_terms(organisation, part, now)
         wait = self.buckets.find_wait(organisation, cost, whole, now)
         if self._keeps_parts(now):
-            short = self._parts.find_wait(organisation, cost, part, now)
+            short = self._group_buckets.find_wait(
+                organisation, cost, part, now
+            )
             wait = self._choose_way(wait, short)
         if wait is None:
             self._charge(organisation, cost, now)
@@ -139,7 +141,7 @@
         part = self.find_terms(organisation, now)
         self.buckets.find_wait(organisation, cost, part, now)
         if self._keeps_parts(now):
-            self._parts.find_wait(organisation, cost, part, now)
+            self._group_buckets.find_wait(organisation, cost, part, now)
         self._charge(organisation, cost, now)
 
     def _choose_way(
@@ -191,7 +193,7 @@
         """Take what another host handed out, or what its group does."""
         if not self._others.partition.is_near(state.host):
             self.buckets.skip(state.incarnation, state.usage)
-            self._parts.skip(state.incarnation, state.usage)
+            self._group_buckets.skip(state.incarnation, state.usage)
             group = self._others.partition.find_group(state.host)
             self._group_uses.hear(
                 group,
@@ -206,14 +208,14 @@
         lately = self.buckets.hear(state.incarnation, state.usage, now, is_new)
         if not self._keeps_parts(now):
             return
-        self._parts.hear(state.incarnation, state.usage, now, is_new)
+        self._group_buckets.hear(state.incarnation, state.usage, now, is_new)
         for name, units in lately.items():
             self._used.note(name, units, now)
 
     def forget(self, process: ids.Incarnation) -> None:
         """Drop what is kept about a process that has ended."""
         self.buckets.forget(process)
-        self._parts.forget(process)
+        self._group_buckets.forget(process)
 
     def _has_multiple_groups(self) -> bool:
         return self._others.partition.count > 1
@@ -272,8 +274,8 @@
         if not self._keeps_parts(now):
             return
         # A request that is given back may have come before the groups formed.
-        if self._parts.has_bucket(organisation.name):
-            self._parts.charge(organisation, units)
+        if self._group_buckets.has_bucket(organisation.name):
+            self._group_buckets.charge(organisation, units)
         self._used.note(organisation.name, units, now)
 
     def _find_group_part(
