--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -111,7 +111,7 @@
         """
         whole = self._widen_terms(organisation, part, now)
         wait = self.buckets.find_wait(organisation, cost, whole, now)
-        if self._keeps_parts(now):
+        if self._uses_group_buckets(now):
             short = self._group_buckets.find_wait(
                 organisation, cost, part, now
             )
@@ -140,7 +140,7 @@
         """
         part = self.find_terms(organisation, now)
         self.buckets.find_wait(organisation, cost, part, now)
-        if self._keeps_parts(now):
+        if self._uses_group_buckets(now):
             self._group_buckets.find_wait(organisation, cost, part, now)
         self._charge(organisation, cost, now)
 
@@ -206,7 +206,7 @@
         self.buckets.adopt(state.levels, now)
         is_new = state.hosts == 0
         lately = self.buckets.hear(state.incarnation, state.usage, now, is_new)
-        if not self._keeps_parts(now):
+        if not self._uses_group_buckets(now):
             return
         self._group_buckets.hear(state.incarnation, state.usage, now, is_new)
         for name, units in lately.items():
@@ -220,7 +220,7 @@
     def _has_multiple_groups(self) -> bool:
         return self._others.partition.count > 1
 
-    def _keeps_parts(self, now: float) -> bool:
+    def _uses_group_buckets(self, now: float) -> bool:
         # Also before the groups of hosts that start together have formed:
         # what was handed out until then would else be free once more.
         return self._has_multiple_groups() or now < self._find_settled_time()
@@ -271,7 +271,7 @@
         self, organisation: catalogue.Organisation, units: float, now: float
     ) -> None:
         self.buckets.charge(organisation, units)
-        if not self._keeps_parts(now):
+        if not self._uses_group_buckets(now):
             return
         # A request that is given back may have come before the groups formed.
         if self._group_buckets.has_bucket(organisation.name):
