--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -109,7 +109,7 @@
 
         ``part`` is what ``find_terms`` has found.
         """
-        whole = self._widen_terms(organisation, part, now)
+        whole = self._make_whole_terms(organisation, part, now)
         wait = self.buckets.find_wait(organisation, cost, whole, now)
         if self._uses_group_buckets(now):
             short = self._group_buckets.find_wait(
@@ -232,7 +232,7 @@
         partition = self._others.partition
         return self._group_uses.has_heard_all(partition.own, partition.count)
 
-    def _widen_terms(
+    def _make_whole_terms(
         self,
         organisation: catalogue.Organisation,
         part: quotas.Terms,
