--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -83,7 +83,7 @@
         return quotas.Terms(
             silent_share=silent,
             group_part=self._find_group_part(organisation, now),
-            reserve=-self._find_ahead(now),
+            reserve=-self._find_startup_credit(now),
         )
 
     def knows_hosts(self, now: float) -> bool:
@@ -258,7 +258,7 @@
             reserve=part.reserve + max(0.0, unseen),
         )
 
-    def _find_ahead(self, now: float) -> float:
+    def _find_startup_credit(self, now: float) -> float:
         # Units that a process that has just started may hand out before it
         # has heard the others.
         if not self.knows_hosts(now):
