--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -223,9 +223,9 @@
     def _uses_group_buckets(self, now: float) -> bool:
         # Also before the groups of hosts that start together have formed:
         # what was handed out until then would else be free once more.
-        return self._has_multiple_groups() or now < self._find_settled_time()
+        return self._has_multiple_groups() or now < self._find_settled_at()
 
-    def _find_settled_time(self) -> float:
+    def _find_settled_at(self) -> float:
         return self._started_at + STARTUP_WINDOW_S + self._others.find_turn()
 
     def _has_heard_all(self) -> bool:
@@ -243,7 +243,7 @@
             return part
         name, count = organisation.name, self._others.partition.count
         asked = self._group_uses.sum_asked(name, count)
-        if now < self._find_settled_time():
+        if now < self._find_settled_at():
             # In all groups that started together it rises at once, and this
             # one knows its own part first.
             asked = max(asked, self._find_asked(name, now) * (count - 1))
@@ -286,7 +286,7 @@
             return 1.0
         asked = self._find_asked(organisation.name, now)
         part = self._group_uses.find_part(organisation, asked, count)
-        if now < self._find_settled_time():
+        if now < self._find_settled_at():
             return min(part, 1 / count)
         return part
 
