--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -115,7 +115,7 @@
             short = self._group_buckets.find_wait(
                 organisation, cost, part, now
             )
-            wait = self._choose_way(wait, short)
+            wait = self._combine_waits(wait, short)
         if wait is None:
             self._charge(organisation, cost, now)
         return wait
@@ -144,7 +144,7 @@
             self._group_buckets.find_wait(organisation, cost, part, now)
         self._charge(organisation, cost, now)
 
-    def _choose_way(
+    def _combine_waits(
         self, wait: float | None, short: float | None
     ) -> float | None:
         # Either the whole allowance or the group's part is enough.
