--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -112,10 +112,10 @@
         whole = self._make_whole_terms(organisation, part, now)
         wait = self.buckets.find_wait(organisation, cost, whole, now)
         if self._uses_group_buckets(now):
-            short = self._group_buckets.find_wait(
+            group_wait = self._group_buckets.find_wait(
                 organisation, cost, part, now
             )
-            wait = self._combine_waits(wait, short)
+            wait = self._combine_waits(wait, group_wait)
         if wait is None:
             self._charge(organisation, cost, now)
         return wait
@@ -145,14 +145,14 @@
         self._charge(organisation, cost, now)
 
     def _combine_waits(
-        self, wait: float | None, short: float | None
+        self, wait: float | None, group_wait: float | None
     ) -> float | None:
         # Either the whole allowance or the group's part is enough.
         if not self._has_multiple_groups():
             return wait
-        if short is None or not self._has_heard_all():
-            return short
-        return None if wait is None else min(wait, short)
+        if group_wait is None or not self._has_heard_all():
+            return group_wait
+        return None if wait is None else min(wait, group_wait)
 
     def give_back(
         self, organisation: catalogue.Organisation, cost: float, now: float
