--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -82,7 +82,7 @@
             silent = 1.0
         return quotas.Terms(
             silent_share=silent,
-            group_part=self._find_group_part(organisation, now),
+            group_part=self._find_group_share(organisation, now),
             reserve=-self._find_startup_credit(now),
         )
 
@@ -278,7 +278,7 @@
             self._group_buckets.charge(organisation, units)
         self._used.note(organisation.name, units, now)
 
-    def _find_group_part(
+    def _find_group_share(
         self, organisation: catalogue.Organisation, now: float
     ) -> float:
         count = self._others.partition.count
