--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -246,7 +246,7 @@
         if now < self._find_settled_at():
             # In all groups that started together it rises at once, and this
             # one knows its own part first.
-            asked = max(asked, self._find_asked(name, now) * (count - 1))
+            asked = max(asked, self._find_group_asked(name, now) * (count - 1))
         # The operators' slack bears the first of it.
         unseen = (
             asked * REMOTE_USAGE_LAG_S - self._slack * REMOTE_USAGE_SLACK_SHARE
@@ -284,13 +284,13 @@
         count = self._others.partition.count
         if count == 1:
             return 1.0
-        asked = self._find_asked(organisation.name, now)
+        asked = self._find_group_asked(organisation.name, now)
         part = self._group_uses.find_part(organisation, asked, count)
         if now < self._find_settled_at():
             return min(part, 1 / count)
         return part
 
-    def _find_asked(self, name: ids.Organisation, now: float) -> float:
+    def _find_group_asked(self, name: ids.Organisation, now: float) -> float:
         # Units asked for a second in this host's group.
         return self.buckets.find_asked(name, now) + sum(
             peer.asked.get(name, 0.0) for peer in self._others.list_near()
