--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -94,7 +94,7 @@
             or now - self._started_at >= HOST_LIST_TIMEOUT_S
         )
 
-    def note_listed(self) -> None:
+    def mark_hosts_listed(self) -> None:
         """Say that the other hosts were read from the store's list."""
         self._is_listed = True
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -533,7 +533,7 @@
                 )
                 continue
             self._mesh.seek(address)
-        self._allowances.note_listed()
+        self._allowances.mark_hosts_listed()
 
     # States of hosts.
 
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -207,7 +207,7 @@
             elif kind == 'list':
                 for known in self.hosts:
                     host.others.seek(known)
-                host.shared.note_listed()
+                host.shared.mark_hosts_listed()
             else:
                 self.tell(host, kind, now)
 
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -6,23 +6,16 @@
 
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import clocks
-from apricotlanding import ids
-from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.process import hoststates
-from apricotlandingd.gateway.replication import freshness
-from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
 import gatewayparts
 import manyhosts
 import test_foreign_messages
+from apricotlanding import addresses, clocks, ids
+from apricotlandingd.gateway import catalogue
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.hosts import allowances, candidates, mesh
+from apricotlandingd.gateway.process import hoststates
+from apricotlandingd.gateway.replication import freshness, records
+from apricotlandingd.gateway.runners import directory, health, pace
 
 HOSTS = 40
 RATE = BURST = 2000.0
@@ -109,7 +102,7 @@
         # that had no bucket yet, after the hosts of a new group were heard.
         others = make_mesh()
         shared = allowances.Allowances(SLACK, others, 0.0)
-        shared.note_listed()
+        shared.mark_hosts_listed()
         now = 60.0
         organisation = PRESSING.organisation
         terms = shared.find_terms(organisation, now)
@@ -139,7 +132,7 @@
         others = make_mesh()
         shared = allowances.Allowances(SLACK, others, 0.0)
         others.on_state = shared.apply_state
-        shared.note_listed()
+        shared.mark_hosts_listed()
         for number in range(1, 24):
             host = ids.Host(f'host-{number}')
             self.tell(others, host, 1, 60.0, hosts=24)
@@ -212,7 +205,7 @@
         now = clocks.read_monotonic()
         others = make_mesh()
         shared = allowances.Allowances(SLACK, others, now - 100.0)
-        shared.note_listed()
+        shared.mark_hosts_listed()
         for number in range(1, 24):
             host = ids.Host(f'host-{number}')
             state = test_foreign_messages.make_state(
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -65,7 +65,7 @@
         assert address is not None
         others = mesh.Mesh(host, address, (), random.Random(1))
         own = allowances.Allowances(SLACK, others, 0.0)
-        own.note_listed()
+        own.mark_hosts_listed()
         return sharedallowances.SharedAllowances(
             host,
             address,
