--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -265,7 +265,11 @@
             return 0.0
         if now - self._started_at >= STARTUP_WINDOW_S:
             return 0.0
-        return self._slack * STARTUP_SLACK_SHARE / self._others.count_all()
+        return (
+            self._slack
+            * STARTUP_SLACK_SHARE
+            / self._others.count_possible_hosts()
+        )
 
     def _charge(
         self, organisation: catalogue.Organisation, units: float, now: float
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -225,9 +225,11 @@
         knows nobody.
         """
         known = 1 + len(self.peers)
-        return 1 - (1 - self._silent_share) * known / self.count_all()
+        return (
+            1 - (1 - self._silent_share) * known / self.count_possible_hosts()
+        )
 
-    def count_all(self) -> int:
+    def count_possible_hosts(self) -> int:
         """Return the hosts that there may be, heard or not."""
         told = max(
             (peer.state.hosts for peer in self.peers.values()), default=0
