--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -90,7 +90,7 @@
         """Tell whether this host knows how many others there are."""
         return (
             self._is_listed
-            or self._others.is_told_of_all()
+            or self._others.has_reported_host_count()
             or now - self._started_at >= HOST_LIST_TIMEOUT_S
         )
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -236,7 +236,7 @@
         )
         return max(1 + len(self.peers) + len(self._sought), told)
 
-    def is_told_of_all(self) -> bool:
+    def has_reported_host_count(self) -> bool:
         """Tell whether a peer has said how many hosts there are."""
         return any(peer.state.hosts > 0 for peer in self.peers.values())
 
