--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -77,7 +77,7 @@
         self, organisation: catalogue.Organisation, now: float
     ) -> quotas.Terms:
         """Return which part of an allowance is for this host's group."""
-        silent = self._others.find_unheard_share()
+        silent = self._others.find_unreachable_share()
         if not self.knows_hosts(now):
             silent = 1.0
         return quotas.Terms(
@@ -122,7 +122,7 @@
 
     def find_coordinator_terms(self, now: float) -> quotas.Terms:
         """Return what a host that keeps an allowance for all may count on."""
-        silent = self._others.find_unheard_share()
+        silent = self._others.find_unreachable_share()
         if not self.knows_hosts(now):
             silent = 1.0
         ahead = 0.0
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -217,7 +217,7 @@
         """
         return FAR_INTERVAL * len(self.peers)
 
-    def find_unheard_share(self) -> float:
+    def find_unreachable_share(self) -> float:
         """Return the share of this host's group that may act unheard.
 
         Beside the silent ones these are hosts that this one looks for and has
