--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -226,7 +226,11 @@
         return self._has_multiple_groups() or now < self._find_settled_at()
 
     def _find_settled_at(self) -> float:
-        return self._started_at + STARTUP_WINDOW_S + self._others.find_turn()
+        return (
+            self._started_at
+            + STARTUP_WINDOW_S
+            + self._others.find_far_interval()
+        )
 
     def _has_heard_all(self) -> bool:
         partition = self._others.partition
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -210,7 +210,7 @@
         """Return the share of this host's group that is not heard."""
         return self._silent_share
 
-    def find_turn(self) -> float:
+    def find_far_interval(self) -> float:
         """Return the seconds until a far peer sends here again.
 
         That is if it knows as many hosts as this one.
@@ -385,7 +385,7 @@
         """Leave silent peers out, and forget those that stay silent."""
         count = len(self.peers)
         for host, peer in list(self.peers.items()):
-            turn = 0.0 if peer.is_near else self.find_turn()
+            turn = 0.0 if peer.is_near else self.find_far_interval()
             passed = now - peer.heard_at
             quiet = now - max(peer.heard_at, peer.near_at)
             if not peer.is_silent and quiet > SILENT_AFTER + 2 * turn:
