--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
@@ -22,9 +22,7 @@
 import pydantic
 import xxhash
 
-from apricotlanding import addresses
-from apricotlanding import codec
-from apricotlanding import ids
+from apricotlanding import addresses, codec, ids
 from apricotlandingd.gateway.decisions import waiting
 
 __all__ = [
@@ -43,7 +41,7 @@
 registry = codec.Registry('gateway message')
 
 # Largest whole number: what the platform's store can count to.
-LARGEST: ty.Final = 2**63 - 1
+MAX_INT: ty.Final = 2**63 - 1
 # Largest number of units; sums over all hosts and seconds stay finite.
 LARGEST_UNITS: ty.Final = 1e15
 # Longest text of an address: an IPv6 number in brackets with its port.
@@ -95,11 +93,11 @@
     return rank
 
 
-Count = ty.Annotated[int, pydantic.Field(ge=0, le=LARGEST)]
+Count = ty.Annotated[int, pydantic.Field(ge=0, le=MAX_INT)]
 Digest = ty.Annotated[int, pydantic.Field(ge=0, lt=2**64)]
 Offset = Count
 # Milliseconds; ``freshness`` takes one below zero for none.
-Age = ty.Annotated[int, pydantic.Field(ge=-LARGEST, le=LARGEST)]
+Age = ty.Annotated[int, pydantic.Field(ge=-MAX_INT, le=MAX_INT)]
 # Total of units; a request that is given back may leave it a hair below 0.
 Units = ty.Annotated[float, pydantic.Field(ge=-1.0, le=LARGEST_UNITS)]
 # Units left in a bucket; below zero after an overrun.
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/placemessages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/placemessages.py
@@ -32,7 +32,7 @@
 
 Count = messages.Count
 Digest = messages.Digest
-Tier = ty.Annotated[int, pydantic.Field(ge=-1, le=messages.LARGEST)]
+Tier = ty.Annotated[int, pydantic.Field(ge=-1, le=messages.MAX_INT)]
 Time = ty.Annotated[float, pydantic.Field(ge=-LONGEST, le=LONGEST)]
 Duration = ty.Annotated[float, pydantic.Field(ge=0.0, le=LONGEST)]
 Events = ty.Annotated[float, pydantic.Field(ge=0.0, le=1e12)]
