--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowancemessages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowancemessages.py
@@ -16,7 +16,7 @@
 
 __all__ = ['AllowanceReply', 'AllowanceRequest', 'UsageUpdate']
 
-Cost = ty.Annotated[float, pydantic.Field(ge=0.0, le=messages.LARGEST_UNITS)]
+Cost = ty.Annotated[float, pydantic.Field(ge=0.0, le=messages.MAX_UNITS)]
 
 
 @messages.registry.register(8)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
@@ -43,7 +43,7 @@
 # Largest whole number: what the platform's store can count to.
 MAX_INT: ty.Final = 2**63 - 1
 # Largest number of units; sums over all hosts and seconds stay finite.
-LARGEST_UNITS: ty.Final = 1e15
+MAX_UNITS: ty.Final = 1e15
 # Longest text of an address: an IPv6 number in brackets with its port.
 ADDRESS_LENGTH: ty.Final = 64
 # Most other hosts that one message names; this project's hosts name three.
@@ -99,13 +99,11 @@
 # Milliseconds; ``freshness`` takes one below zero for none.
 Age = ty.Annotated[int, pydantic.Field(ge=-MAX_INT, le=MAX_INT)]
 # Total of units; a request that is given back may leave it a hair below 0.
-Units = ty.Annotated[float, pydantic.Field(ge=-1.0, le=LARGEST_UNITS)]
+Units = ty.Annotated[float, pydantic.Field(ge=-1.0, le=MAX_UNITS)]
 # Units left in a bucket; below zero after an overrun.
-Level = ty.Annotated[
-    float, pydantic.Field(ge=-LARGEST_UNITS, le=LARGEST_UNITS)
-]
+Level = ty.Annotated[float, pydantic.Field(ge=-MAX_UNITS, le=MAX_UNITS)]
 # Units a second.
-Rate = ty.Annotated[float, pydantic.Field(ge=0.0, le=LARGEST_UNITS)]
+Rate = ty.Annotated[float, pydantic.Field(ge=0.0, le=MAX_UNITS)]
 AddressText = ty.Annotated[
     str,
     pydantic.Field(max_length=ADDRESS_LENGTH),
