--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
@@ -45,7 +45,7 @@
 # Largest number of units; sums over all hosts and seconds stay finite.
 MAX_UNITS: ty.Final = 1e15
 # Longest text of an address: an IPv6 number in brackets with its port.
-ADDRESS_LENGTH: ty.Final = 64
+MAX_ADDRESS_CHARS: ty.Final = 64
 # Most other hosts that one message names; this project's hosts name three.
 MOST_HINTS: ty.Final = 16
 
@@ -106,7 +106,7 @@
 Rate = ty.Annotated[float, pydantic.Field(ge=0.0, le=MAX_UNITS)]
 AddressText = ty.Annotated[
     str,
-    pydantic.Field(max_length=ADDRESS_LENGTH),
+    pydantic.Field(max_length=MAX_ADDRESS_CHARS),
     pydantic.AfterValidator(_check_address),
 ]
 CheckedRank = ty.Annotated[waiting.Rank, pydantic.AfterValidator(_check_rank)]
