--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -70,7 +70,7 @@
 # Ranks and hints in one message: a datagram of a busy host stays below
 # 1,400 bytes, so that it is not cut into fragments.
 RANKS = 8
-HINTS = 3
+HINTS_PER_MESSAGE = 3
 # Ended processes that are remembered.
 ENDED = 200
 
@@ -609,7 +609,7 @@
     def _write_state(self, scope: Scope) -> bytes:
         self._number += 1
         known = list(self.peers.values())
-        hinted = self._spread.sample(known, min(HINTS, len(known)))
+        hinted = self._spread.sample(known, min(HINTS_PER_MESSAGE, len(known)))
         hints = {peer.state.host: peer.state.state_address for peer in hinted}
         state = self.make_state(self._number, scope, hints)
         return messages.registry.encode(state)
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -97,7 +97,7 @@
         group_used = quotas.Usage()
         if scope is mesh.Scope.FAR:
             group_used = self.shared.list_used(now)
-        known = list(self.others.peers.values())[-mesh.HINTS :]
+        known = list(self.others.peers.values())[-mesh.HINTS_PER_MESSAGE :]
         hints = {peer.state.host: peer.state.state_address for peer in known}
         return messages.HostState(
             host=self.name,
