--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -69,7 +69,7 @@
 SEARCH_TRIES = 20
 # Ranks and hints in one message: a datagram of a busy host stays below
 # 1,400 bytes, so that it is not cut into fragments.
-RANKS = 8
+RANKS_PER_MESSAGE = 8
 HINTS_PER_MESSAGE = 3
 # Ended processes that are remembered.
 ENDED = 200
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -6,17 +6,11 @@
 import collections.abc
 import typing as ty
 
-from apricotlanding import clocks
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
+from apricotlanding import clocks, ids
+from apricotlandingd.gateway.decisions import quotas, scheduler, waiting
+from apricotlandingd.gateway.hosts import allowances, mesh, messages
 from apricotlandingd.gateway.process import settings
-from apricotlandingd.gateway.replication import freshness
-from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.replication import freshness, records
 
 __all__ = ['HostStates']
 
@@ -122,7 +116,9 @@
 
     def _list_ranks(self, now: float) -> dict[ids.Pool, list[waiting.Rank]]:
         return {
-            service: [rank.shift(-now) for rank in items[: mesh.RANKS]]
+            service: [
+                rank.shift(-now) for rank in items[: mesh.RANKS_PER_MESSAGE]
+            ]
             for service, items in self._schedule.list_waiting(now).items()
         }
 
