--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
@@ -47,7 +47,7 @@
 # Longest text of an address: an IPv6 number in brackets with its port.
 MAX_ADDRESS_CHARS: ty.Final = 64
 # Most other hosts that one message names; this project's hosts name three.
-MOST_HINTS: ty.Final = 16
+MAX_HINTS: ty.Final = 16
 
 
 @functools.lru_cache(maxsize=8192)
@@ -111,7 +111,7 @@
 ]
 CheckedRank = ty.Annotated[waiting.Rank, pydantic.AfterValidator(_check_rank)]
 Hints = ty.Annotated[
-    dict[ids.Host, AddressText], pydantic.Field(max_length=MOST_HINTS)
+    dict[ids.Host, AddressText], pydantic.Field(max_length=MAX_HINTS)
 ]
 
 
