--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/placemessages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/placemessages.py
@@ -24,7 +24,7 @@
 ]
 
 # Most entries of one kind in a message.
-MOST_ENTRIES: ty.Final = 1024
+MAX_ENTRIES: ty.Final = 1024
 # Longest time in a message, seconds.
 LONGEST: ty.Final = 1e6
 # Longest id of a part of a prompt.
@@ -77,7 +77,7 @@
     ahead: Count
 
 
-Bounded = pydantic.Field(max_length=MOST_ENTRIES)
+Bounded = pydantic.Field(max_length=MAX_ENTRIES)
 
 
 @messages.registry.register(6)
