--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -342,7 +342,7 @@
                 continue
             refused[number] = placemessages.Refused(
                 decision.return_s,
-                min(decision.wait_s, placemessages.LONGEST),
+                min(decision.wait_s, placemessages.MAX_SECONDS),
                 decision.ahead,
             )
         return placemessages.PlaceReply(
