--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -488,7 +488,7 @@
             ends_in=ticket.ends_at - now,
             prompt_tokens=ticket.prompt_tokens,
             events=ticket.events,
-            last_part=ticket.last_part[: placemessages.PART_LENGTH],
+            last_part=ticket.last_part[: placemessages.MAX_PART_CHARS],
             coordinators=len(item.asked),
             excluded=sorted(excluded | item.unknown),
         )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/placemessages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/placemessages.py
@@ -28,7 +28,7 @@
 # Longest time in a message, seconds.
 MAX_SECONDS: ty.Final = 1e6
 # Longest id of a part of a prompt.
-PART_LENGTH: ty.Final = 256
+MAX_PART_CHARS: ty.Final = 256
 
 Count = messages.Count
 Digest = messages.Digest
@@ -36,7 +36,7 @@
 Time = ty.Annotated[float, pydantic.Field(ge=-MAX_SECONDS, le=MAX_SECONDS)]
 Duration = ty.Annotated[float, pydantic.Field(ge=0.0, le=MAX_SECONDS)]
 Events = ty.Annotated[float, pydantic.Field(ge=0.0, le=1e12)]
-Part = ty.Annotated[str, pydantic.Field(max_length=PART_LENGTH)]
+Part = ty.Annotated[str, pydantic.Field(max_length=MAX_PART_CHARS)]
 
 
 class Seen(ty.NamedTuple):
