--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -364,7 +364,7 @@
         self,
         schedule: _Schedule,
         request: placemessages.PlaceRequest,
-        item: placemessages.Seen,
+        item: placemessages.RunnerObservation,
         now: float,
     ) -> None:
         start = self._starts.find(item.runner)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -74,7 +74,9 @@
     awaited_number: int = 0
     unanswered_at: float | None = None
     wanted: set[int] = dataclasses.field(default_factory=set)
-    seen: list[placemessages.Seen] = dataclasses.field(default_factory=list)
+    seen: list[placemessages.RunnerObservation] = dataclasses.field(
+        default_factory=list
+    )
     # Free places by the last reply, and when it came.
     free: int = 0
     heard_at: float | None = None
@@ -203,7 +205,7 @@
         link = self._get_link(subset, now)
         if len(link.seen) < MAX_UNSENT_OBSERVATIONS:
             runner = messages.digest_start(start)
-            link.seen.append(placemessages.Seen(runner, *seen))
+            link.seen.append(placemessages.RunnerObservation(runner, *seen))
 
     def note_load(
         self, start: ids.RunnerStart, load: tuple[int, int], now: float
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/placemessages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/placemessages.py
@@ -19,7 +19,7 @@
     'PlaceReply',
     'PlaceRequest',
     'Refused',
-    'Seen',
+    'RunnerObservation',
     'Wanted',
 ]
 
@@ -39,7 +39,7 @@
 Part = ty.Annotated[str, pydantic.Field(max_length=MAX_PART_CHARS)]
 
 
-class Seen(ty.NamedTuple):
+class RunnerObservation(ty.NamedTuple):
     """One thing that a host has seen of a runner; see ``observations``."""
 
     # Digest of the runner's start.
@@ -100,7 +100,7 @@
     wanted: ty.Annotated[dict[Count, Wanted], Bounded]
     # Digest of the runner's start, by the number of the place.
     held: ty.Annotated[dict[Count, Digest], Bounded]
-    seen: ty.Annotated[list[Seen], Bounded]
+    seen: ty.Annotated[list[RunnerObservation], Bounded]
     # An answer is expected, also without a decision.
     wants_reply: bool
 
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -185,7 +185,7 @@
     },
     held={3: messages.digest_start(gatewayparts.make_start('i-1'))},
     seen=[
-        placemessages.Seen(
+        placemessages.RunnerObservation(
             messages.digest_start(gatewayparts.make_start('i-1')),
             kind,
             5,
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -198,7 +198,7 @@
             wanted={},
             held={},
             seen=[
-                placemessages.Seen(
+                placemessages.RunnerObservation(
                     messages.digest_start(self.runner), kind, 0, 3.0, ''
                 )
             ],
