--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/groups.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/groups.py
@@ -9,7 +9,7 @@
 Every host computes the groups alone, from the names of the hosts that it
 knows. Views that differ for a moment differ by the few hosts at the edges.
 
-Up to ``GROUP_HOSTS`` and a half of them there is one group, and this module
+Up to ``GROUP_TARGET_HOSTS`` and a half of them there is one group, and this module
 changes nothing.
 """
 
@@ -24,7 +24,7 @@
 __all__ = ['Partition', 'make_partition']
 
 # Hosts in a group: each hears all others of its group several times a second.
-GROUP_HOSTS = 12
+GROUP_TARGET_HOSTS = 12
 # What a group may use of a runner without a coordinator, as a multiple of its
 # equal share: groups seldom need the most at the same moment.
 SHARED_PART = 1.5
@@ -74,7 +74,7 @@
     moves only the edges.
     """
     hosts = sorted([own, *others], key=_rate)
-    count = max(1, round(len(hosts) / GROUP_HOSTS))
+    count = max(1, round(len(hosts) / GROUP_TARGET_HOSTS))
     groups = {
         host: place * count // len(hosts) for place, host in enumerate(hosts)
     }
