--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/groups.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/groups.py
@@ -27,7 +27,7 @@
 GROUP_TARGET_HOSTS = 12
 # What a group may use of a runner without a coordinator, as a multiple of its
 # equal share: groups seldom need the most at the same moment.
-SHARED_PART = 1.5
+GROUP_SHARE_RATIO = 1.5
 
 
 @ty.final
@@ -62,7 +62,7 @@
         return [self._limit_slots(entry) for entry in entries]
 
     def _limit_slots(self, entry: dialect.RunnerEntry) -> dialect.RunnerEntry:
-        part = entry.slots * SHARED_PART / self.count
+        part = entry.slots * GROUP_SHARE_RATIO / self.count
         return dataclasses.replace(entry, slots=max(1, round(part)))
 
 
