--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/groups.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/groups.py
@@ -73,7 +73,7 @@
     equal size, so that a group mixes failure domains, and a host more or less
     moves only the edges.
     """
-    hosts = sorted([own, *others], key=_rate)
+    hosts = sorted([own, *others], key=_hash_name)
     count = max(1, round(len(hosts) / GROUP_TARGET_HOSTS))
     groups = {
         host: place * count // len(hosts) for place, host in enumerate(hosts)
@@ -81,5 +81,5 @@
     return Partition(count, groups[own], groups)
 
 
-def _rate(name: str) -> int:
+def _hash_name(name: str) -> int:
     return xxhash.xxh3_64_intdigest(name.encode())
