--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -40,7 +40,7 @@
 __all__ = ['Mesh', 'Peer', 'Scope']
 
 # Seconds between messages to near peers when nothing changes.
-HEARTBEAT = 0.25
+HEARTBEAT_INTERVAL_S = 0.25
 # Least seconds between messages to near peers, for the square of their
 # number, as the messages in a group grow.
 INTERVAL_A_SQUARE = 0.0005
@@ -529,7 +529,7 @@
 
     async def _tell_near(self) -> None:
         while True:
-            with anyio.move_on_after(HEARTBEAT):
+            with anyio.move_on_after(HEARTBEAT_INTERVAL_S):
                 await self._changed.wait()
             self._changed = anyio.Event()
             now = clocks.read_monotonic()
@@ -543,7 +543,7 @@
             for peer in near:
                 self._send(data, peer.address)
             pause = INTERVAL_A_SQUARE * len(near) ** 2
-            await anyio.sleep(min(HEARTBEAT, pause))
+            await anyio.sleep(min(HEARTBEAT_INTERVAL_S, pause))
 
     async def _tell_far(self) -> None:
         turn: collections.deque[ids.Host] = collections.deque()
