--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -43,7 +43,7 @@
 HEARTBEAT_INTERVAL_S = 0.25
 # Least seconds between messages to near peers, for the square of their
 # number, as the messages in a group grow.
-INTERVAL_A_SQUARE = 0.0005
+SQUARED_PEERS_INTERVAL_S = 0.0005
 # Seconds between messages to far peers, each of which gets one in its turn: of
 # four groups, a host hears each other one about three times a second.
 FAR_INTERVAL = 0.1
@@ -542,7 +542,7 @@
             near = [peer for peer in self.peers.values() if peer.is_near]
             for peer in near:
                 self._send(data, peer.address)
-            pause = INTERVAL_A_SQUARE * len(near) ** 2
+            pause = SQUARED_PEERS_INTERVAL_S * len(near) ** 2
             await anyio.sleep(min(HEARTBEAT_INTERVAL_S, pause))
 
     async def _tell_far(self) -> None:
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -291,7 +291,7 @@
         peers = list(host.others.peers.values())
         near = [peer.address for peer in peers if peer.is_near]
         if kind == 'near':
-            pause = max(0.01, mesh.INTERVAL_A_SQUARE * len(near) ** 2)
+            pause = max(0.01, mesh.SQUARED_PEERS_INTERVAL_S * len(near) ** 2)
             change: object = host.make_change()
             if self.spread.random() < WHOLE_PART:
                 change = host.make_state(now, mesh.Scope.WHOLE)
