--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -46,7 +46,7 @@
 SQUARED_PEERS_INTERVAL_S = 0.0005
 # Seconds between messages to far peers, each of which gets one in its turn: of
 # four groups, a host hears each other one about three times a second.
-FAR_INTERVAL = 0.1
+FAR_INTERVAL_S = 0.1
 # Seconds without a message after which a peer counts as silent: it missed
 # two heartbeats and most of a third.
 SILENT_AFTER = 0.7
@@ -215,7 +215,7 @@
 
         That is if it knows as many hosts as this one.
         """
-        return FAR_INTERVAL * len(self.peers)
+        return FAR_INTERVAL_S * len(self.peers)
 
     def find_unreachable_share(self) -> float:
         """Return the share of this host's group that may act unheard.
@@ -548,7 +548,7 @@
     async def _tell_far(self) -> None:
         turn: collections.deque[ids.Host] = collections.deque()
         while True:
-            await anyio.sleep(FAR_INTERVAL)
+            await anyio.sleep(FAR_INTERVAL_S)
             if not turn:
                 turn.extend(self._list_far())
             if not turn:
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -297,7 +297,7 @@
                 change = host.make_state(now, mesh.Scope.WHOLE)
             self.send(change, near, now)
         elif kind == 'far':
-            pause = mesh.FAR_INTERVAL
+            pause = mesh.FAR_INTERVAL_S
             state = host.make_state(now, mesh.Scope.FAR)
             self.send(state, host.choose_far(), now)
         else:
