--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -49,7 +49,7 @@
 FAR_INTERVAL_S = 0.1
 # Seconds without a message after which a peer counts as silent: it missed
 # two heartbeats and most of a third.
-SILENT_AFTER = 0.7
+SILENT_TIMEOUT_S = 0.7
 # Seconds without a message after which a peer is dropped. Until then its
 # share of places and allowances stays reserved: a host that cannot be heard
 # may go on serving callers.
@@ -388,12 +388,12 @@
             turn = 0.0 if peer.is_near else self.find_far_interval()
             passed = now - peer.heard_at
             quiet = now - max(peer.heard_at, peer.near_at)
-            if not peer.is_silent and quiet > SILENT_AFTER + 2 * turn:
+            if not peer.is_silent and quiet > SILENT_TIMEOUT_S + 2 * turn:
                 peer.is_silent = True
                 self.changes += 1
                 self._count()
                 eliot.log_message('gateway:peer_silent', peer=host)
-            limit = SILENT_AFTER if peer.state.is_stopping else DROP_AFTER
+            limit = SILENT_TIMEOUT_S if peer.state.is_stopping else DROP_AFTER
             if passed <= limit + 4 * turn:
                 continue
             del self.peers[host]
