--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -53,7 +53,7 @@
 # Seconds without a message after which a peer is dropped. Until then its
 # share of places and allowances stays reserved: a host that cannot be heard
 # may go on serving callers.
-DROP_AFTER = 20.0
+DROP_TIMEOUT_S = 20.0
 # Seconds between whole states to near peers. What the others leave out serves
 # averages over seconds, or newcomers.
 WHOLE_INTERVAL = 0.5
@@ -393,7 +393,9 @@
                 self.changes += 1
                 self._count()
                 eliot.log_message('gateway:peer_silent', peer=host)
-            limit = SILENT_TIMEOUT_S if peer.state.is_stopping else DROP_AFTER
+            limit = (
+                SILENT_TIMEOUT_S if peer.state.is_stopping else DROP_TIMEOUT_S
+            )
             if passed <= limit + 4 * turn:
                 continue
             del self.peers[host]
