--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -56,7 +56,7 @@
 DROP_TIMEOUT_S = 20.0
 # Seconds between whole states to near peers. What the others leave out serves
 # averages over seconds, or newcomers.
-WHOLE_INTERVAL = 0.5
+WHOLE_STATE_INTERVAL_S = 0.5
 # Seconds for which a process that was first heard is new: it gets at least two
 # whole states in this time.
 NEW_TIME = 1.5
@@ -536,7 +536,7 @@
             self._changed = anyio.Event()
             now = clocks.read_monotonic()
             self.drop_silent(now)
-            if now - self._whole_at > WHOLE_INTERVAL:
+            if now - self._whole_at > WHOLE_STATE_INTERVAL_S:
                 self._whole_at = now
                 data = self._write_state(Scope.WHOLE)
             else:
