--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -59,7 +59,7 @@
 WHOLE_STATE_INTERVAL_S = 0.5
 # Seconds for which a process that was first heard is new: it gets at least two
 # whole states in this time.
-NEW_TIME = 1.5
+NEW_PEER_WINDOW_S = 1.5
 # Seconds between tries to reach hosts that were never heard.
 SEARCH_INTERVAL = 0.5
 # Least seconds between messages to hosts that are new here: many become known
@@ -243,7 +243,7 @@
     def has_new_peer(self, now: float) -> bool:
         """Tell whether a near peer was first heard a moment ago."""
         return any(
-            peer.is_near and now - peer.first_at < NEW_TIME
+            peer.is_near and now - peer.first_at < NEW_PEER_WINDOW_S
             for peer in self.peers.values()
         )
 
