--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -61,7 +61,7 @@
 # whole states in this time.
 NEW_PEER_WINDOW_S = 1.5
 # Seconds between tries to reach hosts that were never heard.
-SEARCH_INTERVAL = 0.5
+PROBE_INTERVAL_S = 0.5
 # Least seconds between messages to hosts that are new here: many become known
 # at once, and one message is written for all of them.
 CONTACT_PAUSE = 0.02
@@ -573,7 +573,7 @@
             now = clocks.read_monotonic()
             targets, self._urgent = self._urgent, set()
             if now >= due_at:
-                due_at = now + SEARCH_INTERVAL
+                due_at = now + PROBE_INTERVAL_S
                 targets.update(self._list_tries())
             if targets:
                 data = self._write_state(Scope.SOUGHT)
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -301,7 +301,7 @@
             state = host.make_state(now, mesh.Scope.FAR)
             self.send(state, host.choose_far(), now)
         else:
-            pause = mesh.SEARCH_INTERVAL
+            pause = mesh.PROBE_INTERVAL_S
             state = host.make_state(now, mesh.Scope.SOUGHT)
             sought = [
                 item
