--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -64,7 +64,7 @@
 PROBE_INTERVAL_S = 0.5
 # Least seconds between messages to hosts that are new here: many become known
 # at once, and one message is written for all of them.
-CONTACT_PAUSE = 0.02
+MIN_PROBE_INTERVAL_S = 0.02
 # Tries after which a host that never answered is given up.
 SEARCH_TRIES = 20
 # Ranks and hints in one message: a datagram of a busy host stays below
@@ -579,7 +579,7 @@
                 data = self._write_state(Scope.SOUGHT)
                 for address in targets:
                     self._send(data, address)
-            await anyio.sleep(CONTACT_PAUSE)
+            await anyio.sleep(MIN_PROBE_INTERVAL_S)
             self._searched = anyio.Event()
             if self._urgent:
                 continue
