--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -66,7 +66,7 @@
 # at once, and one message is written for all of them.
 MIN_PROBE_INTERVAL_S = 0.02
 # Tries after which a host that never answered is given up.
-SEARCH_TRIES = 20
+MAX_PROBES = 20
 # Ranks and hints in one message: a datagram of a busy host stays below
 # 1,400 bytes, so that it is not cut into fragments.
 RANKS_PER_MESSAGE = 8
@@ -289,7 +289,7 @@
         """Try to reach a host at an address."""
         if address == self._address or address in self._sought:
             return
-        self._sought[address] = SEARCH_TRIES
+        self._sought[address] = MAX_PROBES
         self._contact(address)
 
     def _contact(self, address: addresses.Address) -> None:
