--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -72,7 +72,7 @@
 RANKS_PER_MESSAGE = 8
 HINTS_PER_MESSAGE = 3
 # Ended processes that are remembered.
-ENDED = 200
+MAX_ENDED_PROCESSES = 200
 
 
 class Scope(enum.Enum):
@@ -158,7 +158,7 @@
         self._whole_at = 0.0
         # Processes that have been followed by another one on their host.
         self._ended: collections.deque[ids.Incarnation] = collections.deque(
-            maxlen=ENDED
+            maxlen=MAX_ENDED_PROCESSES
         )
         # Filled in by the daemon.
         self.make_state: collections.abc.Callable[
