--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -103,7 +103,7 @@
     # Is in this host's group.
     is_near: bool
     # When this process of the host was first heard.
-    first_at: float
+    first_heard_at: float
     # When it came into the group: before, it sent rarely.
     near_at: float = 0.0
     # Units asked for a second there, by the last state that said so.
@@ -243,7 +243,7 @@
     def has_new_peer(self, now: float) -> bool:
         """Tell whether a near peer was first heard a moment ago."""
         return any(
-            peer.is_near and now - peer.first_at < NEW_PEER_WINDOW_S
+            peer.is_near and now - peer.first_heard_at < NEW_PEER_WINDOW_S
             for peer in self.peers.values()
         )
 
@@ -367,7 +367,7 @@
         if known is not None:
             peer.near_at = known.near_at
             if is_same:
-                peer.first_at = known.first_at
+                peer.first_heard_at = known.first_heard_at
             peer.asked = peer.state.asked or known.asked
         self.peers[host] = peer
         if known is None or _may_coordinate(known) != _may_coordinate(peer):
@@ -423,7 +423,7 @@
             ranks=ranks,
             running=running,
             is_near=is_near,
-            first_at=now,
+            first_heard_at=now,
             asked=state.asked,
         )
 
