--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -147,7 +147,7 @@
         self._urgent: set[addresses.Address] = set()
         self._searched = anyio.Event()
         for seed in seeds:
-            self.seek(seed)
+            self.probe_address(seed)
         self._changed = anyio.Event()
         # Sends at once or not at all, so that no task waits for another one;
         # the event loop would add a wake-up for each message.
@@ -285,7 +285,7 @@
 
     # Changes.
 
-    def seek(self, address: addresses.Address) -> None:
+    def probe_address(self, address: addresses.Address) -> None:
         """Try to reach a host at an address."""
         if address == self._address or address in self._sought:
             return
@@ -317,7 +317,7 @@
         self._file(self._make_peer(state, running, now), known, now)
         for host, address in state.hints.items():
             if host != self._host and host not in self.peers:
-                self.seek(messages.read_address(address))
+                self.probe_address(messages.read_address(address))
         self.on_state(state, now)
 
     def take_change(self, change: messages.HostChange, now: float) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -532,7 +532,7 @@
                     clocks.read_monotonic(),
                 )
                 continue
-            self._mesh.seek(address)
+            self._mesh.probe_address(address)
         self._allowances.mark_hosts_listed()
 
     # States of hosts.
@@ -645,7 +645,7 @@
             return
         is_changed = found != self._settings
         for seed in found.seeds:
-            self._mesh.seek(
+            self._mesh.probe_address(
                 addresses.Address(seed.host, self._settings.state.port)
             )
         bounds = found.bounds
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -206,7 +206,7 @@
                 self.plan(now + TICK, 'tick', address, None)
             elif kind == 'list':
                 for known in self.hosts:
-                    host.others.seek(known)
+                    host.others.probe_address(known)
                 host.shared.mark_hosts_listed()
             else:
                 self.tell(host, kind, now)
