--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -296,7 +296,7 @@
         self._urgent.add(address)
         self._searched.set()
 
-    def list_sought(self) -> list[addresses.Address]:
+    def list_probed(self) -> list[addresses.Address]:
         """Return where hosts are looked for that were never heard."""
         return list(self._sought)
 
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -306,7 +306,7 @@
             sought = [
                 item
                 for item in self._addresses
-                if item in host.others.list_sought()
+                if item in host.others.list_probed()
             ]
             self.send(state, sought, now)
         self.plan(now + pause, kind, host.address, None)
