--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -141,7 +141,7 @@
         # Counts the changes of the hosts that are heard.
         self.changes = 0
         # Addresses to try, with the tries that are left.
-        self._sought: dict[addresses.Address, int] = {}
+        self._probes_left: dict[addresses.Address, int] = {}
         # Those of them to try at once, and hosts that were just heard for
         # the first time and may not have heard this one.
         self._urgent: set[addresses.Address] = set()
@@ -234,7 +234,7 @@
         told = max(
             (peer.state.hosts for peer in self.peers.values()), default=0
         )
-        return max(1 + len(self.peers) + len(self._sought), told)
+        return max(1 + len(self.peers) + len(self._probes_left), told)
 
     def has_reported_host_count(self) -> bool:
         """Tell whether a peer has said how many hosts there are."""
@@ -287,9 +287,9 @@
 
     def probe_address(self, address: addresses.Address) -> None:
         """Try to reach a host at an address."""
-        if address == self._address or address in self._sought:
+        if address == self._address or address in self._probes_left:
             return
-        self._sought[address] = MAX_PROBES
+        self._probes_left[address] = MAX_PROBES
         self._contact(address)
 
     def _contact(self, address: addresses.Address) -> None:
@@ -298,7 +298,7 @@
 
     def list_probed(self) -> list[addresses.Address]:
         """Return where hosts are looked for that were never heard."""
-        return list(self._sought)
+        return list(self._probes_left)
 
     def tell(self) -> None:
         """Send this host's state soon."""
@@ -372,7 +372,7 @@
         self.peers[host] = peer
         if known is None or _may_coordinate(known) != _may_coordinate(peer):
             self.changes += 1
-        self._sought.pop(peer.address, None)
+        self._probes_left.pop(peer.address, None)
         if known is None:
             self._changed.set()
             self._divide(now)
@@ -588,11 +588,11 @@
 
     def _list_tries(self) -> list[addresses.Address]:
         found: list[addresses.Address] = []
-        for address, tries in list(self._sought.items()):
+        for address, tries in list(self._probes_left.items()):
             if tries <= 0:
-                del self._sought[address]
+                del self._probes_left[address]
                 continue
-            self._sought[address] = tries - 1
+            self._probes_left[address] = tries - 1
             found.append(address)
         return found
 
