--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -144,7 +144,7 @@
         self._probes_left: dict[addresses.Address, int] = {}
         # Those of them to try at once, and hosts that were just heard for
         # the first time and may not have heard this one.
-        self._urgent: set[addresses.Address] = set()
+        self._due_probes: set[addresses.Address] = set()
         self._searched = anyio.Event()
         for seed in seeds:
             self.probe_address(seed)
@@ -293,7 +293,7 @@
         self._contact(address)
 
     def _contact(self, address: addresses.Address) -> None:
-        self._urgent.add(address)
+        self._due_probes.add(address)
         self._searched.set()
 
     def list_probed(self) -> list[addresses.Address]:
@@ -571,7 +571,7 @@
         due_at = clocks.read_monotonic()
         while True:
             now = clocks.read_monotonic()
-            targets, self._urgent = self._urgent, set()
+            targets, self._due_probes = self._due_probes, set()
             if now >= due_at:
                 due_at = now + PROBE_INTERVAL_S
                 targets.update(self._list_tries())
@@ -581,7 +581,7 @@
                     self._send(data, address)
             await anyio.sleep(MIN_PROBE_INTERVAL_S)
             self._searched = anyio.Event()
-            if self._urgent:
+            if self._due_probes:
                 continue
             with anyio.move_on_after(due_at - clocks.read_monotonic()):
                 await self._searched.wait()
