--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -145,7 +145,7 @@
         # Those of them to try at once, and hosts that were just heard for
         # the first time and may not have heard this one.
         self._due_probes: set[addresses.Address] = set()
-        self._searched = anyio.Event()
+        self._probe_requested = anyio.Event()
         for seed in seeds:
             self.probe_address(seed)
         self._changed = anyio.Event()
@@ -294,7 +294,7 @@
 
     def _contact(self, address: addresses.Address) -> None:
         self._due_probes.add(address)
-        self._searched.set()
+        self._probe_requested.set()
 
     def list_probed(self) -> list[addresses.Address]:
         """Return where hosts are looked for that were never heard."""
@@ -580,11 +580,11 @@
                 for address in targets:
                     self._send(data, address)
             await anyio.sleep(MIN_PROBE_INTERVAL_S)
-            self._searched = anyio.Event()
+            self._probe_requested = anyio.Event()
             if self._due_probes:
                 continue
             with anyio.move_on_after(due_at - clocks.read_monotonic()):
-                await self._searched.wait()
+                await self._probe_requested.wait()
 
     def _list_tries(self) -> list[addresses.Address]:
         found: list[addresses.Address] = []
