--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -290,9 +290,9 @@
         if address == self._address or address in self._probes_left:
             return
         self._probes_left[address] = MAX_PROBES
-        self._contact(address)
+        self._request_probe(address)
 
-    def _contact(self, address: addresses.Address) -> None:
+    def _request_probe(self, address: addresses.Address) -> None:
         self._due_probes.add(address)
         self._probe_requested.set()
 
@@ -363,7 +363,7 @@
             # do after all were lost, leaves this one's part of everything to
             # it: of 840 requests in the first second of 71 hosts, 260 were
             # refused as beyond an allowance.
-            self._contact(peer.address)
+            self._request_probe(peer.address)
         if known is not None:
             peer.near_at = known.near_at
             if is_same:
