--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -489,7 +489,7 @@
         ) as receiver:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._receive, receiver)
-                group.start_soon(self._search)
+                group.start_soon(self._probe)
                 group.start_soon(self._tell_far)
                 await self._tell_near()
 
@@ -567,7 +567,7 @@
         self._spread.shuffle(far)
         return far
 
-    async def _search(self) -> None:
+    async def _probe(self) -> None:
         due_at = clocks.read_monotonic()
         while True:
             now = clocks.read_monotonic()
