--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -574,7 +574,7 @@
             targets, self._due_probes = self._due_probes, set()
             if now >= due_at:
                 due_at = now + PROBE_INTERVAL_S
-                targets.update(self._list_tries())
+                targets.update(self._list_retries())
             if targets:
                 data = self._write_state(Scope.SOUGHT)
                 for address in targets:
@@ -586,7 +586,7 @@
             with anyio.move_on_after(due_at - clocks.read_monotonic()):
                 await self._probe_requested.wait()
 
-    def _list_tries(self) -> list[addresses.Address]:
+    def _list_retries(self) -> list[addresses.Address]:
         found: list[addresses.Address] = []
         for address, tries in list(self._probes_left.items()):
             if tries <= 0:
