--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -300,7 +300,7 @@
         """Return where hosts are looked for that were never heard."""
         return list(self._probes_left)
 
-    def tell(self) -> None:
+    def request_update(self) -> None:
         """Send this host's state soon."""
         self._changed.set()
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -153,7 +153,7 @@
                 self._find_readers,
                 self._directory.note_outage,
                 self._directory.note_return,
-                lambda: self._mesh.tell(),
+                lambda: self._mesh.request_update(),
                 probing,
                 self._spread,
             )
@@ -383,7 +383,7 @@
         self._scheduler.pump(now)
         if self._mesh.has_multiple_groups():
             # Few hosts follow the store; the others hear from each other.
-            self._mesh.tell()
+            self._mesh.request_update()
 
     def _note_damage(
         self, topic: dialect.Topic, damage: dialect.Damage
@@ -541,7 +541,7 @@
         # In a large system coordinators are told, and other hosts go by the
         # next heartbeat.
         if not self._mesh.has_multiple_groups():
-            self._mesh.tell()
+            self._mesh.request_update()
 
     def _take_state(self, state: messages.HostState, now: float) -> None:
         self._allowances.apply_state(state, now)
@@ -666,7 +666,7 @@
         grace_s = self._settings.bounds.stop_grace_s
         plan = shutdown.make_plan(grace_s, clocks.read_monotonic())
         self._is_stopping = True
-        self._mesh.tell()
+        self._mesh.request_update()
         self._log_stop('gateway:stopping')
         await anyio.sleep(plan.close_at - clocks.read_monotonic())
         self._log_stop('gateway:listener_closing')
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -6,23 +6,15 @@
 import anyio
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlanding import retrybudget
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
+import gatewayparts
+from apricotlanding import addresses, ids, retrybudget
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import groups
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.decisions import quotas, scheduler, waiting
+from apricotlandingd.gateway.hosts import groups, mesh, messages
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.requests import streams
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import directory, health, pace
 from apricotstandins import processes
-import gatewayparts
 
 FESTIN = gatewayparts.make_organisation(100.0)
 
@@ -731,7 +723,7 @@
                 group.start_soon(second.run)
                 with anyio.fail_after(10):
                     while len(numbers) < 40:
-                        first.tell()
+                        first.request_update()
                         await anyio.sleep(0.01)
                 group.cancel_scope.cancel()
 
