--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -491,7 +491,7 @@
                 group.start_soon(self._receive, receiver)
                 group.start_soon(self._probe)
                 group.start_soon(self._tell_far)
-                await self._tell_near()
+                await self._send_to_near()
 
     async def _receive(self, receiver: anyio.abc.UDPSocket) -> None:
         while True:
@@ -529,7 +529,7 @@
                 continue
             self.handle_state(state, now)
 
-    async def _tell_near(self) -> None:
+    async def _send_to_near(self) -> None:
         while True:
             with anyio.move_on_after(HEARTBEAT_INTERVAL_S):
                 await self._changed.wait()
