--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -490,7 +490,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(self._receive, receiver)
                 group.start_soon(self._probe)
-                group.start_soon(self._tell_far)
+                group.start_soon(self._send_to_far)
                 await self._send_to_near()
 
     async def _receive(self, receiver: anyio.abc.UDPSocket) -> None:
@@ -547,7 +547,7 @@
             pause = SQUARED_PEERS_INTERVAL_S * len(near) ** 2
             await anyio.sleep(min(HEARTBEAT_INTERVAL_S, pause))
 
-    async def _tell_far(self) -> None:
+    async def _send_to_far(self) -> None:
         turn: collections.deque[ids.Host] = collections.deque()
         while True:
             await anyio.sleep(FAR_INTERVAL_S)
