--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -314,7 +314,7 @@
         process = messages.digest_process(state.incarnation)
         self._processes[process] = state.host
         running = messages.digest_starts(state.running)
-        self._file(self._make_peer(state, running, now), known, now)
+        self._store_peer(self._make_peer(state, running, now), known, now)
         for host, address in state.hints.items():
             if host != self._host and host not in self.peers:
                 self.probe_address(messages.read_address(address))
@@ -347,10 +347,10 @@
             levels={},
         )
         peer = self._make_peer(state, change.running, now)
-        self._file(peer, known, now)
+        self._store_peer(peer, known, now)
         self.on_state(state, now)
 
-    def _file(self, peer: Peer, known: Peer | None, now: float) -> None:
+    def _store_peer(self, peer: Peer, known: Peer | None, now: float) -> None:
         host = peer.state.host
         if known is None or known.is_silent:
             eliot.log_message('gateway:peer_heard', peer=host)
