--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -375,7 +375,7 @@
         self._probes_left.pop(peer.address, None)
         if known is None:
             self._changed.set()
-            self._divide(now)
+            self._update_partition(now)
         elif known.is_silent:
             self._count()
         elif peer.is_near:
@@ -405,7 +405,7 @@
             eliot.log_message('gateway:peer_dropped', peer=host)
             self.on_dropped(peer.state)
         if len(self.peers) != count:
-            self._divide(now)
+            self._update_partition(now)
 
     def _make_peer(
         self, state: messages.HostState, running: dict[int, int], now: float
@@ -427,7 +427,7 @@
             asked=state.asked,
         )
 
-    def _divide(self, now: float) -> None:
+    def _update_partition(self, now: float) -> None:
         before = self.partition
         self.partition = groups.make_partition(self._host, list(self.peers))
         for host, peer in self.peers.items():
