--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -379,7 +379,7 @@
         elif known.is_silent:
             self._count()
         elif peer.is_near:
-            self._recount(known.running, peer.running)
+            self._replace_running(known.running, peer.running)
 
     def drop_silent(self, now: float) -> None:
         """Leave silent peers out, and forget those that stay silent."""
@@ -444,7 +444,7 @@
                 hosts=self.count_hosts(),
             )
 
-    def _recount(
+    def _replace_running(
         self,
         before: dict[int, int],
         after: dict[int, int],
