--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -377,7 +377,7 @@
             self._changed.set()
             self._update_partition(now)
         elif known.is_silent:
-            self._count()
+            self._recount_peers()
         elif peer.is_near:
             self._replace_running(known.running, peer.running)
 
@@ -391,7 +391,7 @@
             if not peer.is_silent and quiet > SILENT_TIMEOUT_S + 2 * turn:
                 peer.is_silent = True
                 self.changes += 1
-                self._count()
+                self._recount_peers()
                 eliot.log_message('gateway:peer_silent', peer=host)
             limit = (
                 SILENT_TIMEOUT_S if peer.state.is_stopping else DROP_TIMEOUT_S
@@ -435,7 +435,7 @@
             peer.is_near = self.partition.is_near(host)
             if peer.is_near and not was_near:
                 peer.near_at = now
-        self._count()
+        self._recount_peers()
         if self.partition.count != before.count:
             eliot.log_message(
                 'gateway:groups',
@@ -454,7 +454,7 @@
         for runner, count in after.items():
             self._running[runner] += count
 
-    def _count(self) -> None:
+    def _recount_peers(self) -> None:
         self._running.clear()
         silent = near = 0
         for peer in self.peers.values():
