--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -387,8 +387,8 @@
         for host, peer in list(self.peers.items()):
             turn = 0.0 if peer.is_near else self.find_far_interval()
             passed = now - peer.heard_at
-            quiet = now - max(peer.heard_at, peer.near_at)
-            if not peer.is_silent and quiet > SILENT_TIMEOUT_S + 2 * turn:
+            silent_s = now - max(peer.heard_at, peer.near_at)
+            if not peer.is_silent and silent_s > SILENT_TIMEOUT_S + 2 * turn:
                 peer.is_silent = True
                 self.changes += 1
                 self._recount_peers()
