--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -320,7 +320,7 @@
                 self.probe_address(messages.read_address(address))
         self.on_state(state, now)
 
-    def take_change(self, change: messages.HostChange, now: float) -> None:
+    def handle_change(self, change: messages.HostChange, now: float) -> None:
         """Take what has changed at a peer.
 
         A process that was never heard is left out: its whole state, which
@@ -507,7 +507,7 @@
                 self.on_unreadable(sender[0], str(error), now)
                 continue
             if isinstance(state, messages.HostChange):
-                self.take_change(state, now)
+                self.handle_change(state, now)
                 continue
             if isinstance(state, placemessages.PlaceRequest):
                 self.on_place_request(state, now)
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -149,7 +149,7 @@
         elif isinstance(message, allowancemessages.UsageUpdate):
             self.keeper.handle_usage_update(message, now)
         if isinstance(message, messages.HostChange):
-            self.others.take_change(message, now)
+            self.others.handle_change(message, now)
         elif isinstance(message, messages.HostState):
             self.others.handle_state(message, now)
 
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -633,7 +633,7 @@
         found = self.make_mesh()
         found.handle_state(self.make_state(1, {'r1': 3}), 0.0)
         change = make_change('b/1', 2, {'r1': 1, 'r2': 2}, {'festin': 7.0})
-        found.take_change(change, 0.1)
+        found.handle_change(change, 0.1)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
         self.assertEqual(2, found.count_running(gatewayparts.make_start('r2')))
         peer = found.peers[ids.Host('b')]
@@ -646,26 +646,26 @@
         state = self.make_state(1, {})
         usage = {ids.Organisation('festin'): 5.0}
         found.handle_state(dataclasses.replace(state, usage=usage), 0.0)
-        found.take_change(make_change('b/1', 2, {}, {'ishami': 1.0}), 0.1)
+        found.handle_change(make_change('b/1', 2, {}, {'ishami': 1.0}), 0.1)
         peer = found.peers[ids.Host('b')]
         self.assertEqual({'festin': 5.0, 'ishami': 1.0}, peer.state.usage)
 
     def test_change_of_a_process_that_was_not_heard_is_left_out(self) -> None:
         found = self.make_mesh()
-        found.take_change(make_change('b/1', 2, {'r1': 1}), 0.0)
+        found.handle_change(make_change('b/1', 2, {'r1': 1}), 0.0)
         self.assertEqual({}, found.peers)
 
     def test_change_of_an_ended_process_is_left_out(self) -> None:
         found = self.make_mesh()
         found.handle_state(self.make_state(9, {'r1': 3}), 0.0)
         found.handle_state(self.make_state(1, {'r1': 1}, 'b/2'), 0.1)
-        found.take_change(make_change('b/1', 10, {'r1': 5}), 0.2)
+        found.handle_change(make_change('b/1', 10, {'r1': 5}), 0.2)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
 
     def test_change_that_arrives_late_is_left_out(self) -> None:
         found = self.make_mesh()
         found.handle_state(self.make_state(3, {'r1': 3}), 0.0)
-        found.take_change(make_change('b/1', 2, {'r1': 5}), 0.1)
+        found.handle_change(make_change('b/1', 2, {'r1': 5}), 0.1)
         self.assertEqual(3, found.count_running(gatewayparts.make_start('r1')))
 
     def test_change_takes_a_third_of_the_bytes(self) -> None:
