--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -221,7 +221,9 @@
         """Take the request of a host that this one coordinates for."""
         self._deliver(self._own_coordinator.handle_request(request, now), now)
 
-    def take_reply(self, reply: placemessages.PlaceReply, now: float) -> None:
+    def handle_reply(
+        self, reply: placemessages.PlaceReply, now: float
+    ) -> None:
         """Take the decisions of a coordinator."""
         subset = subsets.Subset(reply.service, reply.place, reply.total)
         link = self._links.get(subset)
@@ -264,7 +266,7 @@
     ) -> None:
         for item in replies:
             if item.reply.process == self.process:
-                self.take_reply(item.reply, now)
+                self.handle_reply(item.reply, now)
                 continue
             self._hosts.send(item.reply, item.address)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -154,7 +154,7 @@
             request = self._make_request(unit_request, is_returned=True)
             self._send_request(request, unit_request.target)
 
-    def take_reply(
+    def handle_reply(
         self, reply: allowancemessages.AllowanceReply, now: float
     ) -> None:
         """Take the answer of a host that keeps an allowance."""
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -246,9 +246,9 @@
         self._mesh.on_usage_update = (
             self._shared_allowances.handle_usage_update
         )
-        self._mesh.on_allowance_reply = self._shared_allowances.take_reply
+        self._mesh.on_allowance_reply = self._shared_allowances.handle_reply
         self._mesh.on_place_request = self._dispatcher.handle_request
-        self._mesh.on_place_reply = self._dispatcher.take_reply
+        self._mesh.on_place_reply = self._dispatcher.handle_reply
         states = hoststates.HostStates(
             config,
             self.incarnation,
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -145,7 +145,7 @@
         if isinstance(message, allowancemessages.AllowanceRequest):
             self.keeper.handle_request(message, now)
         elif isinstance(message, allowancemessages.AllowanceReply):
-            self.keeper.take_reply(message, now)
+            self.keeper.handle_reply(message, now)
         elif isinstance(message, allowancemessages.UsageUpdate):
             self.keeper.handle_usage_update(message, now)
         if isinstance(message, messages.HostChange):
--- a/tests/placesplay.py
+++ b/tests/placesplay.py
@@ -290,7 +290,7 @@
             if isinstance(found, placemessages.PlaceRequest):
                 target.dispatcher.handle_request(found, self.now)
             else:
-                target.dispatcher.take_reply(found, self.now)
+                target.dispatcher.handle_reply(found, self.now)
 
         self.plan(self.spread.uniform(*WAYS), arrive)
 
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -253,7 +253,7 @@
         )
         reply = self.decode(data.draw(write_spoiled(good)))
         if isinstance(reply, placemessages.PlaceReply):
-            host.dispatcher.take_reply(reply, 0.1)
+            host.dispatcher.handle_reply(reply, 0.1)
         play.play()
         # Whatever was said, the request is decided in the end.
         self.assertIsNotNone(ticket.decision)
@@ -315,7 +315,7 @@
             if isinstance(message, allowancemessages.AllowanceRequest):
                 play.keeper.handle_request(message, now)
             elif isinstance(message, allowancemessages.AllowanceReply):
-                play.keeper.take_reply(message, now)
+                play.keeper.handle_reply(message, now)
             elif isinstance(message, allowancemessages.UsageUpdate):
                 play.keeper.handle_usage_update(message, now)
         play.keeper.tick(now)
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -84,7 +84,7 @@
             if isinstance(message, allowancemessages.AllowanceRequest):
                 self.keeper.handle_request(message, now)
             elif isinstance(message, allowancemessages.AllowanceReply):
-                self.asker.take_reply(message, now)
+                self.asker.handle_reply(message, now)
 
     def ask(self, cost: float, now: float) -> sharedallowances.UnitRequest:
         unit_request = self.asker.ask(FESTIN, cost, now)
