--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -185,7 +185,7 @@
         ] = lambda reply, now: None
         self.on_usage_update: collections.abc.Callable[
             [allowancemessages.UsageUpdate, float], None
-        ] = lambda news, now: None
+        ] = lambda usage_update, now: None
         # Called with the sender's IP number and the reason for each message
         # that cannot be read.
         self.on_unreadable: collections.abc.Callable[
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -225,12 +225,16 @@
         self._remember(key, RETURNED_WAIT_S)
 
     def handle_usage_update(
-        self, news: allowancemessages.UsageUpdate, now: float
+        self, usage_update: allowancemessages.UsageUpdate, now: float
     ) -> None:
         """Take what another host that keeps allowances has handed out."""
-        if not self._shared_buckets.has_heard(news.incarnation):
-            self.apply_usage(news.incarnation, news.before, False, now)
-        self.apply_usage(news.incarnation, news.usage, False, now)
+        if not self._shared_buckets.has_heard(usage_update.incarnation):
+            self.apply_usage(
+                usage_update.incarnation, usage_update.before, False, now
+            )
+        self.apply_usage(
+            usage_update.incarnation, usage_update.usage, False, now
+        )
 
     def apply_usage(
         self,
@@ -281,13 +285,13 @@
             if host != self._host
         }
         before, self._sent_usage = self._sent_usage, dict(usage)
-        news = allowancemessages.UsageUpdate(
+        usage_update = allowancemessages.UsageUpdate(
             self._incarnation, self._sent_usage, before
         )
         for host in targets:
             address = self._hosts.find_address(host)
             if address is not None:
-                self._hosts.send(news, address)
+                self._hosts.send(usage_update, address)
 
     def _remember(self, key: tuple[int, int], wait: float | None) -> None:
         self._answers[key] = wait
