--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -105,7 +105,7 @@
     # When this process of the host was first heard.
     first_heard_at: float
     # When it came into the group: before, it sent rarely.
-    near_at: float = 0.0
+    near_since: float = 0.0
     # Units asked for a second there, by the last state that said so.
     asked: dict[ids.Organisation, float] = dataclasses.field(
         default_factory=dict
@@ -365,7 +365,7 @@
             # refused as beyond an allowance.
             self._request_probe(peer.address)
         if known is not None:
-            peer.near_at = known.near_at
+            peer.near_since = known.near_since
             if is_same:
                 peer.first_heard_at = known.first_heard_at
             peer.asked = peer.state.asked or known.asked
@@ -387,7 +387,7 @@
         for host, peer in list(self.peers.items()):
             turn = 0.0 if peer.is_near else self.find_far_interval()
             passed = now - peer.heard_at
-            silent_s = now - max(peer.heard_at, peer.near_at)
+            silent_s = now - max(peer.heard_at, peer.near_since)
             if not peer.is_silent and silent_s > SILENT_TIMEOUT_S + 2 * turn:
                 peer.is_silent = True
                 self.changes += 1
@@ -434,7 +434,7 @@
             was_near = peer.is_near
             peer.is_near = self.partition.is_near(host)
             if peer.is_near and not was_near:
-                peer.near_at = now
+                peer.near_since = now
         self._recount_peers()
         if self.partition.count != before.count:
             eliot.log_message(
