--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -94,7 +94,7 @@
     # By the digest of the process.
     clients: dict[int, _Client] = dataclasses.field(default_factory=dict)
     # What waits, by process and number of the place.
-    open: dict[tuple[int, int], waiting.Ticket] = dataclasses.field(
+    undecided: dict[tuple[int, int], waiting.Ticket] = dataclasses.field(
         default_factory=dict
     )
 
@@ -102,11 +102,11 @@
         """Return the processes for which there are new decisions."""
         decided = [
             key
-            for key, ticket in self.open.items()
+            for key, ticket in self.undecided.items()
             if ticket.decision is not None
         ]
         for key in decided:
-            del self.open[key]
+            del self.undecided[key]
         return {process for process, _ in decided}
 
 
@@ -222,7 +222,7 @@
             if number in request.wanted:
                 continue
             del client.tickets[number]
-            schedule.open.pop((request.process, number), None)
+            schedule.undecided.pop((request.process, number), None)
             if isinstance(ticket.decision, waiting.Grant):
                 client.held[number] = ticket.decision.runner
             elif ticket.decision is None:
@@ -257,7 +257,7 @@
                 continue
             ticket = self._make_ticket(request, number, wanted, now)
             client.tickets[number] = ticket
-            schedule.open[request.process, number] = ticket
+            schedule.undecided[request.process, number] = ticket
             schedule.decisions.enter(ticket, now)
 
     def _make_ticket(
@@ -292,7 +292,7 @@
                 continue
             del schedule.clients[process]
             for number, ticket in client.tickets.items():
-                schedule.open.pop((process, number), None)
+                schedule.undecided.pop((process, number), None)
                 if ticket.decision is None:
                     schedule.decisions.leave(ticket)
                 elif isinstance(ticket.decision, waiting.Grant):
