--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -311,14 +311,14 @@
         asking: int | None,
         now: float,
     ) -> list[AddressedReply]:
-        told = schedule.pop_decided()
+        recipients = schedule.pop_decided()
         if asking is not None:
-            told.add(asking)
-        if not told:
+            recipients.add(asking)
+        if not recipients:
             return []
         free = schedule.decisions.count_free(subset.service, now)
         found: list[AddressedReply] = []
-        for process in sorted(told):
+        for process in sorted(recipients):
             client = schedule.clients[process]
             reply = self._make_reply(subset, process, client, free)
             found.append(AddressedReply(client.address, reply))
