--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -71,7 +71,7 @@
         host: ids.Host,
         address: addresses.Address,
         process: ids.Incarnation,
-        own: allowances.Allowances,
+        local: allowances.Allowances,
         slack_units: float,
         hosts: candidates.Hosts,
         candidate_hosts: candidates.Candidates,
@@ -83,7 +83,7 @@
     ) -> None:
         """Start without questions.
 
-        ``own`` holds this host's copies, ``slack_units`` is the operators'
+        ``local`` holds this host's copies, ``slack_units`` is the operators'
         slack, and ``find_organisation`` returns an organisation of the
         configuration in force.
         """
@@ -92,7 +92,7 @@
         self._incarnation = process
         # Stands for this process in messages.
         self.process = messages.digest_process(process)
-        self._own = own
+        self._own = local
         # What this host hands out for all, or would if it were asked.
         self._shared_buckets = quotas.Quotas(slack_units, now)
         self._sent_usage: quotas.Usage = {}
