--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -92,7 +92,7 @@
         self._incarnation = process
         # Stands for this process in messages.
         self.process = messages.digest_process(process)
-        self._own = local
+        self._local = local
         # What this host hands out for all, or would if it were asked.
         self._shared_buckets = quotas.Quotas(slack_units, now)
         self._sent_usage: quotas.Usage = {}
@@ -147,7 +147,7 @@
         ):
             self._refund(unit_request.organisation, unit_request.cost, now)
         elif unit_request.is_granted_locally:
-            self._own.give_back(
+            self._local.give_back(
                 unit_request.organisation, unit_request.cost, now
             )
         elif is_open or unit_request.wait_s is None:
@@ -193,7 +193,7 @@
     ) -> None:
         """Hand out units to another host, or take some back."""
         organisation = self._find_organisation(request.organisation)
-        if organisation is None or not self._own.knows_hosts(now):
+        if organisation is None or not self._local.knows_hosts(now):
             return
         key = (request.process, request.number)
         if request.is_returned:
@@ -258,21 +258,21 @@
     def _grant(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> float | None:
-        terms = self._own.find_coordinator_terms(now)
+        terms = self._local.find_coordinator_terms(now)
         wait = self._shared_buckets.find_wait(organisation, cost, terms, now)
         if wait is None:
             self._shared_buckets.charge(organisation, cost)
-            self._own.record_grant(organisation, cost, now)
+            self._local.record_grant(organisation, cost, now)
         return wait
 
     def _refund(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> None:
         self._shared_buckets.charge(organisation, -cost)
-        self._own.give_back(organisation, cost, now)
+        self._local.give_back(organisation, cost, now)
 
     def _send_usage_update(self) -> None:
-        usage = self._own.buckets.usage
+        usage = self._local.buckets.usage
         if usage == self._sent_usage:
             return
         targets = {
@@ -318,8 +318,8 @@
         self._send_request(request, unit_request.target)
 
     def _decide_locally(self, unit_request: UnitRequest, now: float) -> None:
-        terms = self._own.find_terms(unit_request.organisation, now)
-        wait = self._own.grant(
+        terms = self._local.find_terms(unit_request.organisation, now)
+        wait = self._local.grant(
             unit_request.organisation, unit_request.cost, terms, now
         )
         self._answer(unit_request, wait)
