--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -136,7 +136,7 @@
         self._starts = starts.Starts(runners)
         self._paces = paces
         self._health = fitness
-        self._spread = spread
+        self._rng = spread
         self._is_stopping = is_stopping
         self._knows_runners = knows_runners
         self._find_hold = find_hold
@@ -200,7 +200,7 @@
                     self._paces,
                     self._health,
                     _SubsetView(subset),
-                    self._spread,
+                    self._rng,
                 )
             )
             held_s = self._find_hold(subset.service)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -118,7 +118,7 @@
         self._health = fitness
         self._hosts = hosts
         self._candidates = asked
-        self._spread = spread
+        self._rng = spread
         self._place_count = 0
         self._message_count = 0
         self._waiting: dict[int, _WaitingRequest] = {}
@@ -140,7 +140,7 @@
         self._place_count += 1
         ticket.number = self._place_count
         self._waiting[ticket.number] = _WaitingRequest(ticket, now, [])
-        self._ask(ticket.number, self._spread.choice(found), now)
+        self._ask(ticket.number, self._rng.choice(found), now)
 
     def leave(self, ticket: waiting.Ticket, now: float) -> None:
         """Drop a request that waits no more."""
@@ -338,7 +338,7 @@
             if subset not in item.asked
         ]
         if others:
-            self._ask(number, self._spread.choice(others), now)
+            self._ask(number, self._rng.choice(others), now)
 
     def _withdraw(
         self, number: int, granted: subsets.Subset | None, now: float
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -128,7 +128,7 @@
         """Start alone; ``seeds`` are where some hosts take messages."""
         self._host = host
         self._address = address
-        self._spread = spread
+        self._rng = spread
         self.peers: dict[ids.Host, Peer] = {}
         # Requests of all heard near peers at each runner. Kept up with each
         # message: summing all peers for each runner at each decision would
@@ -564,7 +564,7 @@
         # In a new order each time, so that those who send at the same pace
         # do not all send to the same host at once.
         far = [host for host, peer in self.peers.items() if not peer.is_near]
-        self._spread.shuffle(far)
+        self._rng.shuffle(far)
         return far
 
     async def _probe(self) -> None:
@@ -611,7 +611,7 @@
     def _write_state(self, scope: Scope) -> bytes:
         self._number += 1
         known = list(self.peers.values())
-        hinted = self._spread.sample(known, min(HINTS_PER_MESSAGE, len(known)))
+        hinted = self._rng.sample(known, min(HINTS_PER_MESSAGE, len(known)))
         hints = {peer.state.host: peer.state.state_address for peer in hinted}
         state = self.make_state(self._number, scope, hints)
         return messages.registry.encode(state)
