--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -120,7 +120,7 @@
         runners: directory.Directory,
         paces: pace.Paces,
         fitness: health.Health,
-        spread: random.Random,
+        rng: random.Random,
         is_stopping: collections.abc.Callable[[], bool],
         knows_runners: collections.abc.Callable[[], bool],
         find_hold: collections.abc.Callable[[ids.Pool], float],
@@ -136,7 +136,7 @@
         self._starts = starts.Starts(runners)
         self._paces = paces
         self._health = fitness
-        self._rng = spread
+        self._rng = rng
         self._is_stopping = is_stopping
         self._knows_runners = knows_runners
         self._find_hold = find_hold
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -100,7 +100,7 @@
         fitness: health.Health,
         hosts: candidates.Hosts,
         asked: candidates.Candidates,
-        spread: random.Random,
+        rng: random.Random,
     ) -> None:
         """Start without requests.
 
@@ -118,7 +118,7 @@
         self._health = fitness
         self._hosts = hosts
         self._candidates = asked
-        self._rng = spread
+        self._rng = rng
         self._place_count = 0
         self._message_count = 0
         self._waiting: dict[int, _WaitingRequest] = {}
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -123,12 +123,12 @@
         host: ids.Host,
         address: addresses.Address,
         seeds: tuple[addresses.Address, ...],
-        spread: random.Random,
+        rng: random.Random,
     ) -> None:
         """Start alone; ``seeds`` are where some hosts take messages."""
         self._host = host
         self._address = address
-        self._rng = spread
+        self._rng = rng
         self.peers: dict[ids.Host, Peer] = {}
         # Requests of all heard near peers at each runner. Kept up with each
         # message: summing all peers for each runner at each decision would
--- a/tests/manyhosts.py
+++ b/tests/manyhosts.py
@@ -159,7 +159,7 @@
 
     def __init__(self, load: Load, count: int, seed: int) -> None:
         self.load = load
-        self.spread = random.Random(seed)
+        self.rng = random.Random(seed)
         self.count = count
         self.hosts: dict[addresses.Address, Host] = {}
         # When each request of the organisation ran, and its units.
@@ -175,7 +175,7 @@
         ]
         for address in self._addresses:
             self.plan(
-                self.spread.uniform(0, START_SPREAD), 'start', address, None
+                self.rng.uniform(0, START_SPREAD), 'start', address, None
             )
 
     def plan(
@@ -216,7 +216,7 @@
             ids.Host(f'host-{address.port}'),
             address,
             tuple(self._addresses[:3]),
-            self.spread,
+            self.rng,
         )
         shared = allowances.Allowances(self.load.slack, others, now)
         name = ids.Host(f'host-{address.port}')
@@ -247,9 +247,7 @@
         self.hosts[address] = Host(
             name, address, others, shared, process, keeper
         )
-        self.plan(
-            now + self.spread.uniform(*LIST_TIMES), 'list', address, None
-        )
+        self.plan(now + self.rng.uniform(*LIST_TIMES), 'list', address, None)
         for kind in ('near', 'far', 'search'):
             self.plan(now, kind, address, None)
         self.plan(now, 'tick', address, None)
@@ -266,12 +264,12 @@
         return host.name in load.killed and self.now >= load.killed_at
 
     def find_next(self, now: float) -> float:
-        pause = self.spread.expovariate(1 / self.load.interval_s)
+        pause = self.rng.expovariate(1 / self.load.interval_s)
         return max(now, self.load.begins_at) + pause
 
     def ask(self, host: Host, now: float) -> None:
         organisation = self.load.organisation
-        cost = self.load.draw_cost(self.spread)
+        cost = self.load.draw_cost(self.rng)
         unit_request = host.keeper.ask(organisation, cost, now)
         self.look(host, unit_request, now)
         self.plan(self.find_next(now), 'ask', host.address, None)
@@ -293,7 +291,7 @@
         if kind == 'near':
             pause = max(0.01, mesh.SQUARED_PEERS_INTERVAL_S * len(near) ** 2)
             change: object = host.make_change()
-            if self.spread.random() < WHOLE_PART:
+            if self.rng.random() < WHOLE_PART:
                 change = host.make_state(now, mesh.Scope.WHOLE)
             self.send(change, near, now)
         elif kind == 'far':
@@ -318,7 +316,7 @@
         now: float,
     ) -> None:
         for target in targets:
-            way = self.spread.uniform(0.0005, LONGEST_WAY)
+            way = self.rng.uniform(0.0005, LONGEST_WAY)
             self.plan(now + way, 'state', target, state)
 
     def find_most(self, window_s: float) -> float:
--- a/tests/placesplay.py
+++ b/tests/placesplay.py
@@ -173,7 +173,7 @@
 
     def __init__(self, load: Load, seed: int) -> None:
         self.load = load
-        self.spread = random.Random(seed)
+        self.rng = random.Random(seed)
         self.outcome = Outcome()
         self.now = 0.0
         self._events: list[
@@ -198,7 +198,7 @@
         self.interval = 1 / (load.part * capacity)
         self.plan(0.0, self.come)
         for host in self.hosts.values():
-            self.plan_tick(host, self.spread.uniform(0, TICK))
+            self.plan_tick(host, self.rng.uniform(0, TICK))
 
     def make_host(self, number: int) -> Host:
         name = ids.Host(f'host-{number}')
@@ -211,7 +211,7 @@
             self.known,
             paces,
             fitness,
-            self.spread,
+            self.rng,
             lambda: False,
             lambda: True,
             local.find_hold,
@@ -228,7 +228,7 @@
             fitness,
             hosts,
             candidates.Candidates(name, hosts),
-            self.spread,
+            self.rng,
         )
         return Host(name, address, found, own, local)
 
@@ -244,7 +244,7 @@
             paces or pace.Paces(),
             fitness or health.Health(),
             _Alone(count),
-            self.spread,
+            self.rng,
         )
 
     # Events.
@@ -278,7 +278,7 @@
         # As on the wire: what is changed later must not change it.
         data = messages.registry.encode(message)
         target = self._by_address[address]
-        if self.spread.random() < self.load.loss:
+        if self.rng.random() < self.load.loss:
             return
         if sender in target.cut_from:
             return
@@ -292,15 +292,15 @@
             else:
                 target.dispatcher.handle_reply(found, self.now)
 
-        self.plan(self.spread.uniform(*WAYS), arrive)
+        self.plan(self.rng.uniform(*WAYS), arrive)
 
     # Callers.
 
     def come(self) -> None:
-        self.plan(self.spread.expovariate(1 / self.interval), self.come)
+        self.plan(self.rng.expovariate(1 / self.interval), self.come)
         host = self.choose_host()
         self.outcome.asked += 1
-        tier = self.spread.randrange(self.load.tiers)
+        tier = self.rng.randrange(self.load.tiers)
         ticket = gatewayparts.make_ticket(
             f'a{self.outcome.asked}',
             self.now,
@@ -319,7 +319,7 @@
             load.busy_part if number < load.busy_hosts else 1.0
             for number in range(len(up))
         ]
-        return self.spread.choices(up, weights)[0]
+        return self.rng.choices(up, weights)[0]
 
     def watch(self, host: Host, ticket: waiting.Ticket) -> None:
         """Look for the decision a little later, as a waiting task does."""
@@ -381,7 +381,7 @@
         sent_at: float,
     ) -> None:
         runner.running += 1
-        hold = runner.hold * self.spread.uniform(0.5, 1.5)
+        hold = runner.hold * self.rng.uniform(0.5, 1.5)
 
         def end() -> None:
             runner.running -= 1
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -28,7 +28,7 @@
     organisation=gatewayparts.make_organisation(RATE),
     slack=SLACK,
     interval_s=0.2,
-    draw_cost=lambda spread: COST,
+    draw_cost=lambda rng: COST,
 )
 
 # Where host-0 listens.
@@ -42,8 +42,8 @@
 SIZE_MEAN, SIZE_SPREAD, SIZE_MOST = 2500.0, 0.9, 53000.0
 
 
-def draw_size(spread: random.Random) -> float:
-    return min(SIZE_MOST, SIZE_MEAN * spread.lognormvariate(0, SIZE_SPREAD))
+def draw_size(rng: random.Random) -> float:
+    return min(SIZE_MOST, SIZE_MEAN * rng.lognormvariate(0, SIZE_SPREAD))
 
 
 def make_large_load(part: float) -> manyhosts.Load:
