--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -18,7 +18,7 @@
 
 import fuzzing
 import gatewayparts
-import placesplay
+import placesimulation
 import test_foreign_messages
 import test_gateway_shared_allowances
 from apricotlanding import addresses, errors, ids, webclient
@@ -232,8 +232,10 @@
     @fuzzing.give_examples()
     @hypothesis.given(strategies.data())
     def test_replies(self, data: strategies.DataObject) -> None:
-        load = placesplay.Load(hosts=2, runners=2, part=0.0001, seconds=0.5)
-        play = placesplay.Play(load, 1)
+        load = placesimulation.Load(
+            hosts=2, runners=2, part=0.0001, seconds=0.5
+        )
+        play = placesimulation.Play(load, 1)
         host = next(iter(play.hosts.values()))
         ticket = gatewayparts.make_ticket('a1', 0.0)
         for other in play.hosts.values():
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -7,7 +7,7 @@
 import testtools
 
 import gatewayparts
-import placesplay
+import placesimulation
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import subsets, waiting
 from apricotlandingd.gateway.hosts import (
@@ -26,7 +26,7 @@
 HOSTS, RUNNERS = 60, 24
 
 
-def find_coordinator(play: placesplay.Play) -> ids.Host:
+def find_coordinator(play: placesimulation.Play) -> ids.Host:
     """Return the first coordinator of the pool's first subset."""
     found = subsets.list_subsets(gatewayparts.POOL, RUNNERS)
     return candidates.rank_hosts(found[0].find_name(), play.hosts)[0]
@@ -76,11 +76,11 @@
 class TestPlaces(testtools.TestCase):
     """Callers of many hosts before runners of unlike speed."""
 
-    def play(self, seed: int, **changes: ty.Any) -> placesplay.Outcome:
-        load = placesplay.Load(
+    def play(self, seed: int, **changes: ty.Any) -> placesimulation.Outcome:
+        load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, seconds=10.0, **changes
         )
-        return placesplay.Play(load, seed).play()
+        return placesimulation.Play(load, seed).play()
 
     def test_free_places_are_found_and_not_overfilled(self) -> None:
         for seed in (1, 2, 3):
@@ -120,7 +120,7 @@
     def test_callers_of_a_few_hosts_are_served_by_all_runners(self) -> None:
         # Guards against callers that are refused at their host while runners
         # stand idle.
-        load = placesplay.Load(
+        load = placesimulation.Load(
             hosts=HOSTS,
             runners=RUNNERS,
             part=0.9,
@@ -129,7 +129,7 @@
             busy_part=30.0,
         )
         for seed in (1, 2):
-            outcome = placesplay.Play(load, seed).play()
+            outcome = placesimulation.Play(load, seed).play()
             self.assertEqual(0.0, outcome.find_refused())
             self.assertLessEqual(outcome.find_queued(), 0.01)
             self.assertLessEqual(outcome.find_wait(), 0.03)
@@ -137,10 +137,10 @@
     def test_subset_without_runners_refuses_nobody(self) -> None:
         # Guards against callers that are refused because the runners of the
         # subset that they happened to ask have crashed.
-        load = placesplay.Load(
+        load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.5, seconds=10.0
         )
-        play = placesplay.Play(load, 3)
+        play = placesimulation.Play(load, 3)
         entries = play.known.list_open(gatewayparts.POOL)
         first = subsets.list_subsets(gatewayparts.POOL, len(entries))[0]
         lost = subsets.select_runners(first, entries)
@@ -152,10 +152,10 @@
     def test_crashed_runner_is_found_out_once_for_all_hosts(self) -> None:
         # Guards against each of many hosts trying a dead runner for itself:
         # it always has free places.
-        load = placesplay.Load(
+        load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.6, seconds=10.0
         )
-        play = placesplay.Play(load, 4)
+        play = placesimulation.Play(load, 4)
         next(iter(play.runners.values())).is_lost = True
         outcome = play.play()
         self.assertLessEqual(outcome.missed, 0.5 * HOSTS)
@@ -230,7 +230,9 @@
     def test_first_requests_count_more(self) -> None:
         # Guards against callers of a quick service that a new coordinator
         # refuses because it takes each place to be held for a second.
-        found = placesplay.Play(placesplay.Load(hosts=1), 1).make_scheduler()
+        found = placesimulation.Play(
+            placesimulation.Load(hosts=1), 1
+        ).make_scheduler()
         found.note_hold(gatewayparts.POOL, 0.05)
         self.assertAlmostEqual(0.05, found.find_hold(gatewayparts.POOL))
         found.note_hold(gatewayparts.POOL, 0.15)
@@ -244,11 +246,11 @@
 class TestLostCoordinators(testtools.TestCase):
     """Coordinators that end, freeze, or are cut off."""
 
-    def make_play(self, seed: int) -> placesplay.Play:
-        load = placesplay.Load(
+    def make_play(self, seed: int) -> placesimulation.Play:
+        load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.7, seconds=12.0
         )
-        return placesplay.Play(load, seed)
+        return placesimulation.Play(load, seed)
 
     def test_killed_coordinator_is_replaced_in_a_moment(self) -> None:
         for seed in (1, 2):
@@ -281,10 +283,10 @@
     def test_places_held_before_the_cut_count_alone(self) -> None:
         # Guards against a host that fills a runner again when it loses its
         # coordinators.
-        load = placesplay.Load(
+        load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.0001, seconds=1.0
         )
-        play = placesplay.Play(load, 5)
+        play = placesimulation.Play(load, 5)
         host = play.hosts[ids.Host('host-7')]
         tickets = [
             gatewayparts.make_ticket(f'b{number}', 0.0) for number in range(9)
