--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -6,8 +6,8 @@
 
 import testtools
 
+import allowancesimulation
 import gatewayparts
-import manyhosts
 import test_foreign_messages
 from apricotlanding import addresses, clocks, ids
 from apricotlandingd.gateway import catalogue
@@ -24,7 +24,7 @@
 COST = 200.0
 # The operators' window, seconds, and what may run in it.
 WINDOW_S = 8.0
-PRESSING = manyhosts.Load(
+PRESSING = allowancesimulation.Load(
     organisation=gatewayparts.make_organisation(RATE),
     slack=SLACK,
     interval_s=0.2,
@@ -46,9 +46,9 @@
     return min(SIZE_MOST, SIZE_MEAN * rng.lognormvariate(0, SIZE_SPREAD))
 
 
-def make_large_load(part: float) -> manyhosts.Load:
+def make_large_load(part: float) -> allowancesimulation.Load:
     """Return what asks for this part of the allowance at 71 hosts."""
-    return manyhosts.Load(
+    return allowancesimulation.Load(
         organisation=gatewayparts.make_organisation(LARGE_RATE),
         slack=LARGE_SLACK,
         interval_s=LARGE_HOSTS * 3750.0 / (part * LARGE_RATE),
@@ -79,7 +79,7 @@
         # each other, the groups they formed began with another part each.
         allowed = find_allowed(PRESSING.organisation, SLACK)
         for seed in (1, 2, 3):
-            play = manyhosts.Play(PRESSING, HOSTS, seed)
+            play = allowancesimulation.Play(PRESSING, HOSTS, seed)
             play.play()
             self.assertLessEqual(play.find_most(WINDOW_S), allowed)
 
@@ -87,7 +87,7 @@
         # Callers that ask for more than the allowance get nine tenths of it
         # from the fourth second on, at seven hosts and at forty.
         for count in (7, HOSTS):
-            play = manyhosts.Play(PRESSING, count, 4)
+            play = allowancesimulation.Play(PRESSING, count, 4)
             play.play()
             owed = RATE * (PRESSING.seconds - 4.0)
             self.assertGreaterEqual(play.count_units(4.0), 0.9 * owed)
@@ -253,7 +253,9 @@
         # requests, and the parts followed each one that came. One host alone
         # refuses next to none; so do seventy-one, but for two in a hundred.
         for seed in (1, 2):
-            play = manyhosts.Play(make_large_load(0.55), LARGE_HOSTS, seed)
+            play = allowancesimulation.Play(
+                make_large_load(0.55), LARGE_HOSTS, seed
+            )
             play.play()
             asked = len(play.runs) + play.refused
             self.assertLessEqual(play.refused, 0.02 * asked)
@@ -267,7 +269,7 @@
         load.killed = tuple(candidates.rank_hosts(name, hosts)[:2])
         load.killed_at = 20.0
         allowed = find_allowed(load.organisation, LARGE_SLACK)
-        play = manyhosts.Play(load, LARGE_HOSTS, 3)
+        play = allowancesimulation.Play(load, LARGE_HOSTS, 3)
         play.play()
         self.assertLessEqual(play.find_most(WINDOW_S), allowed)
         # The rest of the hosts hands it out all the same.
@@ -279,6 +281,6 @@
         # all groups, and no more than the operators' bound runs.
         load = make_large_load(5.0)
         allowed = find_allowed(load.organisation, LARGE_SLACK)
-        play = manyhosts.Play(load, LARGE_HOSTS, 1)
+        play = allowancesimulation.Play(load, LARGE_HOSTS, 1)
         play.play()
         self.assertLessEqual(play.find_most(WINDOW_S), allowed)
