--- a/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
@@ -165,9 +165,9 @@
         for observer in self._observers:
             observer.observe(offset, envelope, now)
         if envelope.sender == self._incarnation:
-            self._reconcile_places(offset, envelope.sequence)
+            self._settle(offset, envelope.sequence)
 
-    def _reconcile_places(self, offset: ids.Offset, sequence: int) -> None:
+    def _settle(self, offset: ids.Offset, sequence: int) -> None:
         open_still: list[_Pending] = []
         for pending in self._pending:
             if pending.sequence > sequence:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/buckets.py
@@ -89,7 +89,7 @@
             # restarts within the operators' window would else add a first
             # part each, and so would hosts that start together.
             self.past += use.units
-            self._reconcile_places()
+            self._settle()
 
     def adopt(self, level: float) -> None:
         """Take the level that a peer states for the bucket that all share."""
@@ -101,9 +101,9 @@
         """Add first units; nobody has said yet that they are gone."""
         self.level += units
         self.assumed += units
-        self._reconcile_places()
+        self._settle()
 
-    def _reconcile_places(self) -> None:
+    def _settle(self) -> None:
         gone = min(self.past, self.assumed)
         self.past -= gone
         self.assumed -= gone
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -470,12 +470,12 @@
         kept.answer.finish(problem)
         outcome = _name_outcome(problem)
         self._metrics.count(f'{outcome}.{run.request.head.tier_name}')
-        self._reconcile_places(kept, problem)
+        self._settle(kept, problem)
         del self._runs[kept.ticket]
         if not self._runs:
             self.idle.set()
 
-    def _reconcile_places(
+    def _settle(
         self, kept: answers.Kept, problem: errors.Problem | None
     ) -> None:
         if kept.shard is None:
