--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -524,13 +524,13 @@
                     continue
                 self._renewing.add(giver)
                 self._group.start_soon(
-                    supervisor.run_guarded, self._ask_again, giver, shards
+                    supervisor.run_guarded, self._renew, giver, shards
                 )
             self._renew_now = anyio.Event()
             with anyio.move_on_after(lease / PROMISES_A_LEASE):
                 await self._renew_now.wait()
 
-    async def _ask_again(
+    async def _renew(
         self,
         giver: ids.Incarnation,
         shards: list[tuple[ids.Shard, ids.Epoch]],
