--- a/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
@@ -20,7 +20,11 @@
 import anyio
 import eliot
 
-from apricotlanding import clocks, errors, ids, platformlog, records
+from apricotlanding import clocks
+from apricotlanding import errors
+from apricotlanding import ids
+from apricotlanding import platformlog
+from apricotlanding import records
 
 __all__ = ['LogFollower', 'Observer']
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -6,11 +6,17 @@
 import collections.abc
 import typing as ty
 
-from apricotlanding import clocks, ids
-from apricotlandingd.gateway.decisions import quotas, scheduler, waiting
-from apricotlandingd.gateway.hosts import allowances, mesh, messages
+from apricotlanding import clocks
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import quotas
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.process import settings
-from apricotlandingd.gateway.replication import freshness, records
+from apricotlandingd.gateway.replication import freshness
+from apricotlandingd.gateway.replication import records
 
 __all__ = ['HostStates']
 
--- a/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/owners.py
@@ -25,10 +25,17 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import bundle, clocks, ids, records, supervisor, wire
+from apricotlanding import bundle
+from apricotlanding import clocks
+from apricotlanding import ids
+from apricotlanding import records
+from apricotlanding import supervisor
+from apricotlanding import wire
 from apricotlandingd.configuration import logfollower
-from apricotlandingd.ownership import leases, shardview
-from apricotlandingd.peering import peerlink, peers
+from apricotlandingd.ownership import leases
+from apricotlandingd.ownership import shardview
+from apricotlandingd.peering import peerlink
+from apricotlandingd.peering import peers
 
 __all__ = ['Owners', 'Role', 'Start', 'list_shards', 'parse_shard']
 
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -22,21 +22,23 @@
 import anyio
 import anyio.abc
 import eliot
-from opentelemetry import context, trace
-
-from apricotlanding import (
-    bundle,
-    clocks,
-    errors,
-    ids,
-    metrics,
-    retrybudget,
-    tracing,
-    wire,
-)
+from opentelemetry import context
+from opentelemetry import trace
+
+from apricotlanding import bundle
+from apricotlanding import clocks
+from apricotlanding import errors
+from apricotlanding import ids
+from apricotlanding import metrics
+from apricotlanding import retrybudget
+from apricotlanding import tracing
+from apricotlanding import wire
 from apricotlandingd.ownership import claims
 from apricotlandingd.pools import poolclient
-from apricotlandingd.requests import admission, answers, attaching, relay
+from apricotlandingd.requests import admission
+from apricotlandingd.requests import answers
+from apricotlandingd.requests import attaching
+from apricotlandingd.requests import relay
 
 __all__ = ['Run', 'RunState', 'Runs']
 
