--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/candidates.py
@@ -1,9 +1,10 @@
-"""Which host is asked for what one host keeps for all.
+"""Choice of the host that coordinates something for all hosts.
 
-For each name, such as a subset of runners, the first of the hosts that live is
-asked, in the order of rendezvous hashing: a host that comes or goes moves only
-what it was first for. A host that does not answer is passed over for a while;
-it may be cut off from this host alone, so others may go on asking it.
+Each name, such as that of a subset of runners, is coordinated by the first
+live host in the order of rendezvous hashing, so a host that joins or leaves
+moves only the names for which it is first. A host that does not reply is
+skipped for a backoff time. It may be unreachable from this host alone, so
+other hosts may go on asking it.
 """
 
 import collections.abc
@@ -13,7 +14,8 @@
 import eliot
 import xxhash
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
 
 __all__ = [
     'MAX_SILENT_HOSTS',
@@ -24,39 +26,39 @@
     'rank_hosts',
 ]
 
-# Seconds without a reply after which a message is sent again, and after which
-# the host is passed over.
+# Seconds without a reply after which a message is resent, and after which the
+# host is skipped.
 RESEND_INTERVAL_S = 0.015
 REPLY_TIMEOUT_S = 0.09
-# Silent hosts in a row after which a host decides by itself.
+# Consecutive silent hosts after which a host decides locally.
 MAX_SILENT_HOSTS = 2
-# Seconds for which a silent host is passed over, doubled each time up to the
-# longest; and one that is about to stop.
+# Seconds for which a silent host is skipped, doubled each time up to the
+# maximum; and for which a host that is stopping is skipped.
 INITIAL_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 8.0
 STOPPING_BACKOFF_S = 10.0
-# Hosts that may be asked for one name.
+# Hosts of the order that may be asked for one name.
 MAX_RANKED_HOSTS = 8
 
 
 class Hosts(ty.Protocol):
-    """What is asked about the other hosts, and how they are reached."""
+    """View of the other hosts, and a way to send to them."""
 
     def has_multiple_groups(self) -> bool:
-        """Tell whether there are too many hosts to share all they know."""
+        """Tell whether there are too many hosts to share all state."""
 
     @property
     def changes(self) -> int:
-        """Return a number that changes with the hosts that are heard."""
+        """Return a number that changes with the hosts that may be asked."""
 
     def list_coordinators(self) -> list[ids.Host]:
-        """Return the hosts that may be asked, this one included."""
+        """Return the hosts that may coordinate, this one included."""
 
     def find_address(self, host: ids.Host) -> addresses.Address | None:
-        """Return where another host takes messages."""
+        """Return the address at which another host takes messages."""
 
     def send(self, message: object, address: addresses.Address) -> None:
-        """Send a message that may be lost."""
+        """Send a datagram, which may be lost."""
 
 
 @ty.final
@@ -68,19 +70,19 @@
 
 @ty.final
 class Candidates:
-    """The hosts that this one may ask."""
+    """The hosts that this one may ask to coordinate."""
 
     def __init__(self, host: ids.Host, hosts: Hosts) -> None:
-        """Start without having asked any."""
+        """Start without a host in backoff."""
         self._host = host
         self._hosts = hosts
         self._backoffs: dict[ids.Host, _Backoff] = {}
-        # Hosts in order by name, as of the changes of the hosts.
+        # Ranked hosts by name, for the value of ``Hosts.changes`` below.
         self._ranked: dict[str, list[ids.Host]] = {}
         self._ranked_at = -1
 
     def choose(self, name: str, now: float) -> ids.Host:
-        """Return the host to ask; this one if all are passed over."""
+        """Return the host to ask; this one if all others are skipped."""
         for host in self._rank(name):
             backoff = self._backoffs.get(host)
             if backoff is None or now >= backoff.until:
@@ -88,11 +90,11 @@
         return self._host
 
     def list_first(self, name: str, count: int) -> list[ids.Host]:
-        """Return the first hosts in the order, whether they answer or not."""
+        """Return the first hosts in the order, also those in backoff."""
         return self._rank(name)[:count]
 
     def mark_silent(self, host: ids.Host, now: float) -> None:
-        """Pass over a host that did not answer."""
+        """Skip a host that did not reply; longer each time."""
         if host == self._host:
             return
         known = self._backoffs.get(host)
@@ -104,12 +106,12 @@
         self._backoffs[host] = _Backoff(now + seconds, count)
 
     def mark_stopping(self, host: ids.Host, now: float) -> None:
-        """Pass over a host that says that it is about to stop."""
+        """Skip a host that reports that it is stopping."""
         if host != self._host:
             self._backoffs[host] = _Backoff(now + STOPPING_BACKOFF_S, 1)
 
     def mark_reachable(self, host: ids.Host) -> None:
-        """Ask a host again that has answered."""
+        """End the backoff of a host that has replied."""
         self._backoffs.pop(host, None)
 
     def _rank(self, name: str) -> list[ids.Host]:
@@ -127,7 +129,7 @@
 def rank_hosts(
     name: str, hosts: collections.abc.Iterable[ids.Host]
 ) -> list[ids.Host]:
-    """Return hosts in the order in which they are to be asked."""
+    """Return hosts in the order of rendezvous hashing for a name."""
     return sorted(
         hosts,
         key=lambda host: xxhash.xxh3_64_intdigest(f'{name} {host}'.encode()),
