--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -1,10 +1,10 @@
-"""This host as the coordinator of subsets of runners.
+"""Coordinator of subsets of runners, which grants their places to hosts.
 
-Any host coordinates a subset as soon as another one asks it to, so there is
-nothing to agree on and nothing to take over: hosts state all that they hold in
-each request, and a coordinator that is new to a subset knows its places when
-the hosts have asked it once. Decisions are those of ``decisions.scheduler``,
-with the runners of the subset and the requests of all hosts that ask.
+Any host coordinates a subset as soon as another one asks it to, so there is no
+election and no handover: each request states all places that its host holds,
+and a new coordinator knows the places of a subset once all hosts have asked
+it. Decisions are those of ``decisions.scheduler``, over the runners of the
+subset and the requests of all hosts that ask.
 """
 
 import collections.abc
@@ -12,30 +12,32 @@
 import random
 import typing as ty
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.decisions import subsets
+from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
-from apricotlandingd.gateway.hosts import messages, placemessages
-from apricotlandingd.gateway.runners import (
-    directory,
-    health,
-    observations,
-    pace,
-    starts,
-)
-
-__all__ = ['Coordinator', 'AddressedReply']
-
-# Seconds without a message after which a host's places are given to others:
-# it sends several times as often while it holds or wants any.
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import placemessages
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import observations
+from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import starts
+
+__all__ = ['AddressedReply', 'Coordinator']
+
+# Seconds without a message after which a host's places are released: it sends
+# several times as often while it holds or wants any.
 CLIENT_TIMEOUT_S = 1.2
-# Seconds within which a second host that cannot reach a runner shows that the
-# runner is the reason, and not the first host's link.
+# Seconds within which a second host must fail to reach a runner too, to show
+# that the runner is at fault and not the first host's link.
 CONFIRMATION_WINDOW_S = 2.0
 
 
 class AddressedReply(ty.NamedTuple):
-    """A reply, and where it goes."""
+    """A reply, and the address that it goes to."""
 
     address: addresses.Address
     reply: placemessages.PlaceReply
@@ -43,7 +45,7 @@
 
 @ty.final
 class _SubsetView:
-    """What the scheduler of a subset asks about others: there are none."""
+    """The peers as the scheduler of a subset sees them: there are none."""
 
     def __init__(self, subset: subsets.Subset) -> None:
         self.partition = _SubsetRunners(subset)
@@ -75,10 +77,11 @@
     """A host's process that asks for places in a subset."""
 
     address: addresses.Address
-    # Of its newest request.
+    # Number of its newest request.
     number: int
     heard_at: float
-    # What waits or was decided, and places held, by number of the place.
+    # Requests that wait or were decided, and the runners of held places, by
+    # number of the place.
     tickets: dict[int, waiting.Ticket] = dataclasses.field(
         default_factory=dict
     )
@@ -88,18 +91,18 @@
 @ty.final
 @dataclasses.dataclass(slots=True)
 class _Schedule:
-    """One subset, as this host coordinates it."""
+    """State of one subset that this host coordinates."""
 
     decisions: scheduler.Scheduler
     # By the digest of the process.
     clients: dict[int, _Client] = dataclasses.field(default_factory=dict)
-    # What waits, by process and number of the place.
+    # Undecided requests, by process and number of the place.
     undecided: dict[tuple[int, int], waiting.Ticket] = dataclasses.field(
         default_factory=dict
     )
 
     def pop_decided(self) -> set[int]:
-        """Return the processes for which there are new decisions."""
+        """Remove decided requests, and return the processes they are from."""
         decided = [
             key
             for key, ticket in self.undecided.items()
@@ -112,7 +115,7 @@
 
 @ty.final
 class Coordinator:
-    """The subsets of runners that other hosts leave to this one."""
+    """Grants the places of the subsets for which hosts ask this one."""
 
     def __init__(
         self,
@@ -127,9 +130,9 @@
     ) -> None:
         """Start without subsets.
 
-        While ``knows_runners`` says no, this host answers nobody.
-        ``find_hold`` returns how long this host's own requests hold a place
-        of a service, for subsets of which nothing is known yet.
+        While ``knows_runners`` returns False, requests get no reply.
+        ``find_hold`` returns the seconds for which this host's own requests
+        hold a place of a service, as the first estimate for a new subset.
         """
         self._host = host
         self._runners = runners
@@ -141,7 +144,7 @@
         self._knows_runners = knows_runners
         self._find_hold = find_hold
         self._schedules: dict[subsets.Subset, _Schedule] = {}
-        # The last host that could not reach a runner, and when.
+        # The last process that could not reach a runner, and when.
         self._unreachable_reports: dict[
             ids.RunnerStart, tuple[int, float]
         ] = {}
@@ -149,7 +152,7 @@
     def handle_request(
         self, request: placemessages.PlaceRequest, now: float
     ) -> list[AddressedReply]:
-        """Take a host's request; return the replies to it and to others."""
+        """Handle a host's request; return the replies to it and others."""
         if request.place >= request.total or not self._knows_runners():
             return []
         subset = subsets.Subset(request.service, request.place, request.total)
@@ -171,7 +174,7 @@
         return self._make_replies(subset, schedule, asking, now)
 
     def pump(self, now: float) -> list[AddressedReply]:
-        """Decide by time; return the replies."""
+        """Make the decisions that are due; return the replies."""
         found: list[AddressedReply] = []
         for subset, schedule in list(self._schedules.items()):
             self._drop_silent(schedule, subset, now)
@@ -183,12 +186,12 @@
         return found
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
-        """Forget runners that are gone."""
+        """Drop the state of all other runners."""
         for start in set(self._unreachable_reports) - runners:
             del self._unreachable_reports[start]
 
     def count_subsets(self) -> int:
-        """Return the subsets that hosts have left to this one."""
+        """Return the number of subsets that this host coordinates."""
         return len(self._schedules)
 
     def _get_schedule(self, subset: subsets.Subset) -> _Schedule:
@@ -208,7 +211,7 @@
             self._schedules[subset] = found
         return found
 
-    # What hosts hold and want.
+    # Held and wanted places.
 
     def _reconcile_places(
         self,
@@ -302,7 +305,7 @@
             for start in client.held.values():
                 schedule.decisions.release(subset.service, start, now)
 
-    # What hosts are told.
+    # Replies.
 
     def _make_replies(
         self,
@@ -358,7 +361,7 @@
             is_stopping=self._is_stopping(),
         )
 
-    # What hosts have seen.
+    # Observations of runners.
 
     def _apply_observation(
         self,
@@ -376,7 +379,7 @@
         if item.kind is observations.Kind.FIRST:
             schedule.decisions.note_part(item.part, start, now)
         if request.host == self._host:
-            # This host has learned from it already.
+            # This host has applied its own observation already.
             return
         kind = item.kind
         if kind is observations.Kind.UNREACHABLE and not self._is_confirmed(
@@ -397,7 +400,7 @@
     def _is_confirmed(
         self, start: ids.RunnerStart, process: int, now: float
     ) -> bool:
-        # One host alone may itself be cut off from the runner.
+        # A single host may have lost its own link to the runner.
         known = self._unreachable_reports.get(start)
         self._unreachable_reports[start] = (process, now)
         if known is None or known[0] == process:
