--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -1,14 +1,14 @@
-"""Places for this host's requests: from coordinators, or on its own.
+"""Places at runners for this host's requests.
 
-Up to some twenty hosts share all places with each other, and each schedules
-its own requests (``decisions.scheduler``). In a larger system a request asks
-the coordinator of a subset of its service's runners (``decisions.subsets``),
-and a second one when the first has no place at once.
+Up to some twenty hosts share the state of all places, and each schedules its
+own requests (``decisions.scheduler``). In a larger system the coordinator of
+a subset of the service's runners is asked for a place
+(``decisions.subsets``), and a second one if the first has none at once.
 
-A coordinator may be dead, frozen, or cut off from this host alone. One that
-does not answer is passed over for a while and the next host in the order is
-asked, with all that this one holds; when several in a row are silent, this
-host decides by what it knows itself, beside asking on.
+A coordinator may be dead, frozen, or unreachable from this host alone. One
+that does not reply is skipped for a while, and the next host in the order is
+asked and told all places that this host holds. When several in a row do not
+reply, this host also decides locally while it goes on asking.
 """
 
 import dataclasses
@@ -17,21 +17,20 @@
 
 import eliot
 
-from apricotlanding import addresses, ids
-from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
-from apricotlandingd.gateway.hosts import (
-    candidates,
-    coordinator,
-    messages,
-    placemessages,
-)
-from apricotlandingd.gateway.runners import (
-    directory,
-    health,
-    observations,
-    pace,
-    starts,
-)
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.decisions import subsets
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import coordinator
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import placemessages
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import observations
+from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import starts
 
 __all__ = ['Dispatcher']
 
@@ -40,9 +39,9 @@
 # Seconds between messages while requests wait, and while places are held.
 WAITING_INTERVAL_S = 0.1
 HOLDING_INTERVAL_S = 0.3
-# Seconds for which the free places that a coordinator states are used.
+# Seconds for which the free places in a coordinator's reply are used.
 FREE_PLACES_MAX_AGE_S = 1.0
-# Observations that wait for the next message to a coordinator.
+# Most observations that are kept for the next message to a coordinator.
 MAX_UNSENT_OBSERVATIONS = 32
 
 
@@ -53,10 +52,10 @@
 
     ticket: waiting.Ticket
     since: float
-    # Subsets that are asked, and those that refused.
+    # Subsets whose coordinators are asked, and their refusals.
     asked: list[subsets.Subset]
     refusals: list[waiting.Refusal] = dataclasses.field(default_factory=list)
-    # Digests of runners that were granted and are not known here.
+    # Digests of granted runners that are unknown here, or draining.
     unknown: set[int] = dataclasses.field(default_factory=set)
     is_local: bool = False
 
@@ -64,29 +63,29 @@
 @ty.final
 @dataclasses.dataclass(slots=True)
 class _Link:
-    """This host and the coordinator of one subset."""
+    """Exchange of messages with the coordinator of one subset."""
 
     subset: subsets.Subset
     target: ids.Host
     sent_at: float = 0.0
-    # Number of the newest message that wants a reply, and when the oldest one
-    # was sent that has none.
+    # Number of the newest message that wants a reply, and when the oldest
+    # unanswered one was sent.
     awaited_number: int = 0
     unanswered_at: float | None = None
     wanted: set[int] = dataclasses.field(default_factory=set)
     seen: list[placemessages.RunnerObservation] = dataclasses.field(
         default_factory=list
     )
-    # Free places by the last reply, and when it came.
+    # Free places according to the last reply, and when it arrived.
     free: int = 0
     heard_at: float | None = None
-    # Coordinators in a row that did not answer.
+    # Consecutive coordinators that did not reply.
     silent: int = 0
 
 
 @ty.final
 class Dispatcher:
-    """The places that this host's requests wait for and hold."""
+    """Obtains and releases the places of this host's requests."""
 
     def __init__(
         self,
@@ -104,11 +103,11 @@
     ) -> None:
         """Start without requests.
 
-        ``own_coordinator`` serves the subsets that this host coordinates itself.
+        ``own_coordinator`` serves the subsets that this host coordinates.
         """
         self._host = host
         self._address = str(address)
-        # Stands for this process in messages.
+        # Identifies this process in messages.
         self.process = messages.digest_process(process)
         self._local = local
         self._own_coordinator = own_coordinator
@@ -124,7 +123,8 @@
         self._waiting: dict[int, _WaitingRequest] = {}
         self._held: dict[int, ids.RunnerStart] = {}
         self._links: dict[subsets.Subset, _Link] = {}
-        # Subsets by service and by runner, as of the directory's changes.
+        # Subsets by service and by runner, for the value of the directory's
+        # ``changes`` below.
         self._subsets: dict[ids.Pool, list[subsets.Subset]] = {}
         self._subset_of: dict[ids.RunnerStart, subsets.Subset] = {}
         self._changes = -1
@@ -132,7 +132,7 @@
     # Requests.
 
     def enter(self, ticket: waiting.Ticket, now: float) -> None:
-        """Let a request wait; it may be decided at once."""
+        """Add a request that waits for a place; it may be decided at once."""
         found = self._list_subsets(ticket.service)
         if not self._hosts.has_multiple_groups() or not found:
             self._local.enter(ticket, now)
@@ -143,7 +143,7 @@
         self._ask(ticket.number, self._rng.choice(found), now)
 
     def leave(self, ticket: waiting.Ticket, now: float) -> None:
-        """Drop a request that waits no more."""
+        """Remove a request that no longer waits."""
         self._local.leave(ticket)
         if ticket.number in self._waiting:
             self._withdraw(ticket.number, None, now)
@@ -151,7 +151,7 @@
     def release(
         self, service: ids.Pool, grant: waiting.Grant, now: float
     ) -> None:
-        """Give a place back."""
+        """Release a place."""
         if not grant.number:
             self._local.release(service, grant.runner, now)
             return
@@ -189,7 +189,7 @@
         seen: observations.Observation,
         now: float,
     ) -> None:
-        """Learn from what was seen of a runner, and report it."""
+        """Apply an observation of a runner, and report it."""
         observations.apply(
             seen, service, start, self._paces, self._health, now
         )
@@ -210,27 +210,27 @@
     def note_load(
         self, start: ids.RunnerStart, load: tuple[int, int], now: float
     ) -> None:
-        """Take a runner's own statement of what runs and waits there."""
+        """Apply a runner's own counts of running and waiting requests."""
         self._local.note_load(start, load, now)
 
-    # Replies, and what time brings.
+    # Messages and timers.
 
     def handle_request(
         self, request: placemessages.PlaceRequest, now: float
     ) -> None:
-        """Take the request of a host that this one coordinates for."""
+        """Handle a request of a host that this one coordinates for."""
         self._deliver(self._own_coordinator.handle_request(request, now), now)
 
     def handle_reply(
         self, reply: placemessages.PlaceReply, now: float
     ) -> None:
-        """Take the decisions of a coordinator."""
+        """Handle a coordinator's reply, and apply its decisions."""
         subset = subsets.Subset(reply.service, reply.place, reply.total)
         link = self._links.get(subset)
         if reply.process != self.process or link is None:
             return
         if reply.host != link.target:
-            # It was passed over; another one has all requests by now.
+            # It was skipped; another coordinator has all requests by now.
             return
         link.free, link.heard_at, link.silent = reply.free, now, 0
         if reply.answers >= link.awaited_number:
@@ -249,7 +249,7 @@
             self._retarget(link, now)
 
     def tick(self, now: float) -> None:
-        """Send what is due, and decide by time."""
+        """Send the messages and make the decisions that are due."""
         self._deliver(self._own_coordinator.pump(now), now)
         for number, item in list(self._waiting.items()):
             if number in self._waiting:
@@ -258,7 +258,7 @@
             self._check_link(subset, link, now)
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
-        """Forget what is kept about runners that are gone."""
+        """Drop the state of all other runners."""
         self._own_coordinator.keep_only(runners)
 
     def _deliver(
@@ -274,7 +274,7 @@
         self, number: int, item: _WaitingRequest, now: float
     ) -> None:
         if item.ticket.decision is not None:
-            # Decided by this host alone.
+            # Decided locally.
             self._withdraw(number, None, now)
             return
         if (
@@ -321,7 +321,7 @@
         if now - link.sent_at > pause:
             self._send(link, now)
 
-    # Asking.
+    # Requests to coordinators.
 
     def _ask(self, number: int, subset: subsets.Subset, now: float) -> None:
         self._waiting[number].asked.append(subset)
@@ -343,8 +343,8 @@
     def _withdraw(
         self, number: int, granted: subsets.Subset | None, now: float
     ) -> None:
-        # A grant may be on its way: other coordinators hear at once that
-        # their places are not wanted.
+        # A grant may be in flight, so other coordinators are told at once
+        # that their places are not wanted.
         item = self._waiting.pop(number)
         if item.is_local:
             self._local.leave(item.ticket)
@@ -362,12 +362,12 @@
         item = self._waiting[number]
         entry = self._starts.find_entry(digest)
         if entry is None or entry.is_draining:
-            # The coordinator's directory is behind this one, or ahead.
+            # The coordinator's directory is older or newer than this host's.
             self._ask_again(number, item, digest, now)
             return
         self._withdraw(number, subset, now)
         self._held[number] = entry.start
-        # Counts when this host decides by itself, and is told to its group.
+        # Counts in local decisions, and is reported to this host's group.
         self._local.places.take(entry.start)
         item.ticket.decide(waiting.Grant(entry.start, number))
 
@@ -401,7 +401,7 @@
         if len(item.asked) == 1:
             self._ask_second(number, item, now)
         if number not in self._waiting:
-            # The second one is this host, and has decided at once.
+            # The second coordinator is this host, and has decided at once.
             return
         if len(item.refusals) < len(item.asked):
             return
@@ -437,7 +437,7 @@
         self._send_request(link.target, request, now)
 
     def _release_all(self, link: _Link, now: float) -> None:
-        # Names no place: the coordinator may give all of them to others.
+        # Names no place, so the coordinator may grant all of them to others.
         request = self._make_request(link, wants_reply=False)
         self._send_request(link.target, request, now)
 
@@ -497,7 +497,7 @@
             excluded=sorted(excluded | item.unknown),
         )
 
-    # Who is asked.
+    # Subsets and their coordinators.
 
     def _get_link(self, subset: subsets.Subset, now: float) -> _Link:
         link = self._links.get(subset)
