--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/groups.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/groups.py
@@ -1,16 +1,16 @@
-"""Which hosts hear each other at once.
+"""Groups of hosts that send each other every change.
 
-A host that tells all others each change sends messages with the square of the
-hosts. So hosts form groups. Those of one group tell each other their state at
-once (``mesh``); those of different groups hear each other rarely. What all
-hosts share, the places at runners, is granted by coordinators instead
-(``coordinator``).
+If each host sent each change to all others, the messages would grow with the
+square of the hosts. So hosts form groups. Those of one group send each other
+their state at once (``mesh``); those of different groups rarely send to each
+other. Places at runners, which all hosts share, are granted by coordinators
+instead (``coordinator``).
 
-Every host computes the groups alone, from the names of the hosts that it
-knows. Views that differ for a moment differ by the few hosts at the edges.
+Each host computes the groups alone, from the names of the hosts that it knows.
+Views that differ for a moment differ by the few hosts at the edges of groups.
 
-Up to ``GROUP_TARGET_HOSTS`` and a half of them there is one group, and this module
-changes nothing.
+Up to one and a half times ``GROUP_TARGET_HOSTS`` there is one group, and this
+module changes nothing.
 """
 
 import dataclasses
@@ -23,10 +23,11 @@
 
 __all__ = ['Partition', 'make_partition']
 
-# Hosts in a group: each hears all others of its group several times a second.
+# Hosts in a group, about: each hears all others of its group several times a
+# second.
 GROUP_TARGET_HOSTS = 12
-# What a group may use of a runner without a coordinator, as a multiple of its
-# equal share: groups seldom need the most at the same moment.
+# Slots of a runner that a group may use without a coordinator, as a multiple
+# of its equal share: groups seldom reach their peaks at the same moment.
 GROUP_SHARE_RATIO = 1.5
 
 
@@ -35,7 +36,7 @@
 class Partition:
     """The groups, as one host sees them."""
 
-    # Groups in all, and the one that this host is in.
+    # Number of groups, and the index of this host's group.
     count: int = 1
     own: int = 0
     # Group of each known host.
@@ -54,7 +55,7 @@
     ) -> list[dialect.RunnerEntry]:
         """Return the runners of one service, with the slots to be used.
 
-        Beside other groups, a host that schedules by itself uses its group's
+        With several groups, a host that schedules locally uses its group's
         share of each runner.
         """
         if self.count == 1:
@@ -69,9 +70,9 @@
 def make_partition(own: ids.Host, others: list[ids.Host]) -> Partition:
     """Return the groups of all hosts.
 
-    Hosts are put in the order of a hash of their names and cut into groups of
-    equal size, so that a group mixes failure domains, and a host more or less
-    moves only the edges.
+    Hosts are sorted by a hash of their names and cut into groups of equal
+    size, so that a group mixes failure domains, and a host that joins or
+    leaves moves only hosts at the edges of groups.
     """
     hosts = sorted([own, *others], key=_hash_name)
     count = max(1, round(len(hosts) / GROUP_TARGET_HOSTS))
