--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -1,17 +1,18 @@
-"""The other hosts: who they are, and what they use and want.
+"""Exchange of state with the other hosts.
 
 Hosts find each other by the seeds of the settings, by a record that each
 writes once into the platform's store, and by hints in each other's messages.
-They exchange ``HostState`` by datagram, and ``HostChange`` in between: each is
-newer than the one before, so loss and reordering need no repair, and a peer
-that has fallen silent costs nothing but its own estimate. ``Mesh`` implements
-what the scheduler asks about others.
+They exchange ``HostState`` by datagram, and ``HostChange`` in between. Each
+message supersedes the one before, so loss and reordering need no repair, and a
+peer that falls silent affects only the estimate of what it uses. ``Mesh``
+implements what the scheduler asks about other hosts.
 
-Hosts of one group (``groups``) are near: they tell each other every change,
-and only their requests and waits count here. Each other host is far: it hears
-from this one in its turn, so that hosts stay known and records spread.
+Hosts of one group (``groups``) are near: they send each other every change,
+and only their running and waiting requests count here. All other hosts are
+far: they get a message one after another, in turn, so that hosts stay known
+and records spread.
 
-A silent peer may be dead, frozen, or only cut off from this host. What it
+A silent peer may be dead, frozen, or only unreachable from this host. What it
 reported is used for a moment, after which it counts as silent: the scheduler
 and the quotas then assume that it goes on using its share.
 """
@@ -28,47 +29,48 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import addresses, clocks, errors, ids
+from apricotlanding import addresses
+from apricotlanding import clocks
+from apricotlanding import errors
+from apricotlanding import ids
 from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import (
-    allowancemessages,
-    groups,
-    messages,
-    placemessages,
-)
+from apricotlandingd.gateway.hosts import allowancemessages
+from apricotlandingd.gateway.hosts import groups
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import placemessages
 
 __all__ = ['Mesh', 'Peer', 'Scope']
 
 # Seconds between messages to near peers when nothing changes.
 HEARTBEAT_INTERVAL_S = 0.25
-# Least seconds between messages to near peers, for the square of their
-# number, as the messages in a group grow.
+# Minimum seconds between messages to near peers, per square of their number:
+# the messages in a group grow with it.
 SQUARED_PEERS_INTERVAL_S = 0.0005
-# Seconds between messages to far peers, each of which gets one in its turn: of
-# four groups, a host hears each other one about three times a second.
+# Seconds between messages to far peers, which get one each in turn: with four
+# groups, a host hears from each other group about three times a second.
 FAR_INTERVAL_S = 0.1
-# Seconds without a message after which a peer counts as silent: it missed
-# two heartbeats and most of a third.
+# Seconds without a message after which a peer counts as silent: it missed two
+# heartbeats and most of a third.
 SILENT_TIMEOUT_S = 0.7
-# Seconds without a message after which a peer is dropped. Until then its
-# share of places and allowances stays reserved: a host that cannot be heard
-# may go on serving callers.
+# Seconds without a message after which a peer is dropped. Until then its share
+# of places and allowances stays reserved: a host that cannot be heard may
+# still serve callers.
 DROP_TIMEOUT_S = 20.0
-# Seconds between whole states to near peers. What the others leave out serves
-# averages over seconds, or newcomers.
+# Seconds between whole states to near peers. The fields that other messages
+# leave out are for averages over seconds, or for new hosts.
 WHOLE_STATE_INTERVAL_S = 0.5
-# Seconds for which a process that was first heard is new: it gets at least two
-# whole states in this time.
+# Seconds for which a process counts as new after it was first heard: it gets
+# at least two whole states in this time.
 NEW_PEER_WINDOW_S = 1.5
-# Seconds between tries to reach hosts that were never heard.
+# Seconds between probes of hosts that were never heard.
 PROBE_INTERVAL_S = 0.5
-# Least seconds between messages to hosts that are new here: many become known
-# at once, and one message is written for all of them.
+# Minimum seconds between probes of hosts that are new here: many become known
+# at once, and one message is encoded for all of them.
 MIN_PROBE_INTERVAL_S = 0.02
-# Tries after which a host that never answered is given up.
+# Probes after which a host that never replied is given up.
 MAX_PROBES = 20
 # Ranks and hints in one message: a datagram of a busy host stays below
-# 1,400 bytes, so that it is not cut into fragments.
+# 1,400 bytes, so that it is not fragmented.
 RANKS_PER_MESSAGE = 8
 HINTS_PER_MESSAGE = 3
 # Ended processes that are remembered.
@@ -76,27 +78,27 @@
 
 
 class Scope(enum.Enum):
-    """What a state is to hold."""
+    """Fields that a state is to contain."""
 
     # Everything, for near peers.
     WHOLE = 'whole'
-    # The same and what hosts of other groups are told, for hosts that were
-    # never heard: they may be of either kind.
+    # Those for near and for far peers, for hosts that were never heard: they
+    # may be of either kind.
     SOUGHT = 'sought'
-    # What hosts of other groups use.
+    # Those for peers of other groups.
     FAR = 'far'
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """Another host, by its latest message."""
+    """Another host, according to its latest message."""
 
     state: messages.HostState
-    # Where it takes messages.
+    # Address at which it takes messages.
     address: addresses.Address
     heard_at: float
-    # Ranks of what waits there, on this host's clock.
+    # Ranks of the requests that wait there, on this host's clock.
     ranks: dict[ids.Pool, list[waiting.Rank]]
     # Requests at runners, by the digest of the runner's start.
     running: dict[int, int]
@@ -104,19 +106,19 @@
     is_near: bool
     # When this process of the host was first heard.
     first_heard_at: float
-    # When it came into the group: before, it sent rarely.
+    # When it joined this host's group; before, it sent rarely.
     near_since: float = 0.0
-    # Units asked for a second there, by the last state that said so.
+    # Units asked for per second there, by the last state that reported them.
     asked: dict[ids.Organisation, float] = dataclasses.field(
         default_factory=dict
     )
-    # Messages are missing.
+    # No message arrived within the timeout.
     is_silent: bool = False
 
 
 @ty.final
 class Mesh:
-    """All other hosts, as this one hears them."""
+    """All other hosts, and the messages to and from them."""
 
     def __init__(
         self,
@@ -125,42 +127,42 @@
         seeds: tuple[addresses.Address, ...],
         rng: random.Random,
     ) -> None:
-        """Start alone; ``seeds`` are where some hosts take messages."""
+        """Start without peers; ``seeds`` are addresses of some hosts."""
         self._host = host
         self._address = address
         self._rng = rng
         self.peers: dict[ids.Host, Peer] = {}
-        # Requests of all heard near peers at each runner. Kept up with each
-        # message: summing all peers for each runner at each decision would
-        # cost more than the decision.
+        # Requests of all heard near peers at each runner. Updated with each
+        # message: summing over all peers for each runner at each decision
+        # would cost more than the decision.
         self._running: collections.Counter[int] = collections.Counter()
         # Host of each process that was heard, by its digest.
         self._processes: dict[int, ids.Host] = {}
         self._silent_share = 0.0
         self.partition = groups.Partition()
-        # Counts the changes of the hosts that are heard.
+        # Counts the changes of the hosts that may coordinate.
         self.changes = 0
-        # Addresses to try, with the tries that are left.
+        # Addresses to probe, with the probes that are left.
         self._probes_left: dict[addresses.Address, int] = {}
-        # Those of them to try at once, and hosts that were just heard for
-        # the first time and may not have heard this one.
+        # Those of them to probe at once, and addresses of hosts that were just
+        # heard for the first time and may not have heard this one.
         self._due_probes: set[addresses.Address] = set()
         self._probe_requested = anyio.Event()
         for seed in seeds:
             self.probe_address(seed)
         self._changed = anyio.Event()
-        # Sends at once or not at all, so that no task waits for another one;
-        # the event loop would add a wake-up for each message.
+        # Non-blocking: sends at once or not at all, so that no task waits for
+        # another one. The event loop would add a wake-up for each message.
         self._sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sender.setblocking(False)
         self._number = 0
-        # When the last whole state went to near peers.
+        # When the last whole state was sent to near peers.
         self._whole_at = 0.0
-        # Processes that have been followed by another one on their host.
+        # Processes that were replaced by another one on their host.
         self._ended: collections.deque[ids.Incarnation] = collections.deque(
             maxlen=MAX_ENDED_PROCESSES
         )
-        # Filled in by the daemon.
+        # Set by the daemon.
         self.make_state: collections.abc.Callable[
             [int, Scope, dict[ids.Host, str]], messages.HostState
         ]
@@ -186,13 +188,13 @@
         self.on_usage_update: collections.abc.Callable[
             [allowancemessages.UsageUpdate, float], None
         ] = lambda usage_update, now: None
-        # Called with the sender's IP number and the reason for each message
-        # that cannot be read.
+        # Called with the sender's IP address, the reason and the time for each
+        # message that cannot be decoded.
         self.on_unreadable: collections.abc.Callable[
             [str, str, float], None
         ] = lambda sender, detail, now: None
 
-    # What others are asked about.
+    # State of the other hosts.
 
     def count_hosts(self) -> int:
         """Return the number of hosts, this one included."""
@@ -207,22 +209,22 @@
         return [peer for peer in self.list_heard() if peer.is_near]
 
     def find_silent_share(self) -> float:
-        """Return the share of this host's group that is not heard."""
+        """Return the share of this host's group that is silent."""
         return self._silent_share
 
     def find_far_interval(self) -> float:
-        """Return the seconds until a far peer sends here again.
+        """Return the seconds between two messages of a far peer.
 
-        That is if it knows as many hosts as this one.
+        This assumes that it knows as many hosts as this one.
         """
         return FAR_INTERVAL_S * len(self.peers)
 
     def find_unreachable_share(self) -> float:
         """Return the share of this host's group that may act unheard.
 
-        Beside the silent ones these are hosts that this one looks for and has
-        never heard, or that its peers count: one that started a moment ago
-        knows nobody.
+        Besides silent peers, these are hosts that this one probes and has
+        never heard, or that its peers count: a host that has just started
+        knows no other.
         """
         known = 1 + len(self.peers)
         return (
@@ -230,18 +232,18 @@
         )
 
     def count_possible_hosts(self) -> int:
-        """Return the hosts that there may be, heard or not."""
+        """Return the number of hosts that may exist, heard or not."""
         told = max(
             (peer.state.hosts for peer in self.peers.values()), default=0
         )
         return max(1 + len(self.peers) + len(self._probes_left), told)
 
     def has_reported_host_count(self) -> bool:
-        """Tell whether a peer has said how many hosts there are."""
+        """Tell whether a peer has reported how many hosts there are."""
         return any(peer.state.hosts > 0 for peer in self.peers.values())
 
     def has_new_peer(self, now: float) -> bool:
-        """Tell whether a near peer was first heard a moment ago."""
+        """Tell whether a near peer was first heard a short time ago."""
         return any(
             peer.is_near and now - peer.first_heard_at < NEW_PEER_WINDOW_S
             for peer in self.peers.values()
@@ -252,7 +254,7 @@
         return self._running[messages.digest_start(runner)]
 
     def list_waiting(self, service: ids.Pool) -> list[waiting.Rank]:
-        """Return what waits at heard peers, sorted."""
+        """Return the sorted ranks of requests that wait at heard peers."""
         ranks: list[waiting.Rank] = []
         for peer in self.list_near():
             ranks.extend(peer.ranks.get(service, ()))
@@ -275,18 +277,18 @@
         ]
 
     def find_address(self, host: ids.Host) -> addresses.Address | None:
-        """Return where another host takes messages."""
+        """Return the address at which another host takes messages."""
         peer = self.peers.get(host)
         return None if peer is None else peer.address
 
     def send(self, message: object, address: addresses.Address) -> None:
-        """Send a message that may be lost."""
+        """Send a datagram, which may be lost."""
         self._send(messages.registry.encode(message), address)
 
-    # Changes.
+    # Discovery and messages.
 
     def probe_address(self, address: addresses.Address) -> None:
-        """Try to reach a host at an address."""
+        """Probe an address for a host that is not known yet."""
         if address == self._address or address in self._probes_left:
             return
         self._probes_left[address] = MAX_PROBES
@@ -297,15 +299,15 @@
         self._probe_requested.set()
 
     def list_probed(self) -> list[addresses.Address]:
-        """Return where hosts are looked for that were never heard."""
+        """Return the addresses of hosts that were never heard."""
         return list(self._probes_left)
 
     def request_update(self) -> None:
-        """Send this host's state soon."""
+        """Have this host's state sent to near peers soon."""
         self._changed.set()
 
     def handle_state(self, state: messages.HostState, now: float) -> None:
-        """Take a peer's message."""
+        """Handle a peer's ``HostState``."""
         if state.host == self._host:
             return
         known = self.peers.get(state.host)
@@ -321,17 +323,17 @@
         self.on_state(state, now)
 
     def handle_change(self, change: messages.HostChange, now: float) -> None:
-        """Take what has changed at a peer.
+        """Handle a peer's ``HostChange``.
 
-        A process that was never heard is left out: its whole state, which
-        names it, comes within half a second.
+        That of a process that was never heard is ignored: its whole state,
+        which names it, arrives within half a second.
         """
         host = self._processes.get(change.process)
         known = None if host is None else self.peers.get(host)
         if known is None or change.number <= known.state.number:
             return
         if not known.is_near:
-            # Its groups are not those that this host sees.
+            # Its view of the groups differs from this host's.
             return
         state = dataclasses.replace(
             known.state,
@@ -358,11 +360,11 @@
             known.state.incarnation == peer.state.incarnation
         )
         if not is_same:
-            # Far hosts hear from this one in their turn only, seconds later in
-            # a large system. Until then a host that has just started, as all
-            # do after all were lost, leaves this one's part of everything to
-            # it: of 840 requests in the first second of 71 hosts, 260 were
-            # refused as beyond an allowance.
+            # Far hosts get messages from this one in turn only, seconds later
+            # in a large system. Until then a host that has just started keeps
+            # this one's share of everything reserved. When 71 hosts started
+            # at once, 260 of the 840 requests of the first second were
+            # refused as over the allowance.
             self._request_probe(peer.address)
         if known is not None:
             peer.near_since = known.near_since
@@ -382,7 +384,7 @@
             self._replace_running(known.running, peer.running)
 
     def drop_silent(self, now: float) -> None:
-        """Leave silent peers out, and forget those that stay silent."""
+        """Mark silent peers, and drop those that stay silent."""
         count = len(self.peers)
         for host, peer in list(self.peers.items()):
             turn = 0.0 if peer.is_near else self.find_far_interval()
@@ -483,7 +485,7 @@
     # Tasks.
 
     async def run(self) -> None:
-        """Exchange messages for as long as the daemon runs."""
+        """Exchange messages until cancelled."""
         async with await anyio.create_udp_socket(
             local_host=self._address.host, local_port=self._address.port
         ) as receiver:
@@ -498,7 +500,7 @@
             try:
                 data, sender = await receiver.receive()
             except OSError:
-                # An earlier datagram met a host without a listener.
+                # An earlier datagram reached a host without a listener.
                 continue
             now = clocks.read_monotonic()
             try:
@@ -561,8 +563,8 @@
             self._send(self._write_state(Scope.FAR), peer.address)
 
     def _list_far(self) -> list[ids.Host]:
-        # In a new order each time, so that those who send at the same pace
-        # do not all send to the same host at once.
+        # In a new order each time, so that hosts that send at the same rate do
+        # not all send to the same host at once.
         far = [host for host, peer in self.peers.items() if not peer.is_near]
         self._rng.shuffle(far)
         return far
@@ -600,8 +602,8 @@
         try:
             self._sender.sendto(data, (address.host, address.port))
         except OSError:
-            # No route or a full buffer: like any lost datagram, the next one
-            # makes it good.
+            # No route or a full buffer: as for any lost datagram, the next one
+            # replaces it.
             return
 
     def _write_change(self) -> bytes:
@@ -618,7 +620,7 @@
 
 
 def _may_coordinate(peer: Peer) -> bool:
-    # One that has read no records knows no runners.
+    # A host that has read no records knows no runners.
     state = peer.state
     return (
         not peer.is_silent and not state.is_stopping and all(state.positions)
