--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/__init__.py
@@ -1,9 +1,10 @@
-"""What hosts tell each other, and what one host keeps for all.
+"""State exchanged between hosts, and what one host coordinates for all.
 
-``mesh`` sends and hears states, ``messages`` holds their types, ``groups``
-tells which hosts hear each other at once. In a large system ``dispatch`` asks
-for places at runners and ``coordinator`` grants them, ``sharedallowances``
-asks for units of allowances and hands them out, and ``candidates`` says whom
-to ask; ``placemessages`` and ``allowancemessages`` hold what they say.
-``allowances`` is what a host knows of allowances by itself.
+``mesh`` exchanges states, ``messages`` declares them, and ``groups`` decides
+which hosts exchange every change. In a large system ``dispatch`` requests
+places at runners and ``coordinator`` grants them; a place is one request slot
+at a runner. ``sharedallowances`` requests units of an organisation's allowance
+and grants them. ``candidates`` chooses the coordinators, and
+``placemessages`` and ``allowancemessages`` declare their messages.
+``allowances`` is a host's own copy of the allowances.
 """
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowancemessages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowancemessages.py
@@ -1,9 +1,9 @@
-"""Messages between a host and the hosts that keep allowances for all.
+"""Messages between a host and the coordinators of allowances.
 
-``AllowanceRequest`` asks for units of one organisation, or gives some back.
-It is repeated until ``AllowanceReply`` comes; the number tells a repetition,
-which is answered as before and hands out nothing more. ``UsageUpdate`` goes to
-the hosts that are asked next when the sender is lost.
+``AllowanceRequest`` asks for units of one organisation, or returns some. It
+is resent until ``AllowanceReply`` arrives. Its number identifies a repetition,
+which gets the same answer and grants nothing more. ``UsageUpdate`` goes to the
+hosts that are asked next when the sender is lost.
 """
 
 import dataclasses
@@ -23,16 +23,16 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class AllowanceRequest:
-    """Asks for units of an organisation's allowance."""
+    """Asks for units of an organisation's allowance, or returns them."""
 
     # Where the reply goes.
     address: messages.AddressText
     process: messages.Digest
-    # Counts the requests of the process.
+    # Sequence number of the request within the process.
     number: messages.Count
     organisation: ids.Organisation
     cost: Cost
-    # The units are given back: their request was not run.
+    # The units are returned: their request was not run.
     is_returned: bool
 
 
@@ -40,13 +40,13 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class AllowanceReply:
-    """Says whether the units were handed out."""
+    """Tells whether the units were granted."""
 
     host: ids.Host
     # The process and the request that are answered.
     process: messages.Digest
     number: messages.Count
-    # Seconds until there are enough; 0 if they were handed out.
+    # Seconds until there are enough; 0 if they were granted.
     wait_s: Cost
     is_stopping: bool
 
@@ -55,9 +55,9 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageUpdate:
-    """What a host has handed out for all since its start."""
+    """Units that a host has granted for all since its start."""
 
     incarnation: ids.Incarnation
-    # Totals of units by organisation, now and in the news before.
+    # Totals of units by organisation, now and in the previous update.
     usage: dict[ids.Organisation, messages.Units]
     before: dict[ids.Organisation, messages.Units]
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/messages.py
@@ -1,17 +1,18 @@
 """Messages between gateway hosts.
 
-``HostState`` goes to every peer by datagram, several times a second; it is
-whole each time, so a lost one does no harm. Between two of them near peers get
-``HostChange`` after each change, which says the same of what changes from one
-moment to the next, in a quarter of the bytes: names that both sides know are
-digests. The rest are a request and its reply over one connection, for records
-that a peer lacks, which may be larger than a datagram.
-
-Whoever reaches a host's ports can send these, so types alone are not enough:
-a count below zero would give out places that a runner does not have, NaN in a
-total would end an allowance, and an address that is none would be found out
-when half of the message has been used. The fields state their bounds, and a
-message is taken as a whole or not at all.
+``HostState`` goes to every peer by datagram, several times a second. Each is
+complete, so a lost one does no harm. In between, near peers get ``HostChange``
+after each change. It states the fields that change from one moment to the
+next, in a quarter of the bytes: names that both sides know are replaced by
+digests. ``RecordQuery`` and ``RecordPage`` are a request and its reply over
+one connection, for records that a peer lacks, which may be larger than a
+datagram.
+
+Anyone who reaches a host's ports can send these, so types alone are not
+enough: a negative count would grant places that a runner does not have, NaN in
+a total would disable an allowance, and an invalid address would be found only
+after half of the message has been applied. The fields declare their bounds,
+and a message is accepted as a whole or not at all.
 """
 
 import dataclasses
@@ -22,7 +23,9 @@
 import pydantic
 import xxhash
 
-from apricotlanding import addresses, codec, ids
+from apricotlanding import addresses
+from apricotlanding import codec
+from apricotlanding import ids
 from apricotlandingd.gateway.decisions import waiting
 
 __all__ = [
@@ -40,11 +43,11 @@
 
 registry = codec.Registry('gateway message')
 
-# Largest whole number: what the platform's store can count to.
+# Largest integer: the platform's store counts no further.
 MAX_INT: ty.Final = 2**63 - 1
-# Largest number of units; sums over all hosts and seconds stay finite.
+# Largest number of units; with it, sums over all hosts and seconds are finite.
 MAX_UNITS: ty.Final = 1e15
-# Longest text of an address: an IPv6 number in brackets with its port.
+# Longest text of an address: an IPv6 address in brackets with its port.
 MAX_ADDRESS_CHARS: ty.Final = 64
 # Most other hosts that one message names; this project's hosts name three.
 MAX_HINTS: ty.Final = 16
@@ -52,28 +55,28 @@
 
 @functools.lru_cache(maxsize=8192)
 def digest_start(start: ids.RunnerStart) -> int:
-    """Return the 32 bits that stand for a runner's start in a message.
+    """Return the 32-bit digest of a runner's start.
 
-    Two runners with the same digest seem to hold each other's requests.
+    Two runners whose digests collide appear to hold each other's requests.
     """
     return xxhash.xxh32_intdigest(start.encode())
 
 
 def digest_starts(counts: dict[ids.RunnerStart, int]) -> dict[int, int]:
-    """Return counts by runner with the digests in place of the starts."""
+    """Return counts by runner, with digests as keys instead of the starts."""
     return {digest_start(start): count for start, count in counts.items()}
 
 
 def digest_process(process: ids.Incarnation) -> int:
-    """Return the 64 bits that stand for a host's process in a message."""
+    """Return the 64-bit digest of a host's process."""
     return xxhash.xxh3_64_intdigest(process.encode())
 
 
 @functools.lru_cache(maxsize=4096)
 def read_address(text: str) -> addresses.Address:
-    """Return the address in a message; ValueError if it is none.
+    """Return the address in a message; ValueError if it is invalid.
 
-    Each message names its sender's address, and there are few hosts.
+    Cached, as each message names its sender's address and hosts are few.
     """
     address = addresses.parse_address(text)
     if address.port == 0:
@@ -88,7 +91,7 @@
 
 def _check_rank(rank: waiting.Rank) -> waiting.Rank:
     if not math.isfinite(rank.on_time_by):
-        # Nothing can be sorted by it.
+        # Ranks cannot be sorted by it.
         raise ValueError('the time of a rank is no number')
     return rank
 
@@ -96,13 +99,13 @@
 Count = ty.Annotated[int, pydantic.Field(ge=0, le=MAX_INT)]
 Digest = ty.Annotated[int, pydantic.Field(ge=0, lt=2**64)]
 Offset = Count
-# Milliseconds; ``freshness`` takes one below zero for none.
+# Milliseconds; ``freshness`` treats a negative age as none.
 Age = ty.Annotated[int, pydantic.Field(ge=-MAX_INT, le=MAX_INT)]
-# Total of units; a request that is given back may leave it a hair below 0.
+# Total of units; units that are given back may leave it slightly below 0.
 Units = ty.Annotated[float, pydantic.Field(ge=-1.0, le=MAX_UNITS)]
-# Units left in a bucket; below zero after an overrun.
+# Units left in a bucket; negative after an overrun.
 Level = ty.Annotated[float, pydantic.Field(ge=-MAX_UNITS, le=MAX_UNITS)]
-# Units a second.
+# Units per second.
 Rate = ty.Annotated[float, pydantic.Field(ge=0.0, le=MAX_UNITS)]
 AddressText = ty.Annotated[
     str,
@@ -119,31 +122,31 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostState:
-    """What a host uses and wants."""
+    """Resources that a host uses, and requests that wait there."""
 
     host: ids.Host
     incarnation: ids.Incarnation
-    # Where the host takes these messages, and where it serves records.
+    # Addresses at which the host takes these messages, and serves records.
     state_address: AddressText
     peers_address: AddressText
-    # Counts the messages of this incarnation.
+    # Sequence number of the message within this incarnation.
     number: Count
     is_stopping: bool
     # The store answered this host a short time ago.
     reads_store: bool
     # Next offset of each topic; see ``records.TOPICS``.
     positions: list[Offset]
-    # Requests at runners.
+    # Running requests by runner.
     running: dict[ids.RunnerStart, Count]
-    # Units handed out since the start, by organisation.
+    # Units granted since the start, by organisation.
     usage: dict[ids.Organisation, Units]
-    # The first of those that wait, by service; their times count from the
-    # sending of this.
+    # Ranks of the first waiting requests, by service; their times are relative
+    # to the message's sending.
     ranks: dict[ids.Pool, list[CheckedRank]]
-    # Some other hosts, and where they take these messages.
+    # Some other hosts, and the addresses at which they take these messages.
     hints: Hints
-    # Units asked for a second at this host, and at all hosts of its group, by
-    # organisation; empty while there is one group.
+    # Units asked for per second at this host, and at all hosts of its group,
+    # by organisation; empty while there is one group.
     asked: dict[ids.Organisation, Rate] = dataclasses.field(
         default_factory=dict
     )
@@ -151,18 +154,18 @@
         default_factory=dict
     )
     # Milliseconds since the store's newest answer on each topic; empty if
-    # nothing changed. Whose answer that is, ``freshness`` tells.
+    # nothing changed. ``freshness`` defines whose answers count.
     answer_ages: list[Age] = dataclasses.field(default_factory=list)
-    # Units handed out a second at all hosts of the group, by organisation;
-    # not in states for near hosts.
+    # Units granted per second at all hosts of the group, by organisation; not
+    # in states for near hosts.
     group_used: dict[ids.Organisation, Rate] = dataclasses.field(
         default_factory=dict
     )
-    # Hosts that this one counts on, itself included; 0 from one that has
-    # started a moment ago and may not know all of them.
+    # Number of hosts that this one knows, itself included; 0 from one that has
+    # just started and may not know all of them.
     hosts: Count = 0
     # Units left in each organisation's bucket; only while a near peer is new,
-    # which knows nothing of what was handed out before it started.
+    # and does not know what was granted before it started.
     levels: dict[ids.Organisation, Level] = dataclasses.field(
         default_factory=dict
     )
@@ -192,7 +195,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordPage:
-    """The records of each topic, and the offsets to go on at."""
+    """The records of each topic, and the offsets to continue from."""
 
     positions: list[Offset]
     topics: list[list[RecordRow]]
@@ -204,16 +207,16 @@
 class HostChange:
     """What has changed at a host since it sent a ``HostState``."""
 
-    # Of the sender's incarnation, which its ``HostState`` names.
+    # Digest of the sender's incarnation, which its ``HostState`` names.
     process: Digest
-    # Counts on with the messages of the incarnation.
+    # Next sequence number of the incarnation's messages.
     number: Count
     is_stopping: bool
     reads_store: bool
     positions: list[Offset]
-    # All requests at runners, by the digest of the runner's start.
+    # All running requests, by the digest of the runner's start.
     running: dict[Digest, Count]
-    # Totals of the organisations that were handed out units since.
+    # Totals of the organisations that were granted units since.
     usage: dict[ids.Organisation, Units]
     # As in ``HostState``.
     ranks: dict[ids.Pool, list[CheckedRank]]
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/placemessages.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/placemessages.py
@@ -1,9 +1,9 @@
 """Messages between a host and the coordinators of subsets of runners.
 
-``PlaceRequest`` states all that a host wants and holds in one subset, and
-``PlaceReply`` all decisions that stand for it. Each is whole, so a lost one is
-made good by the next and a repeated one changes nothing. A place that was
-granted is given back by a later request that no longer names it.
+``PlaceRequest`` states all places that a host wants and holds in one subset,
+and ``PlaceReply`` all decisions in force for that host. Each is complete, so a
+lost one is replaced by the next, and a repeated one changes nothing. A granted
+place is released by a later request that no longer names it.
 """
 
 import dataclasses
@@ -40,7 +40,7 @@
 
 
 class RunnerObservation(ty.NamedTuple):
-    """One thing that a host has seen of a runner; see ``observations``."""
+    """One observation of a runner by a host; see ``observations``."""
 
     # Digest of the runner's start.
     runner: Digest
@@ -51,7 +51,7 @@
 
 
 class Wanted(ty.NamedTuple):
-    """A request that waits; times count from the sending of the message."""
+    """A waiting request; its times are relative to the message's sending."""
 
     tier: Tier
     route_tier: Tier
@@ -61,18 +61,18 @@
     prompt_tokens: Count
     events: Events
     last_part: Part
-    # Coordinators that are asked for it.
+    # Number of coordinators that are asked for it.
     coordinators: ty.Annotated[int, pydantic.Field(ge=1, le=16)]
-    # Runners that are no use to it, by the digest of their start.
+    # Runners that must not be granted, by the digest of their start.
     excluded: list[Digest]
 
 
 class Refused(ty.NamedTuple):
     """A request that will get no place in useful time."""
 
-    # Seconds after which its caller should come back.
+    # Seconds after which its caller should retry.
     return_s: Duration
-    # Predicted seconds until a place, and requests that would go before.
+    # Predicted seconds until a place is free, and requests ahead of it.
     wait_s: Duration
     ahead: Count
 
@@ -84,16 +84,16 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlaceRequest:
-    """All that a host wants and holds in a subset of runners."""
+    """All places that a host wants and holds in a subset of runners."""
 
     host: ids.Host
     # Where the reply goes.
     address: messages.AddressText
     process: Digest
-    # Counts the messages of the process.
+    # Sequence number of the message within the process.
     number: Count
     service: ids.Pool
-    # Place of the subset, and how many there are.
+    # Index of the subset, and the number of subsets.
     place: Count
     total: Count
     # By the sender's number of the place.
@@ -101,7 +101,7 @@
     # Digest of the runner's start, by the number of the place.
     held: ty.Annotated[dict[Count, Digest], Bounded]
     seen: ty.Annotated[list[RunnerObservation], Bounded]
-    # An answer is expected, also without a decision.
+    # A reply is expected even if nothing was decided.
     wants_reply: bool
 
 
@@ -109,7 +109,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlaceReply:
-    """All decisions of a coordinator that stand for a host."""
+    """All decisions of a coordinator in force for a host."""
 
     host: ids.Host
     # The process that is answered, and the number of its newest request.
@@ -121,6 +121,6 @@
     # Digest of the runner's start, by the number of the place.
     granted: ty.Annotated[dict[Count, Digest], Bounded]
     refused: ty.Annotated[dict[Count, Refused], Bounded]
-    # Places that are free in the subset.
+    # Free places in the subset.
     free: Count
     is_stopping: bool
