--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -1,15 +1,16 @@
-"""Allowances that one host keeps for all, in a large system.
-
-Up to some twenty hosts tell each other what they hand out, and each keeps a
-copy of every allowance (``allowances``). Hundreds of hosts hear of each other
-seconds later, and with that the sum over all of them is wrong both ways: hosts
-refuse organisations that ask for half of what they may, and hand out more than
-there is. So one host, chosen by the organisation's name (``candidates``),
-hands out for all, and the others ask it.
-
-When it does not answer, the next one in the order is asked. That one has been
-told what was handed out, so the allowance is not handed out again. A host that
-reaches none goes by its own copy and its group's part.
+"""Allowances that one host grants for all, in a large system.
+
+Up to some twenty hosts report to each other the units that they grant, and
+each keeps a copy of every allowance (``allowances``). Among hundreds of hosts
+the reports arrive seconds later, and the sum over all hosts is wrong both
+ways: hosts refuse organisations that ask for half of their allowance, and
+grant more than there is. So one host, the allowance's coordinator, is chosen
+by the organisation's name (``candidates``). It grants the units for all hosts,
+and the others ask it.
+
+When it does not reply, the next host in the order is asked. That host has been
+told which units were granted, so they are not granted again. A host that
+reaches no coordinator goes by its own copy and its group's share.
 """
 
 import collections
@@ -19,52 +20,51 @@
 
 import anyio
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import (
-    allowancemessages,
-    allowances,
-    candidates,
-    messages,
-)
+from apricotlandingd.gateway.hosts import allowancemessages
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import messages
 
-__all__ = ['UnitRequest', 'SharedAllowances']
+__all__ = ['SharedAllowances', 'UnitRequest']
 
-# Answers that are remembered for requests that are repeated.
+# Answers that are remembered, so that a repeated request gets the same one.
 MAX_REMEMBERED_ANSWERS = 4096
-# Hosts that keep what was handed out, with the one that is asked first.
+# Hosts that keep the granted units, including the one that is asked first.
 USAGE_REPLICAS = 3
-# Seconds between two messages to the others of these.
+# Seconds between two updates to the others of these.
 USAGE_UPDATE_INTERVAL_S = 0.2
-# Seconds that stand for the answer to a question whose units were returned.
+# Wait that is remembered as the answer to a request whose units were returned.
 RETURNED_WAIT_S = 1.0
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
 class UnitRequest:
-    """Units that are asked for."""
+    """A request of this host for units."""
 
     organisation: catalogue.Organisation
     cost: float
     number: int = 0
     target: ids.Host = ids.Host('')
-    # When this host was asked first, and when last.
+    # When the target was asked first, and when last.
     asked_at: float | None = None
     sent_at: float = 0.0
-    # Hosts in a row that did not answer.
+    # Consecutive hosts that did not reply.
     silent: int = 0
-    # Seconds until there are enough; None if they were handed out.
+    # Seconds until there are enough; None if they were granted.
     wait_s: float | None = None
-    # This host has answered by its own copy.
+    # Granted by this host, as the coordinator or by its own copy.
     is_granted_locally: bool = False
     answered: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
 @ty.final
 class SharedAllowances:
-    """Asks for units, and hands out those that this host keeps for all."""
+    """Requests units, and grants those that this host coordinates."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         is_stopping: collections.abc.Callable[[], bool],
         now: float,
     ) -> None:
-        """Start without questions.
+        """Start without requests.
 
         ``local`` holds this host's copies, ``slack_units`` is the operators'
         slack, and ``find_organisation`` returns an organisation of the
@@ -90,10 +90,10 @@
         self._host = host
         self._address = str(address)
         self._incarnation = process
-        # Stands for this process in messages.
+        # Identifies this process in messages.
         self.process = messages.digest_process(process)
         self._local = local
-        # What this host hands out for all, or would if it were asked.
+        # Buckets of what this host grants for all, or would if it were asked.
         self._shared_buckets = quotas.Quotas(slack_units, now)
         self._sent_usage: quotas.Usage = {}
         self._usage_sent_at = now
@@ -108,7 +108,7 @@
         ] = collections.OrderedDict()
 
     def set_slack(self, slack_units: float) -> None:
-        """Take the operators' slack."""
+        """Set the operators' slack."""
         self._shared_buckets.set_slack(slack_units)
 
     def forget(self, process: ids.Incarnation) -> None:
@@ -120,7 +120,7 @@
     def ask(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> UnitRequest:
-        """Ask for units; the answer may be there at once."""
+        """Request units; the answer may be there at once."""
         unit_request = UnitRequest(organisation, cost)
         if (
             organisation.units_per_s <= 0
@@ -137,8 +137,7 @@
     def give_back(self, unit_request: UnitRequest, now: float) -> None:
         """Return the units of a request that was not run.
 
-        Also for a question that has no answer yet: it may be handed out all
-        the same.
+        Also of one that has no answer yet: its units may still be granted.
         """
         is_open = self._pending.pop(unit_request.number, None) is not None
         if (
@@ -157,7 +156,7 @@
     def handle_reply(
         self, reply: allowancemessages.AllowanceReply, now: float
     ) -> None:
-        """Take the answer of a host that keeps an allowance."""
+        """Handle the reply of an allowance's coordinator."""
         if reply.process != self.process:
             return
         self._candidates.mark_reachable(reply.host)
@@ -169,7 +168,7 @@
             unit_request.answered.set()
 
     def tick(self, now: float) -> None:
-        """Repeat what has no answer, or ask another host."""
+        """Resend requests without an answer, or ask another host."""
         for unit_request in list(self._pending.values()):
             asked_at = unit_request.asked_at or now
             if now - asked_at > candidates.REPLY_TIMEOUT_S:
@@ -191,7 +190,7 @@
     def handle_request(
         self, request: allowancemessages.AllowanceRequest, now: float
     ) -> None:
-        """Hand out units to another host, or take some back."""
+        """Grant units to another host, or take some back."""
         organisation = self._find_organisation(request.organisation)
         if organisation is None or not self._local.knows_hosts(now):
             return
@@ -218,8 +217,8 @@
         cost: float,
         now: float,
     ) -> None:
-        # Only what was handed out here; a question that arrives behind its
-        # return gets nothing.
+        # Only units that were granted here are refunded. A request that
+        # arrives after its return is granted nothing.
         if self._answers.get(key, RETURNED_WAIT_S) is None:
             self._refund(organisation, cost, now)
         self._remember(key, RETURNED_WAIT_S)
@@ -227,7 +226,7 @@
     def handle_usage_update(
         self, usage_update: allowancemessages.UsageUpdate, now: float
     ) -> None:
-        """Take what another host that keeps allowances has handed out."""
+        """Apply the units that another coordinator has granted."""
         if not self._shared_buckets.has_heard(usage_update.incarnation):
             self.apply_usage(
                 usage_update.incarnation, usage_update.before, False, now
@@ -243,10 +242,10 @@
         is_new: bool,
         now: float,
     ) -> None:
-        """Take the totals that a process has handed out, for all or alone.
+        """Apply the totals that a process has granted, for all or locally.
 
-        Those of one that has run for a while and is heard for the first time
-        are of the past.
+        The first totals of a process that did not just start are not charged:
+        they were granted in the past.
         """
         if process == self._incarnation:
             return
@@ -298,7 +297,7 @@
         if len(self._answers) > MAX_REMEMBERED_ANSWERS:
             self._answers.popitem(last=False)
 
-    # Asking.
+    # Requests to coordinators.
 
     def _send(self, unit_request: UnitRequest, now: float) -> None:
         if unit_request.silent >= candidates.MAX_SILENT_HOSTS:
