--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/allowances.py
@@ -1,11 +1,11 @@
-"""What this host knows of organisations' allowances by itself.
-
-Ties the buckets of this host (``quotas``) to what the other hosts say
-(``mesh``): near hosts state what they handed out, and it is taken out of the
-buckets here; other groups state what they are asked for and hand out a second
-(``groupuses``). Up to some twenty hosts all go by their own buckets; in a
-larger system that is for those that reach no host that keeps an allowance for
-all (``sharedallowances``).
+"""This host's own copy of the organisations' allowances.
+
+Connects the token buckets of this host (``quotas``) to the reports of the
+other hosts (``mesh``). Near hosts report the units that they granted, which
+are charged to the buckets here; other groups report the units that they are
+asked for and grant per second (``groupuses``). Up to some twenty hosts all go
+by their own buckets; in a larger system only hosts that reach no coordinator
+of an allowance do (``sharedallowances``).
 """
 
 import collections
@@ -14,49 +14,52 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway.decisions import averages, groupuses, quotas
-from apricotlandingd.gateway.hosts import mesh, messages
+from apricotlandingd.gateway.decisions import averages
+from apricotlandingd.gateway.decisions import groupuses
+from apricotlandingd.gateway.decisions import quotas
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
 
 __all__ = ['Allowances']
 
-# Seconds after the start of a process in which it hands out nothing as long
-# as it has not read who else there is: hosts that start together would each
-# take themselves for the only one. The list is read within 0.2 s of the start;
-# after this long, without the store, seeds and hints have named the others:
-# they come twice a second.
+# Seconds after the start of a process in which it grants nothing until it has
+# read the list of hosts: hosts that start together would each take themselves
+# for the only one. The list is read within 0.2 s of the start. If the store
+# cannot be read, seeds and hints, which come twice a second, have named the
+# other hosts within this time.
 HOST_LIST_TIMEOUT_S = 1.0
-# Seconds after the start of a process, and beside them one turn of all far
-# hosts, in which its group has no more than an equal part. What is asked for
-# is averaged over two seconds: until all are heard with their own averages,
-# each of the groups that start together takes the others for idle.
+# Seconds after the start of a process, plus one interval of the far hosts, in
+# which its group has at most an equal share. Demand is averaged over two
+# seconds: until all groups are heard with their own averages, each of the
+# groups that start together takes the others for idle.
 STARTUP_WINDOW_S = 3.0
-# Seconds over which the units handed out are averaged.
+# Time constant of the exponential average of the granted units, in seconds.
 USAGE_DECAY_S = 1.0
-# Seconds in which another group may have handed out what it is asked for
-# before this host hears of it: the time between its messages, and the lag of
-# the average that it states.
+# Seconds in which another group may grant what it is asked for before this
+# host hears of it: the interval between its messages, and the lag of the
+# average that it reports.
 REMOTE_USAGE_LAG_S = 1.0
-# Share of the operators' slack that bears what is handed out unseen. A quarter
-# is what buckets hold beyond their burst, and the last one is for hosts that
-# start.
+# Share of the operators' slack that covers units granted by other groups and
+# not heard of yet. A quarter is for what buckets hold beyond their burst, and
+# the last quarter for hosts that start.
 REMOTE_USAGE_SLACK_SHARE = 0.5
-# Share of the operators' slack that all hosts together may hand out before
-# they hear each other when they start at once: they know nothing of what
-# their buckets hold, and callers come back in the first second.
+# Share of the operators' slack that all hosts together may grant before they
+# hear each other when all start at once: they do not know the levels of their
+# buckets, and callers return within the first second.
 STARTUP_SLACK_SHARE = 0.25
 
 
 @ty.final
 class Allowances:
-    """The allowances of all organisations, shared with the other hosts."""
+    """This host's copy of the allowances of all organisations."""
 
     def __init__(
         self, slack_units: float, others: mesh.Mesh, now: float
     ) -> None:
-        """Tie this host's buckets to what other hosts say."""
+        """Connect this host's buckets to the reports of other hosts."""
         # Of the whole allowances.
         self.buckets = quotas.Quotas(slack_units, now)
-        # Of the parts for this host's group; unused while there is one group.
+        # Of the shares of this host's group; unused while there is one group.
         self._group_buckets = quotas.Quotas(slack_units, now)
         self._slack = slack_units
         self._others = others
@@ -66,7 +69,7 @@
         self._used = averages.Rates(USAGE_DECAY_S)
 
     def set_slack(self, slack_units: float) -> None:
-        """Take the operators' slack."""
+        """Set the operators' slack."""
         self._slack = slack_units
         self.buckets.set_slack(slack_units)
         self._group_buckets.set_slack(slack_units)
@@ -76,7 +79,7 @@
     def find_terms(
         self, organisation: catalogue.Organisation, now: float
     ) -> quotas.Terms:
-        """Return which part of an allowance is for this host's group."""
+        """Return the terms on which this host's group grants units."""
         silent = self._others.find_unreachable_share()
         if not self.knows_hosts(now):
             silent = 1.0
@@ -87,7 +90,7 @@
         )
 
     def knows_hosts(self, now: float) -> bool:
-        """Tell whether this host knows how many others there are."""
+        """Tell whether this host knows how many other hosts there are."""
         return (
             self._is_listed
             or self._others.has_reported_host_count()
@@ -95,25 +98,25 @@
         )
 
     def mark_hosts_listed(self) -> None:
-        """Say that the other hosts were read from the store's list."""
+        """Record that the other hosts were read from the store's list."""
         self._is_listed = True
 
     def grant(
         self,
         organisation: catalogue.Organisation,
         cost: float,
-        part: quotas.Terms,
+        group_terms: quotas.Terms,
         now: float,
     ) -> float | None:
-        """Hand out units, or return seconds until there are enough.
+        """Grant units, or return seconds until there are enough.
 
-        ``part`` is what ``find_terms`` has found.
+        ``group_terms`` are those that ``find_terms`` has returned.
         """
-        whole = self._make_whole_terms(organisation, part, now)
-        wait = self.buckets.find_wait(organisation, cost, whole, now)
+        whole_terms = self._make_whole_terms(organisation, group_terms, now)
+        wait = self.buckets.find_wait(organisation, cost, whole_terms, now)
         if self._uses_group_buckets(now):
             group_wait = self._group_buckets.find_wait(
-                organisation, cost, part, now
+                organisation, cost, group_terms, now
             )
             wait = self._combine_waits(wait, group_wait)
         if wait is None:
@@ -121,33 +124,32 @@
         return wait
 
     def find_coordinator_terms(self, now: float) -> quotas.Terms:
-        """Return what a host that keeps an allowance for all may count on."""
+        """Return the terms on which a coordinator grants units for all."""
         silent = self._others.find_unreachable_share()
         if not self.knows_hosts(now):
             silent = 1.0
-        ahead = 0.0
+        credit = 0.0
         if now - self._started_at < STARTUP_WINDOW_S:
-            ahead = self._slack * STARTUP_SLACK_SHARE * (1 - silent)
-        return quotas.Terms(silent_share=silent, reserve=-ahead)
+            credit = self._slack * STARTUP_SLACK_SHARE * (1 - silent)
+        return quotas.Terms(silent_share=silent, reserve=-credit)
 
     def record_grant(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> None:
-        """Count units that were handed out for all hosts.
+        """Charge units that were granted for all hosts to this copy.
 
-        For hosts that reach none that keeps the allowance and go by their
-        own copies.
+        Hosts that reach no coordinator go by their own copies.
         """
-        part = self.find_terms(organisation, now)
-        self.buckets.find_wait(organisation, cost, part, now)
+        group_terms = self.find_terms(organisation, now)
+        self.buckets.find_wait(organisation, cost, group_terms, now)
         if self._uses_group_buckets(now):
-            self._group_buckets.find_wait(organisation, cost, part, now)
+            self._group_buckets.find_wait(organisation, cost, group_terms, now)
         self._charge(organisation, cost, now)
 
     def _combine_waits(
         self, wait: float | None, group_wait: float | None
     ) -> float | None:
-        # Either the whole allowance or the group's part is enough.
+        # Enough units in the whole allowance or in the group's share suffice.
         if not self._has_multiple_groups():
             return wait
         if group_wait is None or not self._has_heard_all():
@@ -161,36 +163,36 @@
         if self.buckets.has_bucket(organisation.name):
             self._charge(organisation, -cost, now)
 
-    # What hosts tell.
+    # Reports to and from other hosts.
 
     def list_used(self, now: float) -> quotas.Usage:
-        """Return the units handed out a second in this host's group."""
+        """Return the units granted per second in this host's group."""
         return self._used.list_rates(now)
 
     def list_levels(self, now: float) -> quotas.Usage:
         """Return what is left in the buckets, if a near peer is new.
 
-        Nothing while this host does not know it well itself.
+        Empty while this host does not know the levels well itself.
         """
         if not self._others.has_new_peer(now) or self.count_hosts(now) == 0:
             return {}
         return self.buckets.list_levels(now)
 
     def count_hosts(self, now: float) -> int:
-        """Return the hosts counted on; 0 while some may not be known."""
+        """Return the number of known hosts; 0 while some may be unknown."""
         if now - self._started_at < STARTUP_WINDOW_S:
             return 0
         return self._others.count_hosts()
 
     def sum_group_asked(self, asked: quotas.Usage) -> quotas.Usage:
-        """Return the units asked for a second in this host's group."""
+        """Return the units asked for per second in this host's group."""
         total = collections.Counter(asked)
         for peer in self._others.list_near():
             total.update(peer.asked)
         return dict(total)
 
     def apply_state(self, state: messages.HostState, now: float) -> None:
-        """Take what another host handed out, or what its group does."""
+        """Apply the units that another host reports, or its group's rates."""
         if not self._others.partition.is_near(state.host):
             self.buckets.skip(state.incarnation, state.usage)
             self._group_buckets.skip(state.incarnation, state.usage)
@@ -205,11 +207,13 @@
             return
         self.buckets.adopt(state.levels, now)
         is_new = state.hosts == 0
-        lately = self.buckets.hear(state.incarnation, state.usage, now, is_new)
+        granted = self.buckets.hear(
+            state.incarnation, state.usage, now, is_new
+        )
         if not self._uses_group_buckets(now):
             return
         self._group_buckets.hear(state.incarnation, state.usage, now, is_new)
-        for name, units in lately.items():
+        for name, units in granted.items():
             self._used.note(name, units, now)
 
     def forget(self, process: ids.Incarnation) -> None:
@@ -222,7 +226,7 @@
 
     def _uses_group_buckets(self, now: float) -> bool:
         # Also before the groups of hosts that start together have formed:
-        # what was handed out until then would else be free once more.
+        # units granted until then would otherwise be granted again.
         return self._has_multiple_groups() or now < self._find_settled_at()
 
     def _find_settled_at(self) -> float:
@@ -239,32 +243,32 @@
     def _make_whole_terms(
         self,
         organisation: catalogue.Organisation,
-        part: quotas.Terms,
+        group_terms: quotas.Terms,
         now: float,
     ) -> quotas.Terms:
-        # From the part for this host's group to the whole allowance.
+        # Extends the terms of this host's group to the whole allowance.
         if not self._has_multiple_groups():
-            return part
+            return group_terms
         name, count = organisation.name, self._others.partition.count
         asked = self._group_uses.sum_asked(name, count)
         if now < self._find_settled_at():
-            # In all groups that started together it rises at once, and this
-            # one knows its own part first.
+            # Demand rises in all groups that started together at once, and
+            # this host knows that of its own group first.
             asked = max(asked, self._find_group_asked(name, now) * (count - 1))
-        # The operators' slack bears the first of it.
+        # The operators' slack covers the first of these units.
         unseen = (
             asked * REMOTE_USAGE_LAG_S - self._slack * REMOTE_USAGE_SLACK_SHARE
         )
         return dataclasses.replace(
-            part,
+            group_terms,
             group_part=1.0,
             drain=self._group_uses.sum_used(name, count),
-            reserve=part.reserve + max(0.0, unseen),
+            reserve=group_terms.reserve + max(0.0, unseen),
         )
 
     def _find_startup_credit(self, now: float) -> float:
-        # Units that a process that has just started may hand out before it
-        # has heard the others.
+        # Units that a process that has just started may grant before it has
+        # heard the others.
         if not self.knows_hosts(now):
             return 0.0
         if now - self._started_at >= STARTUP_WINDOW_S:
@@ -281,7 +285,7 @@
         self.buckets.charge(organisation, units)
         if not self._uses_group_buckets(now):
             return
-        # A request that is given back may have come before the groups formed.
+        # Units that are given back may be from before the groups formed.
         if self._group_buckets.has_bucket(organisation.name):
             self._group_buckets.charge(organisation, units)
         self._used.note(organisation.name, units, now)
@@ -293,13 +297,13 @@
         if count == 1:
             return 1.0
         asked = self._find_group_asked(organisation.name, now)
-        part = self._group_uses.find_part(organisation, asked, count)
+        share = self._group_uses.find_part(organisation, asked, count)
         if now < self._find_settled_at():
-            return min(part, 1 / count)
-        return part
+            return min(share, 1 / count)
+        return share
 
     def _find_group_asked(self, name: ids.Organisation, now: float) -> float:
-        # Units asked for a second in this host's group.
+        # Units asked for per second in this host's group.
         return self.buckets.find_asked(name, now) + sum(
             peer.asked.get(name, 0.0) for peer in self._others.list_near()
         )
