--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -157,7 +157,7 @@
         self._sender.setblocking(False)
         self._number = 0
         # When the last whole state was sent to near peers.
-        self._whole_at = 0.0
+        self._whole_state_sent_at = 0.0
         # Processes that were replaced by another one on their host.
         self._ended: collections.deque[ids.Incarnation] = collections.deque(
             maxlen=MAX_ENDED_PROCESSES
@@ -233,10 +233,10 @@
 
     def count_possible_hosts(self) -> int:
         """Return the number of hosts that may exist, heard or not."""
-        told = max(
+        reported = max(
             (peer.state.hosts for peer in self.peers.values()), default=0
         )
-        return max(1 + len(self.peers) + len(self._probes_left), told)
+        return max(1 + len(self.peers) + len(self._probes_left), reported)
 
     def has_reported_host_count(self) -> bool:
         """Tell whether a peer has reported how many hosts there are."""
@@ -387,10 +387,13 @@
         """Mark silent peers, and drop those that stay silent."""
         count = len(self.peers)
         for host, peer in list(self.peers.items()):
-            turn = 0.0 if peer.is_near else self.find_far_interval()
+            far_interval = 0.0 if peer.is_near else self.find_far_interval()
             passed = now - peer.heard_at
             silent_s = now - max(peer.heard_at, peer.near_since)
-            if not peer.is_silent and silent_s > SILENT_TIMEOUT_S + 2 * turn:
+            if (
+                not peer.is_silent
+                and silent_s > SILENT_TIMEOUT_S + 2 * far_interval
+            ):
                 peer.is_silent = True
                 self.changes += 1
                 self._recount_peers()
@@ -398,7 +401,7 @@
             limit = (
                 SILENT_TIMEOUT_S if peer.state.is_stopping else DROP_TIMEOUT_S
             )
-            if passed <= limit + 4 * turn:
+            if passed <= limit + 4 * far_interval:
                 continue
             del self.peers[host]
             self.changes += 1
@@ -538,8 +541,8 @@
             self._changed = anyio.Event()
             now = clocks.read_monotonic()
             self.drop_silent(now)
-            if now - self._whole_at > WHOLE_STATE_INTERVAL_S:
-                self._whole_at = now
+            if now - self._whole_state_sent_at > WHOLE_STATE_INTERVAL_S:
+                self._whole_state_sent_at = now
                 data = self._write_state(Scope.WHOLE)
             else:
                 data = self._write_change()
@@ -550,14 +553,14 @@
             await anyio.sleep(min(HEARTBEAT_INTERVAL_S, pause))
 
     async def _send_to_far(self) -> None:
-        turn: collections.deque[ids.Host] = collections.deque()
+        pending: collections.deque[ids.Host] = collections.deque()
         while True:
             await anyio.sleep(FAR_INTERVAL_S)
-            if not turn:
-                turn.extend(self._list_far())
-            if not turn:
+            if not pending:
+                pending.extend(self._list_far())
+            if not pending:
                 continue
-            peer = self.peers.get(turn.popleft())
+            peer = self.peers.get(pending.popleft())
             if peer is None or peer.is_near:
                 continue
             self._send(self._write_state(Scope.FAR), peer.address)
@@ -590,11 +593,11 @@
 
     def _list_retries(self) -> list[addresses.Address]:
         found: list[addresses.Address] = []
-        for address, tries in list(self._probes_left.items()):
-            if tries <= 0:
+        for address, probes in list(self._probes_left.items()):
+            if probes <= 0:
                 del self._probes_left[address]
                 continue
-            self._probes_left[address] = tries - 1
+            self._probes_left[address] = probes - 1
             found.append(address)
         return found
 
