--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -1,8 +1,8 @@
-"""Plays what many hosts hand out of one allowance, without a network.
+"""Simulates many hosts that grant units of one allowance, without a network.
 
-Each host has its real mesh and allowances; messages, losses of time between
-them and the list of hosts at the store are played in simulated time, so the
-outcome depends on the seed alone.
+Each host has its real mesh and allowances. Messages, their latency and the
+store's list of hosts are simulated, in simulated time, so the outcome depends
+on the seed alone.
 """
 
 import collections.abc
@@ -11,35 +11,34 @@
 import itertools
 import random
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import (
-    allowancemessages,
-    allowances,
-    candidates,
-    mesh,
-    messages,
-    sharedallowances,
-)
+from apricotlandingd.gateway.hosts import allowancemessages
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import sharedallowances
 
 __all__ = ['Load', 'Play']
 
-# Seconds: all hosts start within the first; a host has read the list of those
-# that were there, at the earliest and the latest, after the next two; a
-# message is on its way for up to the last.
+# Seconds within which all hosts start; the earliest and the latest time after
+# its start at which a host has read the list of hosts; and the maximum latency
+# of a message.
 START_SPREAD = 0.3
 LIST_TIMES = (0.05, 0.4)
 LONGEST_WAY = 0.02
-# Part of the messages to near hosts that are whole states.
+# Share of the messages to near hosts that are whole states.
 WHOLE_PART = 0.1
-# Seconds between two looks of a host at its questions.
+# Seconds between two checks of a host's pending requests.
 TICK = 0.02
 
 
 @dataclasses.dataclass
 class Load:
-    """What one organisation may have, and what it asks for."""
+    """One organisation's allowance, and the units that it asks for."""
 
     organisation: catalogue.Organisation
     # The operators' slack, units.
@@ -48,7 +47,7 @@
     interval_s: float
     # Draws the units of one request.
     draw_cost: collections.abc.Callable[[random.Random], float]
-    # When the first request comes, and how long the play lasts; seconds.
+    # When the first request comes, and the end of the simulation; seconds.
     begins_at: float = 0.0
     seconds: float = 12.0
     # Hosts that are killed, and when.
@@ -58,7 +57,7 @@
 
 @dataclasses.dataclass
 class Reached:
-    """The other hosts, as one host's mesh knows and the play reaches them."""
+    """The other hosts of one host's mesh, reached by the simulation."""
 
     others: mesh.Mesh
     send: collections.abc.Callable[[object, addresses.Address], None]
@@ -79,7 +78,7 @@
 
 @dataclasses.dataclass
 class Host:
-    """One host: its mesh and its buckets, without the tasks around them."""
+    """One host: its mesh and its buckets, without their tasks."""
 
     name: ids.Host
     address: addresses.Address
@@ -88,7 +87,7 @@
     process: ids.Incarnation
     keeper: sharedallowances.SharedAllowances
     number: int = 0
-    # Far hosts that have not had their turn.
+    # Far hosts that have not been sent a state in this round.
     turn: list[ids.Host] = dataclasses.field(default_factory=list)
 
     def make_state(self, now: float, scope: mesh.Scope) -> messages.HostState:
@@ -155,7 +154,7 @@
 
 
 class Play:
-    """Hosts that start together; events in the order of their time."""
+    """Hosts that start together, and events in the order of their time."""
 
     def __init__(self, load: Load, count: int, seed: int) -> None:
         self.load = load
@@ -275,7 +274,7 @@
         self.plan(self.find_next(now), 'ask', host.address, None)
 
     def look(self, host: Host, item: object, now: float) -> None:
-        """Look for the answer a little later, as a waiting task does."""
+        """Poll for the answer, in place of a waiting task."""
         assert isinstance(item, sharedallowances.UnitRequest)
         if not item.answered.is_set():
             self.plan(now + 0.001, 'look', host.address, item)
@@ -320,7 +319,7 @@
             self.plan(now + way, 'state', target, state)
 
     def find_most(self, window_s: float) -> float:
-        """Return the most units that ran within a window."""
+        """Return the maximum of units that ran within a window."""
         most = total = 0.0
         first = 0
         for at, cost in self.runs:
--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -1,8 +1,8 @@
-"""Plays how many hosts share the places of their runners, without a network.
+"""Simulates many hosts that share the places of runners, without a network.
 
-Each host has its real dispatcher, coordinator and scheduler; runners, callers
-and the ways of messages are played in simulated time, so the outcome depends
-on the seed alone.
+Each host has its real dispatcher, coordinator and scheduler. Runners, callers
+and the network are simulated, in simulated time, so the outcome depends on the
+seed alone.
 """
 
 import collections
@@ -13,64 +13,62 @@
 import random
 import typing as ty
 
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import coordinator
+from apricotlandingd.gateway.hosts import dispatch
+from apricotlandingd.gateway.hosts import groups
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import placemessages
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import observations
+from apricotlandingd.gateway.runners import pace
 import gatewayparts
-from apricotlanding import addresses, ids
-from apricotlandingd.gateway.decisions import scheduler, waiting
-from apricotlandingd.gateway.hosts import (
-    candidates,
-    coordinator,
-    dispatch,
-    groups,
-    messages,
-    placemessages,
-)
-from apricotlandingd.gateway.runners import (
-    directory,
-    health,
-    observations,
-    pace,
-)
 
 __all__ = ['Load', 'Outcome', 'Play']
 
 # Seconds between two ticks of a host.
 TICK = 0.02
-# Seconds that a message is on its way, at least and at most.
+# Minimum and maximum latency of a message, seconds.
 WAYS = (0.0005, 0.004)
-# Groups that schedulers on their own share places with; only their share of
-# each runner counts here.
+# Hosts in a group; a host that schedules locally uses its group's share of
+# each runner.
 PARTITION_HOSTS = 12
 
 
 @dataclasses.dataclass
 class Load:
-    """What callers ask for, and who serves them."""
+    """The requests of callers, and the hosts and runners that serve them."""
 
     hosts: int = 40
     runners: int = 20
     slots: int = 7
-    # Part of what the runners can do.
+    # Share of the runners' capacity that callers ask for.
     part: float = 0.8
-    # Seconds for which a request holds its place at a fast and a slow runner,
-    # and each how manieth runner is slow.
+    # Mean seconds for which a request holds its place at a fast and at a slow
+    # runner; of so many runners, one is slow.
     fast_hold: float = 0.6
     slow_hold: float = 1.8
     slow_step: int = 3
     # Seconds that callers wait for a place.
     patience: float = 0.6
     seconds: float = 20.0
-    # Part of the messages that are lost.
+    # Share of the messages that are lost.
     loss: float = 0.0
     # Tiers of requests, drawn with equal chance.
     tiers: int = 1
-    # The first hosts get so many times the callers of the others.
+    # The first hosts get this many times the callers of the others.
     busy_hosts: int = 0
     busy_part: float = 4.0
 
 
 @dataclasses.dataclass
 class Outcome:
-    """What callers got, and what it took."""
+    """Counts of the answers to callers, and of the messages sent."""
 
     asked: int = 0
     refused: collections.Counter[int] = dataclasses.field(
@@ -83,26 +81,26 @@
     longest_s: float = 0.0
     # Requests that queued at a runner.
     queued: int = 0
-    # Requests that were sent to a runner that had crashed.
+    # Requests that were sent to a crashed runner.
     missed: int = 0
     messages: int = 0
 
     def find_refused(self) -> float:
-        """Return the refused part of what was asked."""
+        """Return the share of requests that were refused."""
         return sum(self.refused.values()) / max(1, self.asked)
 
     def find_queued(self) -> float:
-        """Return the part of the granted that queued at a runner."""
+        """Return the share of granted requests that queued at a runner."""
         return self.queued / max(1, sum(self.granted.values()))
 
     def find_wait(self) -> float:
-        """Return the mean seconds until a place."""
+        """Return the mean seconds until a place was granted."""
         return self.waited_s / max(1, sum(self.granted.values()))
 
 
 @ty.final
 class _Alone:
-    """The other hosts, as one that shares no places hears them."""
+    """The peers as a host without any sees them."""
 
     def __init__(self, count: int) -> None:
         self.partition = groups.Partition(count)
@@ -119,7 +117,7 @@
 
 @ty.final
 class _Known:
-    """The hosts that one host knows."""
+    """The hosts as one host knows them."""
 
     def __init__(self, play: 'Play', host: ids.Host) -> None:
         self._play = play
@@ -142,25 +140,25 @@
 
 @dataclasses.dataclass
 class Host:
-    """One host, without the tasks around its parts."""
+    """One host, without its tasks."""
 
     name: ids.Host
     address: addresses.Address
     dispatcher: dispatch.Dispatcher
     own: coordinator.Coordinator
-    # What it decides by when it reaches no coordinator.
+    # Its scheduler when it reaches no coordinator.
     local: scheduler.Scheduler
     is_up: bool = True
-    # Hosts that it cannot reach, nor they it.
+    # Hosts that it cannot exchange messages with.
     cut_from: set[ids.Host] = dataclasses.field(default_factory=set)
 
 
 @dataclasses.dataclass
 class Runner:
-    """One runner: takes requests in order of arrival."""
+    """One runner: runs requests in order of arrival."""
 
     hold: float
-    # Takes no connection.
+    # Accepts no connection.
     is_lost: bool = False
     running: int = 0
     queue: collections.deque[tuple[Host, waiting.Grant, float]] = (
@@ -169,7 +167,7 @@
 
 
 class Play:
-    """Hosts before runners; events in the order of their time."""
+    """Hosts and their runners, and events in the order of their time."""
 
     def __init__(self, load: Load, seed: int) -> None:
         self.load = load
@@ -237,7 +235,7 @@
         paces: pace.Paces | None = None,
         fitness: health.Health | None = None,
     ) -> scheduler.Scheduler:
-        """Return what a host decides by that reaches no coordinator."""
+        """Return the scheduler of a host that reaches no coordinator."""
         count = max(1, round(self.load.hosts / PARTITION_HOSTS))
         return scheduler.Scheduler(
             self.known,
@@ -257,7 +255,7 @@
         )
 
     def play(self) -> Outcome:
-        """Play to the end; return what callers got."""
+        """Run to the end; return the outcome."""
         while self._events and self._events[0][0] < self.load.seconds:
             self.now, _, event = heapq.heappop(self._events)
             event()
@@ -275,7 +273,7 @@
         self, sender: ids.Host, message: object, address: addresses.Address
     ) -> None:
         self.outcome.messages += 1
-        # As on the wire: what is changed later must not change it.
+        # Encoded as on the wire, so that later changes do not affect it.
         data = messages.registry.encode(message)
         target = self._by_address[address]
         if self.rng.random() < self.load.loss:
@@ -322,7 +320,7 @@
         return self.rng.choices(up, weights)[0]
 
     def watch(self, host: Host, ticket: waiting.Ticket) -> None:
-        """Look for the decision a little later, as a waiting task does."""
+        """Poll for the decision, in place of a waiting task."""
         if ticket.decision is None and host.is_up:
             self.plan(0.001, lambda: self.watch(host, ticket))
             return
@@ -356,7 +354,7 @@
     def miss(
         self, host: Host, grant: waiting.Grant, ticket: waiting.Ticket
     ) -> None:
-        """Ask for another runner than the one that takes no connection."""
+        """Ask for another runner, after one that accepts no connection."""
         self.outcome.missed += 1
         seen = observations.Observation(observations.Kind.UNREACHABLE)
         host.dispatcher.note(gatewayparts.POOL, grant.runner, seen, self.now)
--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -1,4 +1,4 @@
-"""What strangers and broken hosts send to a host's ports."""
+"""Malformed messages to a host's ports, from strangers or faulty hosts."""
 
 import random
 import socket
@@ -22,9 +22,9 @@
 from apricotstandins import processes
 
 
-# Seconds that any of this may take; generous, for machines that are busy.
+# Timeout of each wait; long enough for a busy machine.
 PATIENCE = 10.0
-# Seconds that a peer has to hand records on.
+# Seconds within which a peer must send its records.
 FETCH_S = 2.0
 
 
@@ -69,12 +69,12 @@
 
 NAN = float('nan')
 INFINITE = float('inf')
-# Fields that no host of ours sends, and what a host would make of them.
+# Invalid fields, and what a host that accepted them would do.
 BAD_FIELDS: ty.Final[tuple[dict[str, ty.Any], ...]] = (
     # More places than the runner has.
     {'running': {'r1': -5}},
     {'group_used': {'festin': -5.0}},
-    # Allowances that never end, or begin again with each message.
+    # Allowances without a limit, or that are refilled by each message.
     {'usage': {'festin': NAN}},
     {'usage': {'festin': -INFINITE}},
     {'asked': {'festin': NAN}},
@@ -84,9 +84,9 @@
     {'levels': {'festin': NAN}},
     {'levels': {'festin': -INFINITE}},
     {'hosts': -1},
-    # An order that is none.
+    # A rank that cannot be sorted.
     {'ranks': {'pool': [waiting.Rank(0, 0, False, NAN)]}},
-    # Half of the message is used, the rest is not.
+    # Only half of the message would be applied.
     {'state_address': 'nowhere'},
     {'state_address': 'host.example:7600'},
     {'state_address': '127.0.0.1:0'},
@@ -94,7 +94,7 @@
     {'peers_address': ''},
     {'hints': {'host-3': '127.0.0.1'}},
     {'hints': {f'host-{n}': '127.0.0.1:9' for n in range(500)}},
-    # Records that are never read again.
+    # Records that would never be read again.
     {'positions': [-1, 4]},
     {'positions': [2**64 - 1, 4]},
     {'number': -1},
@@ -116,10 +116,10 @@
     b'\x93\x01',
     # A list as the key of a map.
     b'\x81\x91\x01\x01',
-    # Arrays in arrays, as deep as the parser goes.
+    # Nested arrays, as deep as the parser goes.
     b'\x91' * 1000 + b'\xc0',
     b'\x91' * 60_000,
-    # An array that says that it has four billion entries.
+    # An array header that declares four billion entries.
     b'\xdd\xff\xff\xff\xff',
     msgpack.packb([1]),
     msgpack.packb({'host': 1}),
@@ -128,13 +128,13 @@
     msgpack.packb([1, 'x' * 60_000]),
     msgpack.packb([99, 'x' * 60_000]),
     msgpack.packb([2, [0, 0]]),
-    # A name where a digest belongs.
+    # A name instead of a digest.
     msgpack.packb([5, 1, 2, False, True, [3, 4], {'r1': 5}, {}, {}, []]),
 )
 
 
 class TestMessages(testtools.TestCase):
-    """One message: a state, or a refusal of a readable length."""
+    """Decoding of one message, or an error of limited length."""
 
     def check_refused(self, data: bytes) -> None:
         try:
@@ -168,7 +168,7 @@
 
 
 class TestMesh(testtools.TestCase):
-    """A host that goes on hearing others."""
+    """A host that keeps receiving messages after a malformed one."""
 
     def make_mesh(self, port: int) -> mesh.Mesh:
         found = mesh.Mesh(
@@ -184,9 +184,10 @@
         return found
 
     def test_a_bad_message_does_not_end_the_mesh(self) -> None:
-        # Callers are refused, and allowances handed out twice: a host hears
-        # none of the others and sends nothing for up to five seconds. One
-        # datagram held a map with a list for a key, which ended its mesh.
+        # Guards against a mesh task that ends on a malformed datagram, such as
+        # a map with a list as a key. For up to five seconds the host would
+        # neither hear others nor send, so callers would be refused and
+        # allowances granted twice.
         async def scene() -> None:
             port = processes.find_port()
             found = self.make_mesh(port)
@@ -222,7 +223,7 @@
     return struct.pack('>I', len(data)) + data
 
 
-# A reply, which is no question.
+# A reply, which is not a valid query.
 GOOD_PAGE: ty.Final = frame(msgpack.packb([4, [0, 0], [[], []]]))
 BAD_QUERIES: ty.Final = (
     b'',
@@ -250,7 +251,7 @@
 
 
 class TestRecordExchange(testtools.TestCase):
-    """Records between hosts."""
+    """Exchange of records between hosts."""
 
     def make_exchange(self) -> recordexchange.RecordExchange:
         board = records.Board()
@@ -260,9 +261,10 @@
         return recordexchange.RecordExchange(board)
 
     def test_a_bad_question_does_not_end_the_listener(self) -> None:
-        # A host that the store turns away stays behind the others: the peer
-        # that it asks takes no connections for up to five seconds. Somebody
-        # asked that peer for the records of three topics.
+        # Guards against a listener that ends on a malformed query, such as one
+        # for the records of three topics, and accepts no connections for up to
+        # five seconds. A host that cannot read the store would then stay
+        # behind the others.
         async def scene() -> None:
             found = self.make_exchange()
             listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
@@ -293,9 +295,9 @@
                     return
 
     def test_a_bad_reply_is_no_answer(self) -> None:
-        # A host does not learn of a new configuration: the peer that it
-        # asked replied with a message of another kind, and the task that
-        # asks was down for up to five seconds.
+        # Guards against a fetch task that ends on a reply of another message
+        # type, and is down for up to five seconds: the host would not learn of
+        # a new configuration.
         for data in BAD_PAGES:
             board = records.Board()
             asker = recordexchange.RecordExchange(board)
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -1,4 +1,4 @@
-"""Groups of hosts in a large system: who hears whom, and who gets what."""
+"""Groups of hosts in a large system, and their shares."""
 
 import collections
 import random
@@ -71,8 +71,8 @@
         self.assertLessEqual(len(moved), 4)
 
     def test_lonely_host_uses_its_share_of_each_runner(self) -> None:
-        # Guards against a host that overfills runners while it reaches no
-        # coordinator, and against one that leaves some of them out.
+        # Guards against a host that reaches no coordinator and overloads
+        # runners, or leaves some of them unused.
         found = groups.Partition(5, 2)
         entries = found.select_runners(make_entries(4))
         self.assertEqual(4, len(entries))
@@ -108,8 +108,9 @@
         self.assertEqual(0.25, part)
 
     def test_groups_together_hand_out_the_allowance_once(self) -> None:
-        # An organisation got four bursts at once: each group had a bucket of
-        # its own and heard of the others' use a third of a second later.
+        # Guards against an organisation that gets four bursts at once, because
+        # each group has a bucket of its own and hears of the others' use a
+        # third of a second later.
         uses = self.make_uses((800, 800, 800, 800))
         buckets = [quotas.Quotas(0.0, -100.0) for _ in uses]
         total = 0.0
@@ -200,10 +201,10 @@
     """One of forty-one hosts, and one of another group that starts."""
 
     def test_host_that_starts_is_answered_at_once(self) -> None:
-        # After all hosts were lost, a third of the first second's requests
-        # were refused as beyond an allowance. Each host heard those that had
-        # started before it only in their turn, up to seven seconds later, and
-        # left their parts of all allowances to them until then.
+        # Guards against refusals after all hosts were lost: a third of the
+        # first second's requests were refused as over the allowance. Each host
+        # heard those that had started before it only in turn, up to seven
+        # seconds later, and kept their shares of all allowances reserved.
         ports = [processes.find_port() for _ in range(2)]
         own, far = [addresses.Address('127.0.0.1', port) for port in ports]
         found = mesh.Mesh(HOSTS[0], own, (), random.Random(1))
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -1,4 +1,4 @@
-"""One allowance, handed out by many hosts, without a network."""
+"""One allowance whose units many hosts grant, without a network."""
 
 import random
 import types
@@ -6,23 +6,30 @@
 
 import testtools
 
-import allowancesimulation
-import gatewayparts
-import test_foreign_messages
-from apricotlanding import addresses, clocks, ids
+from apricotlanding import addresses
+from apricotlanding import clocks
+from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.hosts import allowances, candidates, mesh
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import mesh
 from apricotlandingd.gateway.process import hoststates
-from apricotlandingd.gateway.replication import freshness, records
-from apricotlandingd.gateway.runners import directory, health, pace
+from apricotlandingd.gateway.replication import freshness
+from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import pace
+import allowancesimulation
+import gatewayparts
+import test_foreign_messages
 
 HOSTS = 40
 RATE = BURST = 2000.0
 # The operators' slack: ten requests.
 SLACK = 2000.0
 COST = 200.0
-# The operators' window, seconds, and what may run in it.
+# The operators' window, in seconds.
 WINDOW_S = 8.0
 PRESSING = allowancesimulation.Load(
     organisation=gatewayparts.make_organisation(RATE),
@@ -47,7 +54,7 @@
 
 
 def make_large_load(part: float) -> allowancesimulation.Load:
-    """Return what asks for this part of the allowance at 71 hosts."""
+    """Return a load of this share of the allowance at 71 hosts."""
     return allowancesimulation.Load(
         organisation=gatewayparts.make_organisation(LARGE_RATE),
         slack=LARGE_SLACK,
@@ -59,24 +66,24 @@
 
 
 def make_mesh() -> mesh.Mesh:
-    """Return the mesh of host-0, which has heard nobody."""
+    """Return the mesh of host-0, which has heard no peer."""
     return mesh.Mesh(ids.Host('host-0'), OWN, (), random.Random(1))
 
 
 def find_allowed(organisation: catalogue.Organisation, slack: float) -> float:
-    """Return what the operators allow in a window."""
+    """Return the units that the operators allow in a window."""
     units = organisation.units_per_s * WINDOW_S + organisation.burst_units
     return units * 1.1 + slack
 
 
 class TestColdStart(testtools.TestCase):
-    """An organisation asks each of forty hosts for many times its part."""
+    """An organisation asks each of forty hosts for many times its share."""
 
     def test_burst_is_handed_out_once(self) -> None:
-        # An organisation ran 41,400 units in 8 s where 21,800 are allowed.
-        # All hosts were started together. Each knew nobody yet, took itself
-        # for the only host and handed out half a burst; once they had heard
-        # each other, the groups they formed began with another part each.
+        # Guards against hosts that are started together and grant a burst
+        # several times: 41,400 units ran in 8 s where 21,800 are allowed. Each
+        # host took itself for the only one and granted half a burst, and the
+        # groups that formed later started with another share each.
         allowed = find_allowed(PRESSING.organisation, SLACK)
         for seed in (1, 2, 3):
             play = allowancesimulation.Play(PRESSING, HOSTS, seed)
@@ -85,7 +92,7 @@
 
     def test_whole_allowance_is_handed_out(self) -> None:
         # Callers that ask for more than the allowance get nine tenths of it
-        # from the fourth second on, at seven hosts and at forty.
+        # from the fourth second on, with seven hosts and with forty.
         for count in (7, HOSTS):
             play = allowancesimulation.Play(PRESSING, count, 4)
             play.play()
@@ -97,9 +104,9 @@
     """A host whose system grows until it is divided into groups."""
 
     def test_request_from_before_is_given_back(self) -> None:
-        # A caller's refused request ended in an error of the host: its units
-        # were taken while all hosts were one group, and given back to a part
-        # that had no bucket yet, after the hosts of a new group were heard.
+        # Guards against an internal error for a refused request whose units
+        # were taken while all hosts were one group, and are given back after a
+        # second group was heard, to a group bucket that does not exist yet.
         others = make_mesh()
         shared = allowances.Allowances(SLACK, others, 0.0)
         shared.mark_hosts_listed()
@@ -120,14 +127,14 @@
 
 
 class TestStartsElsewhere(testtools.TestCase):
-    """A host of another group starts, and says what it does not know."""
+    """A host of another group starts, and sends a state without usage."""
 
     def hand_out(self, is_greeted: bool) -> float:
-        """Return the units handed out in six seconds, of 12,000 and a burst.
+        """Return the units granted in six seconds, of 12,000 and a burst.
 
         The other group is asked for nine times the allowance and uses all but
-        a tenth of it, as one of its hosts says three times a second. Another
-        one starts again and again, and greets.
+        a tenth of it, as one of its hosts reports three times a second.
+        Another one restarts repeatedly, and sends its first state.
         """
         others = make_mesh()
         shared = allowances.Allowances(SLACK, others, 0.0)
@@ -187,21 +194,22 @@
         others.handle_state(state, now)
 
     def test_what_a_group_uses_is_not_forgotten(self) -> None:
-        # An organisation runs more than it may. A host of another group was
-        # restarted; its greeting to hosts that it does not know yet says
-        # nothing of what its group uses, and was taken for nothing used.
+        # Guards against an organisation that runs more than its allowance
+        # after a host of another group restarted: its first state to hosts
+        # that it does not know yet omits its group's usage, which was taken
+        # for no usage.
         alone = self.hand_out(is_greeted=False)
         self.assertLess(alone, BURST * 2)
         self.assertLessEqual(self.hand_out(is_greeted=True), alone)
 
 
 class TestGreeting(testtools.TestCase):
-    """What a host says to one that it has never heard."""
+    """The first state that a host sends to one that it never heard."""
 
     def test_greeting_says_what_the_group_uses(self) -> None:
-        # As above, with a greeting by a host that knows what its group uses.
-        # Whom it greets may be of its own group or of another one, and can't
-        # tell an organisation that uses nothing from one that is not named.
+        # As above, for a host that knows what its group uses. The receiver may
+        # be of its own group or of another one, and cannot tell an
+        # organisation that uses nothing from one that is not named.
         now = clocks.read_monotonic()
         others = make_mesh()
         shared = allowances.Allowances(SLACK, others, now - 100.0)
@@ -247,11 +255,11 @@
     """An organisation of a system of seventy-one hosts, in six groups."""
 
     def test_half_of_an_allowance_is_not_refused(self) -> None:
-        # On a quiet day, one request in eight was refused although its
-        # organisation asked for half of what it may. Each group had a part of
-        # the allowance to itself: a sixth of a bucket holds few large
-        # requests, and the parts followed each one that came. One host alone
-        # refuses next to none; so do seventy-one, but for two in a hundred.
+        # Guards against refusals at low load: one request in eight was refused
+        # although its organisation asked for half of its allowance. Each group
+        # had a share of the allowance to itself: a sixth of a bucket holds few
+        # large requests, and the shares followed each request. A single host
+        # refuses almost none; seventy-one hosts may refuse two in a hundred.
         for seed in (1, 2):
             play = allowancesimulation.Play(
                 make_large_load(0.55), LARGE_HOSTS, seed
@@ -261,8 +269,8 @@
             self.assertLessEqual(play.refused, 0.02 * asked)
 
     def test_bound_is_kept_while_the_keeping_host_is_lost(self) -> None:
-        # Guards against hosts that hand out an allowance again because the
-        # one that kept it for all was killed.
+        # Guards against hosts that grant an allowance again because its
+        # coordinator was killed.
         load = make_large_load(5.0)
         name = f'allowance/{load.organisation.name}'
         hosts = [ids.Host(f'host-{1000 + n}') for n in range(LARGE_HOSTS)]
@@ -272,13 +280,13 @@
         play = allowancesimulation.Play(load, LARGE_HOSTS, 3)
         play.play()
         self.assertLessEqual(play.find_most(WINDOW_S), allowed)
-        # The rest of the hosts hands it out all the same.
+        # The remaining hosts still grant the allowance.
         owed = LARGE_RATE * (load.seconds - 22.0)
         self.assertGreaterEqual(play.count_units(22.0), 0.8 * owed)
 
     def test_pressing_organisation_keeps_the_bound(self) -> None:
-        # The other side: five times the allowance is asked for at once, in
-        # all groups, and no more than the operators' bound runs.
+        # Five times the allowance is asked for at once, in all groups, and no
+        # more than the operators' bound runs.
         load = make_large_load(5.0)
         allowed = find_allowed(load.organisation, LARGE_SLACK)
         play = allowancesimulation.Play(load, LARGE_HOSTS, 1)
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -6,22 +6,19 @@
 
 import testtools
 
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import subsets
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import coordinator
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import placemessages
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import observations
+from apricotlandingd.gateway.runners import pace
 import gatewayparts
 import placesimulation
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import subsets, waiting
-from apricotlandingd.gateway.hosts import (
-    candidates,
-    coordinator,
-    messages,
-    placemessages,
-)
-from apricotlandingd.gateway.runners import (
-    directory,
-    health,
-    observations,
-    pace,
-)
 
 HOSTS, RUNNERS = 60, 24
 
@@ -33,7 +30,7 @@
 
 
 class TestSubsets(testtools.TestCase):
-    """Which runners are scheduled together, and by whom."""
+    """Division of runners into subsets, and their coordinators."""
 
     def test_each_runner_is_in_one_subset(self) -> None:
         for count in (1, 3, 8, 13, 50):
@@ -74,7 +71,7 @@
 
 
 class TestPlaces(testtools.TestCase):
-    """Callers of many hosts before runners of unlike speed."""
+    """Callers of many hosts, and runners of unlike speed."""
 
     def play(self, seed: int, **changes: ty.Any) -> placesimulation.Outcome:
         load = placesimulation.Load(
@@ -91,7 +88,7 @@
 
     def test_overload_waits_here_and_not_at_runners(self) -> None:
         # Guards against requests that queue at runners, where they cannot be
-        # put in order: at 1.5 times what runners can do, a third is refused.
+        # reordered: at 1.5 times the runners' capacity, a third is refused.
         for seed in (1, 2, 3):
             outcome = self.play(seed, part=1.5)
             self.assertLessEqual(outcome.find_queued(), 0.02)
@@ -119,7 +116,7 @@
 
     def test_callers_of_a_few_hosts_are_served_by_all_runners(self) -> None:
         # Guards against callers that are refused at their host while runners
-        # stand idle.
+        # are idle.
         load = placesimulation.Load(
             hosts=HOSTS,
             runners=RUNNERS,
@@ -136,7 +133,7 @@
 
     def test_subset_without_runners_refuses_nobody(self) -> None:
         # Guards against callers that are refused because the runners of the
-        # subset that they happened to ask have crashed.
+        # subset that was drawn for them have crashed.
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.5, seconds=10.0
         )
@@ -150,7 +147,7 @@
         self.assertLessEqual(outcome.find_refused(), 0.01)
 
     def test_crashed_runner_is_found_out_once_for_all_hosts(self) -> None:
-        # Guards against each of many hosts trying a dead runner for itself:
+        # Guards against each of many hosts trying a crashed runner for itself:
         # it always has free places.
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.6, seconds=10.0
@@ -163,7 +160,7 @@
 
 
 class TestReports(testtools.TestCase):
-    """What hosts report of runners to a coordinator."""
+    """Observations of runners that hosts report to a coordinator."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -207,7 +204,7 @@
         self.coordinator.handle_request(request, now)
 
     def test_host_that_is_cut_off_closes_no_runner_for_others(self) -> None:
-        # Guards against a host whose link is down taking runners from all.
+        # Guards against a host whose link is down, and closes runners for all.
         for number in range(5):
             self.report('host-2', observations.Kind.UNREACHABLE, number * 0.1)
         self.assertFalse(self.health.is_closed(self.runner, 0.5))
@@ -225,11 +222,11 @@
 
 
 class TestHolds(testtools.TestCase):
-    """How long a place is held, as a new coordinator learns it."""
+    """A new coordinator's estimate of how long a place is held."""
 
     def test_first_requests_count_more(self) -> None:
-        # Guards against callers of a quick service that a new coordinator
-        # refuses because it takes each place to be held for a second.
+        # Guards against a new coordinator that refuses callers of a fast
+        # service because it assumes that each place is held for a second.
         found = placesimulation.Play(
             placesimulation.Load(hosts=1), 1
         ).make_scheduler()
@@ -244,7 +241,7 @@
 
 
 class TestLostCoordinators(testtools.TestCase):
-    """Coordinators that end, freeze, or are cut off."""
+    """Coordinators that are killed or unreachable."""
 
     def make_play(self, seed: int) -> placesimulation.Play:
         load = placesimulation.Load(
@@ -260,15 +257,14 @@
             play.plan(5.0, functools.partial(setattr, victim, 'is_up', False))
             outcome = play.play()
             self.assertLessEqual(outcome.find_refused(), 0.002)
-            # Resent, passed over, asked elsewhere.
+            # The request is resent, the host skipped and another one asked.
             self.assertLessEqual(
                 outcome.longest_s, 4 * candidates.REPLY_TIMEOUT_S + 0.1
             )
             self.assertLessEqual(outcome.find_wait(), 0.03)
 
     def test_host_that_reaches_nobody_goes_on_alone(self) -> None:
-        # Guards against callers that wait for coordinators that their host
-        # cannot reach.
+        # Guards against callers that wait for unreachable coordinators.
         play = self.make_play(3)
         alone = play.hosts[ids.Host('host-7')]
         for host in play.hosts.values():
@@ -281,8 +277,8 @@
         self.assertLessEqual(outcome.longest_s, 0.6)
 
     def test_places_held_before_the_cut_count_alone(self) -> None:
-        # Guards against a host that fills a runner again when it loses its
-        # coordinators.
+        # Guards against a host that overloads a runner after it loses its
+        # coordinators, because it forgets the places that it holds.
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.0001, seconds=1.0
         )
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -1,28 +1,27 @@
-"""An allowance that one host keeps for all, message by message."""
+"""An allowance that one host grants for all, message by message."""
 
 import random
 
 import testtools
 
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlandingd.gateway.hosts import allowancemessages
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import sharedallowances
 import gatewayparts
-from apricotlanding import addresses, ids
-from apricotlandingd.gateway.hosts import (
-    allowancemessages,
-    allowances,
-    candidates,
-    mesh,
-    messages,
-    sharedallowances,
-)
 
 FESTIN = gatewayparts.make_organisation(1000.0)
 SLACK = 0.0
-# A time at which hosts have run for long.
+# A time long after the start of the hosts.
 NOW = 100.0
 
 
 class Hosts:
-    """Two hosts of a large system; messages wait until they are passed."""
+    """Two hosts of a large system; messages wait until they are delivered."""
 
     def __init__(self, names: list[ids.Host]) -> None:
         self.changes = 0
@@ -39,7 +38,7 @@
         return addresses.Address('127.0.0.1', 1 + self.names.index(host))
 
     def send(self, message: object, address: addresses.Address) -> None:
-        # As on the wire.
+        # Encoded as on the wire.
         data = messages.registry.encode(message)
         self.sent.append(messages.registry.decode(data))
 
@@ -49,7 +48,7 @@
 
 
 class Pair:
-    """A host that asks, and the one that keeps the allowance."""
+    """A host that asks for units, and the coordinator that grants them."""
 
     def __init__(self) -> None:
         names = [ids.Host('host-1'), ids.Host('host-2')]
@@ -99,7 +98,7 @@
 
 
 class TestKeptAllowance(testtools.TestCase):
-    """One organisation's allowance, kept by one of two hosts."""
+    """One organisation's allowance, coordinated by one of two hosts."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -112,8 +111,8 @@
         self.assertGreater(refused.wait_s, 0.5)
 
     def test_lost_reply_costs_nothing(self) -> None:
-        # Guards against an organisation that pays twice for one request
-        # because the first answer was lost.
+        # Guards against an organisation that is charged twice for one request
+        # because the first reply was lost.
         unit_request = self.pair.asker.ask(FESTIN, 600.0, NOW)
         self.pair.pass_messages(NOW)
         self.pair.hosts.take_sent()
@@ -139,8 +138,8 @@
         self.assertIsNotNone(self.pair.ask(1000.0, NOW).wait_s)
 
     def test_return_that_overtakes_its_question_is_worth_nothing(self) -> None:
-        # Guards against units that are returned and then handed out to a
-        # caller that has left, or returned without having been handed out.
+        # Guards against units that are returned and then granted to a caller
+        # that has left, or returned without having been granted.
         unit_request = self.pair.asker.ask(FESTIN, 1000.0, NOW)
         asked = self.pair.hosts.take_sent()
         self.pair.asker.give_back(unit_request, NOW)
@@ -151,7 +150,7 @@
         self.assertIsNotNone(self.pair.ask(1000.0, NOW).wait_s)
 
     def test_silent_keeper_is_passed_over(self) -> None:
-        # Guards against callers that wait for a host that is gone.
+        # Guards against callers that wait for a host that has ended.
         unit_request = self.pair.asker.ask(FESTIN, 100.0, NOW)
         self.pair.hosts.take_sent()
         self.pair.asker.tick(NOW + candidates.REPLY_TIMEOUT_S + 0.01)
@@ -160,8 +159,8 @@
         self.assertIsNone(unit_request.wait_s)
 
     def test_next_keeper_knows_what_was_handed_out(self) -> None:
-        # Guards against an allowance that is handed out again because the
-        # host that kept it was lost.
+        # Guards against an allowance that is granted again because its
+        # coordinator was lost.
         now = NOW
         self.pair.keeper.tick(now)
         self.pair.tell_news(now)
