--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -11,18 +11,19 @@
 import itertools
 import random
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import sharedallowances
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    allowances,
+    candidates,
+    mesh,
+    messages,
+    sharedallowances,
+)
 
-__all__ = ['Load', 'Play']
+__all__ = ['Load', 'Simulation']
 
 # Seconds within which all hosts start; the earliest and the latest time after
 # its start at which a host has read the list of hosts; and the maximum latency
@@ -153,7 +154,7 @@
             self.others.handle_state(message, now)
 
 
-class Play:
+class Simulation:
     """Hosts that start together, and events in the order of their time."""
 
     def __init__(self, load: Load, count: int, seed: int) -> None:
--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -13,23 +13,25 @@
 import random
 import typing as ty
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import dispatch
-from apricotlandingd.gateway.hosts import groups
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import gatewayparts
-
-__all__ = ['Load', 'Outcome', 'Play']
+from apricotlanding import addresses, ids
+from apricotlandingd.gateway.decisions import scheduler, waiting
+from apricotlandingd.gateway.hosts import (
+    candidates,
+    coordinator,
+    dispatch,
+    groups,
+    messages,
+    placemessages,
+)
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    observations,
+    pace,
+)
+
+__all__ = ['Load', 'Outcome', 'Simulation']
 
 # Seconds between two ticks of a host.
 TICK = 0.02
@@ -119,7 +121,7 @@
 class _Known:
     """The hosts as one host knows them."""
 
-    def __init__(self, play: 'Play', host: ids.Host) -> None:
+    def __init__(self, play: 'Simulation', host: ids.Host) -> None:
         self._play = play
         self._host = host
         self.changes = 0
@@ -166,7 +168,7 @@
     )
 
 
-class Play:
+class Simulation:
     """Hosts and their runners, and events in the order of their time."""
 
     def __init__(self, load: Load, seed: int) -> None:
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -6,23 +6,16 @@
 
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import clocks
-from apricotlanding import ids
-from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.process import hoststates
-from apricotlandingd.gateway.replication import freshness
-from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
 import allowancesimulation
 import gatewayparts
 import test_foreign_messages
+from apricotlanding import addresses, clocks, ids
+from apricotlandingd.gateway import catalogue
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.hosts import allowances, candidates, mesh
+from apricotlandingd.gateway.process import hoststates
+from apricotlandingd.gateway.replication import freshness, records
+from apricotlandingd.gateway.runners import directory, health, pace
 
 HOSTS = 40
 RATE = BURST = 2000.0
@@ -86,7 +79,7 @@
         # groups that formed later started with another share each.
         allowed = find_allowed(PRESSING.organisation, SLACK)
         for seed in (1, 2, 3):
-            play = allowancesimulation.Play(PRESSING, HOSTS, seed)
+            play = allowancesimulation.Simulation(PRESSING, HOSTS, seed)
             play.play()
             self.assertLessEqual(play.find_most(WINDOW_S), allowed)
 
@@ -94,7 +87,7 @@
         # Callers that ask for more than the allowance get nine tenths of it
         # from the fourth second on, with seven hosts and with forty.
         for count in (7, HOSTS):
-            play = allowancesimulation.Play(PRESSING, count, 4)
+            play = allowancesimulation.Simulation(PRESSING, count, 4)
             play.play()
             owed = RATE * (PRESSING.seconds - 4.0)
             self.assertGreaterEqual(play.count_units(4.0), 0.9 * owed)
@@ -261,7 +254,7 @@
         # large requests, and the shares followed each request. A single host
         # refuses almost none; seventy-one hosts may refuse two in a hundred.
         for seed in (1, 2):
-            play = allowancesimulation.Play(
+            play = allowancesimulation.Simulation(
                 make_large_load(0.55), LARGE_HOSTS, seed
             )
             play.play()
@@ -277,7 +270,7 @@
         load.killed = tuple(candidates.rank_hosts(name, hosts)[:2])
         load.killed_at = 20.0
         allowed = find_allowed(load.organisation, LARGE_SLACK)
-        play = allowancesimulation.Play(load, LARGE_HOSTS, 3)
+        play = allowancesimulation.Simulation(load, LARGE_HOSTS, 3)
         play.play()
         self.assertLessEqual(play.find_most(WINDOW_S), allowed)
         # The remaining hosts still grant the allowance.
@@ -289,6 +282,6 @@
         # more than the operators' bound runs.
         load = make_large_load(5.0)
         allowed = find_allowed(load.organisation, LARGE_SLACK)
-        play = allowancesimulation.Play(load, LARGE_HOSTS, 1)
+        play = allowancesimulation.Simulation(load, LARGE_HOSTS, 1)
         play.play()
         self.assertLessEqual(play.find_most(WINDOW_S), allowed)
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -6,24 +6,27 @@
 
 import testtools
 
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import gatewayparts
 import placesimulation
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import subsets, waiting
+from apricotlandingd.gateway.hosts import (
+    candidates,
+    coordinator,
+    messages,
+    placemessages,
+)
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    observations,
+    pace,
+)
 
 HOSTS, RUNNERS = 60, 24
 
 
-def find_coordinator(play: placesimulation.Play) -> ids.Host:
+def find_coordinator(play: placesimulation.Simulation) -> ids.Host:
     """Return the first coordinator of the pool's first subset."""
     found = subsets.list_subsets(gatewayparts.POOL, RUNNERS)
     return candidates.rank_hosts(found[0].find_name(), play.hosts)[0]
@@ -77,7 +80,7 @@
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, seconds=10.0, **changes
         )
-        return placesimulation.Play(load, seed).play()
+        return placesimulation.Simulation(load, seed).play()
 
     def test_free_places_are_found_and_not_overfilled(self) -> None:
         for seed in (1, 2, 3):
@@ -126,7 +129,7 @@
             busy_part=30.0,
         )
         for seed in (1, 2):
-            outcome = placesimulation.Play(load, seed).play()
+            outcome = placesimulation.Simulation(load, seed).play()
             self.assertEqual(0.0, outcome.find_refused())
             self.assertLessEqual(outcome.find_queued(), 0.01)
             self.assertLessEqual(outcome.find_wait(), 0.03)
@@ -137,7 +140,7 @@
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.5, seconds=10.0
         )
-        play = placesimulation.Play(load, 3)
+        play = placesimulation.Simulation(load, 3)
         entries = play.known.list_open(gatewayparts.POOL)
         first = subsets.list_subsets(gatewayparts.POOL, len(entries))[0]
         lost = subsets.select_runners(first, entries)
@@ -152,7 +155,7 @@
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.6, seconds=10.0
         )
-        play = placesimulation.Play(load, 4)
+        play = placesimulation.Simulation(load, 4)
         next(iter(play.runners.values())).is_lost = True
         outcome = play.play()
         self.assertLessEqual(outcome.missed, 0.5 * HOSTS)
@@ -227,7 +230,7 @@
     def test_first_requests_count_more(self) -> None:
         # Guards against a new coordinator that refuses callers of a fast
         # service because it assumes that each place is held for a second.
-        found = placesimulation.Play(
+        found = placesimulation.Simulation(
             placesimulation.Load(hosts=1), 1
         ).make_scheduler()
         found.note_hold(gatewayparts.POOL, 0.05)
@@ -243,11 +246,11 @@
 class TestLostCoordinators(testtools.TestCase):
     """Coordinators that are killed or unreachable."""
 
-    def make_play(self, seed: int) -> placesimulation.Play:
+    def make_play(self, seed: int) -> placesimulation.Simulation:
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.7, seconds=12.0
         )
-        return placesimulation.Play(load, seed)
+        return placesimulation.Simulation(load, seed)
 
     def test_killed_coordinator_is_replaced_in_a_moment(self) -> None:
         for seed in (1, 2):
@@ -282,7 +285,7 @@
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.0001, seconds=1.0
         )
-        play = placesimulation.Play(load, 5)
+        play = placesimulation.Simulation(load, 5)
         host = play.hosts[ids.Host('host-7')]
         tickets = [
             gatewayparts.make_ticket(f'b{number}', 0.0) for number in range(9)
