--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -122,7 +122,7 @@
     """The hosts as one host knows them."""
 
     def __init__(self, play: 'Simulation', host: ids.Host) -> None:
-        self._play = play
+        self._simulation = play
         self._host = host
         self.changes = 0
 
@@ -130,14 +130,14 @@
         return True
 
     def list_coordinators(self) -> list[ids.Host]:
-        return list(self._play.hosts)
+        return list(self._simulation.hosts)
 
     def find_address(self, host: ids.Host) -> addresses.Address | None:
-        known = self._play.hosts.get(host)
+        known = self._simulation.hosts.get(host)
         return None if known is None else known.address
 
     def send(self, message: object, address: addresses.Address) -> None:
-        self._play.send(self._host, message, address)
+        self._simulation.send(self._host, message, address)
 
 
 @dataclasses.dataclass
