--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -246,7 +246,7 @@
 class TestLostCoordinators(testtools.TestCase):
     """Coordinators that are killed or unreachable."""
 
-    def make_play(self, seed: int) -> placesimulation.Simulation:
+    def make_simulation(self, seed: int) -> placesimulation.Simulation:
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.7, seconds=12.0
         )
@@ -254,7 +254,7 @@
 
     def test_killed_coordinator_is_replaced_in_a_moment(self) -> None:
         for seed in (1, 2):
-            play = self.make_play(seed)
+            play = self.make_simulation(seed)
             victim = play.hosts[find_coordinator(play)]
 
             play.plan(5.0, functools.partial(setattr, victim, 'is_up', False))
@@ -268,7 +268,7 @@
 
     def test_host_that_reaches_nobody_goes_on_alone(self) -> None:
         # Guards against callers that wait for unreachable coordinators.
-        play = self.make_play(3)
+        play = self.make_simulation(3)
         alone = play.hosts[ids.Host('host-7')]
         for host in play.hosts.values():
             if host is alone:
@@ -309,7 +309,7 @@
         self.assertEqual(0, sum(host.local.places.running.values()))
 
     def test_halves_that_are_cut_apart_both_go_on(self) -> None:
-        play = self.make_play(4)
+        play = self.make_simulation(4)
         names = list(play.hosts)
         halves = set(names[::2]), set(names[1::2])
         for half, other in (halves, halves[::-1]):
