--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -34,7 +34,7 @@
 # Share of the messages to near hosts that are whole states.
 WHOLE_PART = 0.1
 # Seconds between two checks of a host's pending requests.
-TICK = 0.02
+TICK_INTERVAL_S = 0.02
 
 
 @dataclasses.dataclass
@@ -203,7 +203,7 @@
                 self.look(host, item, now)
             elif kind == 'tick':
                 host.keeper.tick(now)
-                self.plan(now + TICK, 'tick', address, None)
+                self.plan(now + TICK_INTERVAL_S, 'tick', address, None)
             elif kind == 'list':
                 for known in self.hosts:
                     host.others.probe_address(known)
--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -34,7 +34,7 @@
 __all__ = ['Load', 'Outcome', 'Simulation']
 
 # Seconds between two ticks of a host.
-TICK = 0.02
+TICK_INTERVAL_S = 0.02
 # Minimum and maximum latency of a message, seconds.
 WAYS = (0.0005, 0.004)
 # Hosts in a group; a host that schedules locally uses its group's share of
@@ -198,7 +198,7 @@
         self.interval = 1 / (load.part * capacity)
         self.plan(0.0, self.come)
         for host in self.hosts.values():
-            self.plan_tick(host, self.rng.uniform(0, TICK))
+            self.plan_tick(host, self.rng.uniform(0, TICK_INTERVAL_S))
 
     def make_host(self, number: int) -> Host:
         name = ids.Host(f'host-{number}')
@@ -267,7 +267,7 @@
         def tick() -> None:
             if host.is_up:
                 host.dispatcher.tick(self.now)
-            self.plan_tick(host, TICK)
+            self.plan_tick(host, TICK_INTERVAL_S)
 
         self.plan(after, tick)
 
