--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -36,7 +36,7 @@
 # Seconds between two ticks of a host.
 TICK_INTERVAL_S = 0.02
 # Minimum and maximum latency of a message, seconds.
-WAYS = (0.0005, 0.004)
+LATENCY_RANGE_S = (0.0005, 0.004)
 # Hosts in a group; a host that schedules locally uses its group's share of
 # each runner.
 PARTITION_HOSTS = 12
@@ -292,7 +292,7 @@
             else:
                 target.dispatcher.handle_reply(found, self.now)
 
-        self.plan(self.rng.uniform(*WAYS), arrive)
+        self.plan(self.rng.uniform(*LATENCY_RANGE_S), arrive)
 
     # Callers.
 
