--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -57,7 +57,7 @@
     slow_hold: float = 1.8
     slow_step: int = 3
     # Seconds that callers wait for a place.
-    patience: float = 0.6
+    max_wait_s: float = 0.6
     seconds: float = 20.0
     # Share of the messages that are lost.
     loss: float = 0.0
@@ -305,8 +305,8 @@
             f'a{self.outcome.asked}',
             self.now,
             tier=ids.Tier(tier),
-            on_time_by=self.now + self.load.patience,
-            useful_until=self.now + self.load.patience,
+            on_time_by=self.now + self.load.max_wait_s,
+            useful_until=self.now + self.load.max_wait_s,
             prompt_tokens=0,
         )
         host.dispatcher.enter(ticket, self.now)
