--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -54,7 +54,7 @@
     # Mean seconds for which a request holds its place at a fast and at a slow
     # runner; of so many runners, one is slow.
     fast_hold_s: float = 0.6
-    slow_hold: float = 1.8
+    slow_hold_s: float = 1.8
     slow_step: int = 3
     # Seconds that callers wait for a place.
     max_wait_s: float = 0.6
@@ -186,7 +186,7 @@
             entry = gatewayparts.make_entry(f'i-{number}', load.slots)
             self.known.update(entry)
             is_slow = number % load.slow_step == 0
-            hold = load.slow_hold if is_slow else load.fast_hold_s
+            hold = load.slow_hold_s if is_slow else load.fast_hold_s
             self.runners[entry.start] = Runner(hold)
         self.hosts: dict[ids.Host, Host] = {}
         for number in range(load.hosts):
