--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -55,7 +55,7 @@
     # runner; of so many runners, one is slow.
     fast_hold_s: float = 0.6
     slow_hold_s: float = 1.8
-    slow_step: int = 3
+    slow_every: int = 3
     # Seconds that callers wait for a place.
     max_wait_s: float = 0.6
     seconds: float = 20.0
@@ -185,7 +185,7 @@
         for number in range(load.runners):
             entry = gatewayparts.make_entry(f'i-{number}', load.slots)
             self.known.update(entry)
-            is_slow = number % load.slow_step == 0
+            is_slow = number % load.slow_every == 0
             hold = load.slow_hold_s if is_slow else load.fast_hold_s
             self.runners[entry.start] = Runner(hold)
         self.hosts: dict[ids.Host, Host] = {}
