--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -60,7 +60,7 @@
     max_wait_s: float = 0.6
     seconds: float = 20.0
     # Share of the messages that are lost.
-    loss: float = 0.0
+    loss_share: float = 0.0
     # Tiers of requests, drawn with equal chance.
     tiers: int = 1
     # The first hosts get this many times the callers of the others.
@@ -278,7 +278,7 @@
         # Encoded as on the wire, so that later changes do not affect it.
         data = messages.registry.encode(message)
         target = self._by_address[address]
-        if self.rng.random() < self.load.loss:
+        if self.rng.random() < self.load.loss_share:
             return
         if sender in target.cut_from:
             return
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -108,7 +108,7 @@
 
     def test_lost_messages_are_made_good(self) -> None:
         for seed in (2, 3, 5):
-            outcome = self.play(seed, part=0.8, loss=0.1)
+            outcome = self.play(seed, part=0.8, loss_share=0.1)
             self.assertLessEqual(outcome.find_refused(), 0.002)
             self.assertLessEqual(outcome.find_queued(), 0.05)
             self.assertLessEqual(outcome.find_wait(), 0.05)
