--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -65,7 +65,7 @@
     tiers: int = 1
     # The first hosts get this many times the callers of the others.
     busy_hosts: int = 0
-    busy_part: float = 4.0
+    busy_weight: float = 4.0
 
 
 @dataclasses.dataclass
@@ -316,7 +316,7 @@
         up = [host for host in self.hosts.values() if host.is_up]
         load = self.load
         weights = [
-            load.busy_part if number < load.busy_hosts else 1.0
+            load.busy_weight if number < load.busy_hosts else 1.0
             for number in range(len(up))
         ]
         return self.rng.choices(up, weights)[0]
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -126,7 +126,7 @@
             part=0.9,
             seconds=10.0,
             busy_hosts=3,
-            busy_part=30.0,
+            busy_weight=30.0,
         )
         for seed in (1, 2):
             outcome = placesimulation.Simulation(load, seed).play()
