--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -84,7 +84,7 @@
     # Requests that queued at a runner.
     queued: int = 0
     # Requests that were sent to a crashed runner.
-    missed: int = 0
+    failed_connections: int = 0
     messages: int = 0
 
     def find_refused(self) -> float:
@@ -357,7 +357,7 @@
         self, host: Host, grant: waiting.Grant, ticket: waiting.Ticket
     ) -> None:
         """Ask for another runner, after one that accepts no connection."""
-        self.outcome.missed += 1
+        self.outcome.failed_connections += 1
         seen = observations.Observation(observations.Kind.UNREACHABLE)
         host.dispatcher.note(gatewayparts.POOL, grant.runner, seen, self.now)
         host.dispatcher.release(gatewayparts.POOL, grant, self.now)
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -158,7 +158,7 @@
         play = placesimulation.Simulation(load, 4)
         next(iter(play.runners.values())).is_lost = True
         outcome = play.play()
-        self.assertLessEqual(outcome.missed, 0.5 * HOSTS)
+        self.assertLessEqual(outcome.failed_connections, 0.5 * HOSTS)
         self.assertLessEqual(outcome.find_refused(), 0.001)
 
 
