--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -152,7 +152,7 @@
     local: scheduler.Scheduler
     is_up: bool = True
     # Hosts that it cannot exchange messages with.
-    cut_from: set[ids.Host] = dataclasses.field(default_factory=set)
+    unreachable: set[ids.Host] = dataclasses.field(default_factory=set)
 
 
 @dataclasses.dataclass
@@ -280,7 +280,7 @@
         target = self._by_address[address]
         if self.rng.random() < self.load.loss_share:
             return
-        if sender in target.cut_from:
+        if sender in target.unreachable:
             return
 
         def arrive() -> None:
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -273,8 +273,8 @@
         for host in play.hosts.values():
             if host is alone:
                 continue
-            alone.cut_from.add(host.name)
-            host.cut_from.add(alone.name)
+            alone.unreachable.add(host.name)
+            host.unreachable.add(alone.name)
         outcome = play.play()
         self.assertLessEqual(outcome.find_refused(), 0.002)
         self.assertLessEqual(outcome.max_waited_s, 0.6)
@@ -314,7 +314,7 @@
         halves = set(names[::2]), set(names[1::2])
         for half, other in (halves, halves[::-1]):
             for name in half:
-                play.hosts[name].cut_from.update(other)
+                play.hosts[name].unreachable.update(other)
         outcome = play.play()
         self.assertLessEqual(outcome.find_refused(), 0.01)
         self.assertLessEqual(outcome.find_wait(), 0.1)
