--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -196,7 +196,7 @@
             load.slots / runner.hold for runner in self.runners.values()
         )
         self.interval = 1 / (load.part * capacity)
-        self.plan(0.0, self.come)
+        self.plan(0.0, self.add_request)
         for host in self.hosts.values():
             self.plan_tick(host, self.rng.uniform(0, TICK_INTERVAL_S))
 
@@ -296,8 +296,8 @@
 
     # Callers.
 
-    def come(self) -> None:
-        self.plan(self.rng.expovariate(1 / self.interval), self.come)
+    def add_request(self) -> None:
+        self.plan(self.rng.expovariate(1 / self.interval), self.add_request)
         host = self.choose_host()
         self.outcome.asked += 1
         tier = self.rng.randrange(self.load.tiers)
