--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -310,7 +310,7 @@
             prompt_tokens=0,
         )
         host.dispatcher.enter(ticket, self.now)
-        self.watch(host, ticket)
+        self.poll_decision(host, ticket)
 
     def choose_host(self) -> Host:
         up = [host for host in self.hosts.values() if host.is_up]
@@ -321,10 +321,10 @@
         ]
         return self.rng.choices(up, weights)[0]
 
-    def watch(self, host: Host, ticket: waiting.Ticket) -> None:
+    def poll_decision(self, host: Host, ticket: waiting.Ticket) -> None:
         """Poll for the decision, in place of a waiting task."""
         if ticket.decision is None and host.is_up:
-            self.plan(0.001, lambda: self.watch(host, ticket))
+            self.plan(0.001, lambda: self.poll_decision(host, ticket))
             return
         host.dispatcher.leave(ticket, self.now)
         decision = ticket.decision
@@ -371,7 +371,7 @@
             tried={*ticket.tried, grant.runner},
         )
         host.dispatcher.enter(again, self.now)
-        self.watch(host, again)
+        self.poll_decision(host, again)
 
     def run(
         self,
