--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -345,7 +345,7 @@
     ) -> None:
         runner = self.runners[grant.runner]
         if runner.is_lost:
-            self.miss(host, grant, ticket)
+            self.retry_elsewhere(host, grant, ticket)
             return
         if runner.running >= self.load.slots:
             self.outcome.queued += 1
@@ -353,7 +353,7 @@
             return
         self.run(runner, host, grant, self.now)
 
-    def miss(
+    def retry_elsewhere(
         self, host: Host, grant: waiting.Grant, ticket: waiting.Ticket
     ) -> None:
         """Ask for another runner, after one that accepts no connection."""
