--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -283,7 +283,7 @@
         if sender in target.unreachable:
             return
 
-        def arrive() -> None:
+        def deliver() -> None:
             if not target.is_up:
                 return
             found = messages.registry.decode(data)
@@ -292,7 +292,7 @@
             else:
                 target.dispatcher.handle_reply(found, self.now)
 
-        self.plan(self.rng.uniform(*LATENCY_RANGE_S), arrive)
+        self.plan(self.rng.uniform(*LATENCY_RANGE_S), deliver)
 
     # Callers.
 
@@ -334,13 +334,13 @@
             waited = self.now - ticket.arrived_at
             self.outcome.waited_s += waited
             self.outcome.max_waited_s = max(self.outcome.max_waited_s, waited)
-            self.arrive(host, decision, ticket)
+            self.deliver(host, decision, ticket)
         else:
             self.outcome.refused[tier] += 1
 
     # Runners.
 
-    def arrive(
+    def deliver(
         self, host: Host, grant: waiting.Grant, ticket: waiting.Ticket
     ) -> None:
         runner = self.runners[grant.runner]
