--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -174,11 +174,11 @@
             for place in range(count)
         ]
         for address in self._addresses:
-            self.plan(
+            self.add_event(
                 self.rng.uniform(0, START_SPREAD), 'start', address, None
             )
 
-    def plan(
+    def add_event(
         self, at: float, kind: str, address: addresses.Address, item: object
     ) -> None:
         heapq.heappush(
@@ -203,7 +203,7 @@
                 self.look(host, item, now)
             elif kind == 'tick':
                 host.keeper.tick(now)
-                self.plan(now + TICK_INTERVAL_S, 'tick', address, None)
+                self.add_event(now + TICK_INTERVAL_S, 'tick', address, None)
             elif kind == 'list':
                 for known in self.hosts:
                     host.others.probe_address(known)
@@ -247,11 +247,13 @@
         self.hosts[address] = Host(
             name, address, others, shared, process, keeper
         )
-        self.plan(now + self.rng.uniform(*LIST_TIMES), 'list', address, None)
+        self.add_event(
+            now + self.rng.uniform(*LIST_TIMES), 'list', address, None
+        )
         for kind in ('near', 'far', 'search'):
-            self.plan(now, kind, address, None)
-        self.plan(now, 'tick', address, None)
-        self.plan(self.find_next(now), 'ask', address, None)
+            self.add_event(now, kind, address, None)
+        self.add_event(now, 'tick', address, None)
+        self.add_event(self.find_next(now), 'ask', address, None)
 
     def find_organisation(
         self, name: ids.Organisation
@@ -272,13 +274,13 @@
         cost = self.load.draw_cost(self.rng)
         unit_request = host.keeper.ask(organisation, cost, now)
         self.look(host, unit_request, now)
-        self.plan(self.find_next(now), 'ask', host.address, None)
+        self.add_event(self.find_next(now), 'ask', host.address, None)
 
     def look(self, host: Host, item: object, now: float) -> None:
         """Poll for the answer, in place of a waiting task."""
         assert isinstance(item, sharedallowances.UnitRequest)
         if not item.answered.is_set():
-            self.plan(now + 0.001, 'look', host.address, item)
+            self.add_event(now + 0.001, 'look', host.address, item)
             return
         if item.wait_s is None:
             self.runs.append((now, item.cost))
@@ -307,7 +309,7 @@
                 if item in host.others.list_probed()
             ]
             self.send(state, sought, now)
-        self.plan(now + pause, kind, host.address, None)
+        self.add_event(now + pause, kind, host.address, None)
 
     def send(
         self,
@@ -317,7 +319,7 @@
     ) -> None:
         for target in targets:
             way = self.rng.uniform(0.0005, LONGEST_WAY)
-            self.plan(now + way, 'state', target, state)
+            self.add_event(now + way, 'state', target, state)
 
     def find_most(self, window_s: float) -> float:
         """Return the maximum of units that ran within a window."""
--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -196,7 +196,7 @@
             load.slots / runner.hold for runner in self.runners.values()
         )
         self.interval = 1 / (load.part * capacity)
-        self.plan(0.0, self.add_request)
+        self.add_event(0.0, self.add_request)
         for host in self.hosts.values():
             self.plan_tick(host, self.rng.uniform(0, TICK_INTERVAL_S))
 
@@ -249,7 +249,7 @@
 
     # Events.
 
-    def plan(
+    def add_event(
         self, after: float, event: collections.abc.Callable[[], None]
     ) -> None:
         heapq.heappush(
@@ -269,7 +269,7 @@
                 host.dispatcher.tick(self.now)
             self.plan_tick(host, TICK_INTERVAL_S)
 
-        self.plan(after, tick)
+        self.add_event(after, tick)
 
     def send(
         self, sender: ids.Host, message: object, address: addresses.Address
@@ -292,12 +292,14 @@
             else:
                 target.dispatcher.handle_reply(found, self.now)
 
-        self.plan(self.rng.uniform(*LATENCY_RANGE_S), deliver)
+        self.add_event(self.rng.uniform(*LATENCY_RANGE_S), deliver)
 
     # Callers.
 
     def add_request(self) -> None:
-        self.plan(self.rng.expovariate(1 / self.interval), self.add_request)
+        self.add_event(
+            self.rng.expovariate(1 / self.interval), self.add_request
+        )
         host = self.choose_host()
         self.outcome.asked += 1
         tier = self.rng.randrange(self.load.tiers)
@@ -324,7 +326,7 @@
     def poll_decision(self, host: Host, ticket: waiting.Ticket) -> None:
         """Poll for the decision, in place of a waiting task."""
         if ticket.decision is None and host.is_up:
-            self.plan(0.001, lambda: self.poll_decision(host, ticket))
+            self.add_event(0.001, lambda: self.poll_decision(host, ticket))
             return
         host.dispatcher.leave(ticket, self.now)
         decision = ticket.decision
@@ -401,4 +403,4 @@
                 )
             host.dispatcher.release(gatewayparts.POOL, grant, self.now)
 
-        self.plan(hold, end)
+        self.add_event(hold, end)
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -257,7 +257,9 @@
             play = self.make_simulation(seed)
             victim = play.hosts[find_coordinator(play)]
 
-            play.plan(5.0, functools.partial(setattr, victim, 'is_up', False))
+            play.add_event(
+                5.0, functools.partial(setattr, victim, 'is_up', False)
+            )
             outcome = play.play()
             self.assertLessEqual(outcome.find_refused(), 0.002)
             # The request is resent, the host skipped and another one asked.
