--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -87,7 +87,7 @@
     failed_connections: int = 0
     messages: int = 0
 
-    def find_refused(self) -> float:
+    def find_refused_share(self) -> float:
         """Return the share of requests that were refused."""
         return sum(self.refused.values()) / max(1, self.asked)
 
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -85,7 +85,7 @@
     def test_free_places_are_found_and_not_overfilled(self) -> None:
         for seed in (1, 2, 3):
             outcome = self.play(seed, part=0.8)
-            self.assertEqual(0.0, outcome.find_refused())
+            self.assertEqual(0.0, outcome.find_refused_share())
             self.assertLessEqual(outcome.find_queued(), 0.005)
             self.assertLessEqual(outcome.find_wait(), 0.02)
 
@@ -95,7 +95,7 @@
         for seed in (1, 2, 3):
             outcome = self.play(seed, part=1.5)
             self.assertLessEqual(outcome.find_queued(), 0.02)
-            self.assertLessEqual(outcome.find_refused(), 0.40)
+            self.assertLessEqual(outcome.find_refused_share(), 0.40)
 
     def test_urgent_tier_is_served_first_at_all_hosts(self) -> None:
         # Guards against a tier that is refused at one host while a lower one
@@ -109,7 +109,7 @@
     def test_lost_messages_are_made_good(self) -> None:
         for seed in (2, 3, 5):
             outcome = self.play(seed, part=0.8, loss_share=0.1)
-            self.assertLessEqual(outcome.find_refused(), 0.002)
+            self.assertLessEqual(outcome.find_refused_share(), 0.002)
             self.assertLessEqual(outcome.find_queued(), 0.05)
             self.assertLessEqual(outcome.find_wait(), 0.05)
 
@@ -130,7 +130,7 @@
         )
         for seed in (1, 2):
             outcome = placesimulation.Simulation(load, seed).play()
-            self.assertEqual(0.0, outcome.find_refused())
+            self.assertEqual(0.0, outcome.find_refused_share())
             self.assertLessEqual(outcome.find_queued(), 0.01)
             self.assertLessEqual(outcome.find_wait(), 0.03)
 
@@ -147,7 +147,7 @@
         for entry in lost:
             play.runners[entry.start].is_lost = True
         outcome = play.play()
-        self.assertLessEqual(outcome.find_refused(), 0.01)
+        self.assertLessEqual(outcome.find_refused_share(), 0.01)
 
     def test_crashed_runner_is_found_out_once_for_all_hosts(self) -> None:
         # Guards against each of many hosts trying a crashed runner for itself:
@@ -159,7 +159,7 @@
         next(iter(play.runners.values())).is_lost = True
         outcome = play.play()
         self.assertLessEqual(outcome.failed_connections, 0.5 * HOSTS)
-        self.assertLessEqual(outcome.find_refused(), 0.001)
+        self.assertLessEqual(outcome.find_refused_share(), 0.001)
 
 
 class TestReports(testtools.TestCase):
@@ -261,7 +261,7 @@
                 5.0, functools.partial(setattr, victim, 'is_up', False)
             )
             outcome = play.play()
-            self.assertLessEqual(outcome.find_refused(), 0.002)
+            self.assertLessEqual(outcome.find_refused_share(), 0.002)
             # The request is resent, the host skipped and another one asked.
             self.assertLessEqual(
                 outcome.max_waited_s, 4 * candidates.REPLY_TIMEOUT_S + 0.1
@@ -278,7 +278,7 @@
             alone.unreachable.add(host.name)
             host.unreachable.add(alone.name)
         outcome = play.play()
-        self.assertLessEqual(outcome.find_refused(), 0.002)
+        self.assertLessEqual(outcome.find_refused_share(), 0.002)
         self.assertLessEqual(outcome.max_waited_s, 0.6)
 
     def test_places_held_before_the_cut_count_alone(self) -> None:
@@ -318,5 +318,5 @@
             for name in half:
                 play.hosts[name].unreachable.update(other)
         outcome = play.play()
-        self.assertLessEqual(outcome.find_refused(), 0.01)
+        self.assertLessEqual(outcome.find_refused_share(), 0.01)
         self.assertLessEqual(outcome.find_wait(), 0.1)
