--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -91,7 +91,7 @@
         """Return the share of requests that were refused."""
         return sum(self.refused.values()) / max(1, self.asked)
 
-    def find_queued(self) -> float:
+    def find_queued_share(self) -> float:
         """Return the share of granted requests that queued at a runner."""
         return self.queued / max(1, sum(self.granted.values()))
 
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -86,7 +86,7 @@
         for seed in (1, 2, 3):
             outcome = self.play(seed, part=0.8)
             self.assertEqual(0.0, outcome.find_refused_share())
-            self.assertLessEqual(outcome.find_queued(), 0.005)
+            self.assertLessEqual(outcome.find_queued_share(), 0.005)
             self.assertLessEqual(outcome.find_wait(), 0.02)
 
     def test_overload_waits_here_and_not_at_runners(self) -> None:
@@ -94,7 +94,7 @@
         # reordered: at 1.5 times the runners' capacity, a third is refused.
         for seed in (1, 2, 3):
             outcome = self.play(seed, part=1.5)
-            self.assertLessEqual(outcome.find_queued(), 0.02)
+            self.assertLessEqual(outcome.find_queued_share(), 0.02)
             self.assertLessEqual(outcome.find_refused_share(), 0.40)
 
     def test_urgent_tier_is_served_first_at_all_hosts(self) -> None:
@@ -110,7 +110,7 @@
         for seed in (2, 3, 5):
             outcome = self.play(seed, part=0.8, loss_share=0.1)
             self.assertLessEqual(outcome.find_refused_share(), 0.002)
-            self.assertLessEqual(outcome.find_queued(), 0.05)
+            self.assertLessEqual(outcome.find_queued_share(), 0.05)
             self.assertLessEqual(outcome.find_wait(), 0.05)
 
 
@@ -131,7 +131,7 @@
         for seed in (1, 2):
             outcome = placesimulation.Simulation(load, seed).play()
             self.assertEqual(0.0, outcome.find_refused_share())
-            self.assertLessEqual(outcome.find_queued(), 0.01)
+            self.assertLessEqual(outcome.find_queued_share(), 0.01)
             self.assertLessEqual(outcome.find_wait(), 0.03)
 
     def test_subset_without_runners_refuses_nobody(self) -> None:
