--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -101,7 +101,7 @@
 
 
 @ty.final
-class _Alone:
+class _NoPeers:
     """The peers as a host without any sees them."""
 
     def __init__(self, count: int) -> None:
@@ -243,7 +243,7 @@
             self.known,
             paces or pace.Paces(),
             fitness or health.Health(),
-            _Alone(count),
+            _NoPeers(count),
             self.rng,
         )
 
