--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -118,7 +118,7 @@
 
 
 @ty.final
-class _Known:
+class _KnownHosts:
     """The hosts as one host knows them."""
 
     def __init__(self, play: 'Simulation', host: ids.Host) -> None:
@@ -216,7 +216,7 @@
             lambda: True,
             local.find_hold,
         )
-        hosts = _Known(self, name)
+        hosts = _KnownHosts(self, name)
         found = dispatch.Dispatcher(
             name,
             address,
