--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -28,7 +28,7 @@
 # Seconds within which all hosts start; the earliest and the latest time after
 # its start at which a host has read the list of hosts; and the maximum latency
 # of a message.
-START_SPREAD = 0.3
+START_WINDOW_S = 0.3
 LIST_TIMES = (0.05, 0.4)
 LONGEST_WAY = 0.02
 # Share of the messages to near hosts that are whole states.
@@ -175,7 +175,7 @@
         ]
         for address in self._addresses:
             self.add_event(
-                self.rng.uniform(0, START_SPREAD), 'start', address, None
+                self.rng.uniform(0, START_WINDOW_S), 'start', address, None
             )
 
     def add_event(
