--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -29,7 +29,7 @@
 # its start at which a host has read the list of hosts; and the maximum latency
 # of a message.
 START_WINDOW_S = 0.3
-LIST_TIMES = (0.05, 0.4)
+LIST_READ_RANGE_S = (0.05, 0.4)
 LONGEST_WAY = 0.02
 # Share of the messages to near hosts that are whole states.
 WHOLE_PART = 0.1
@@ -248,7 +248,7 @@
             name, address, others, shared, process, keeper
         )
         self.add_event(
-            now + self.rng.uniform(*LIST_TIMES), 'list', address, None
+            now + self.rng.uniform(*LIST_READ_RANGE_S), 'list', address, None
         )
         for kind in ('near', 'far', 'search'):
             self.add_event(now, kind, address, None)
