--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -30,7 +30,7 @@
 # of a message.
 START_WINDOW_S = 0.3
 LIST_READ_RANGE_S = (0.05, 0.4)
-LONGEST_WAY = 0.02
+MAX_LATENCY_S = 0.02
 # Share of the messages to near hosts that are whole states.
 WHOLE_PART = 0.1
 # Seconds between two checks of a host's pending requests.
@@ -318,7 +318,7 @@
         now: float,
     ) -> None:
         for target in targets:
-            way = self.rng.uniform(0.0005, LONGEST_WAY)
+            way = self.rng.uniform(0.0005, MAX_LATENCY_S)
             self.add_event(now + way, 'state', target, state)
 
     def find_most(self, window_s: float) -> float:
