--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -32,7 +32,7 @@
 LIST_READ_RANGE_S = (0.05, 0.4)
 MAX_LATENCY_S = 0.02
 # Share of the messages to near hosts that are whole states.
-WHOLE_PART = 0.1
+WHOLE_STATE_SHARE = 0.1
 # Seconds between two checks of a host's pending requests.
 TICK_INTERVAL_S = 0.02
 
@@ -293,7 +293,7 @@
         if kind == 'near':
             pause = max(0.01, mesh.SQUARED_PEERS_INTERVAL_S * len(near) ** 2)
             change: object = host.make_change()
-            if self.rng.random() < WHOLE_PART:
+            if self.rng.random() < WHOLE_STATE_SHARE:
                 change = host.make_state(now, mesh.Scope.WHOLE)
             self.send(change, near, now)
         elif kind == 'far':
