--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -49,7 +49,7 @@
     # Draws the units of one request.
     draw_cost: collections.abc.Callable[[random.Random], float]
     # When the first request comes, and the end of the simulation; seconds.
-    begins_at: float = 0.0
+    starts_at: float = 0.0
     seconds: float = 12.0
     # Hosts that are killed, and when.
     killed: tuple[str, ...] = ()
@@ -267,7 +267,7 @@
 
     def find_next(self, now: float) -> float:
         pause = self.rng.expovariate(1 / self.load.interval_s)
-        return max(now, self.load.begins_at) + pause
+        return max(now, self.load.starts_at) + pause
 
     def ask(self, host: Host, now: float) -> None:
         organisation = self.load.organisation
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -53,7 +53,7 @@
         slack=LARGE_SLACK,
         interval_s=LARGE_HOSTS * 3750.0 / (part * LARGE_RATE),
         draw_cost=draw_size,
-        begins_at=12.0,
+        starts_at=12.0,
         seconds=32.0,
     )
 
