--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass
-class Reached:
+class ReachableHosts:
     """The other hosts of one host's mesh, reached by the simulation."""
 
     others: mesh.Mesh
@@ -221,7 +221,7 @@
         shared = allowances.Allowances(self.load.slack, others, now)
         name = ids.Host(f'host-{address.port}')
         process = ids.make_incarnation(name, str(address), now)
-        reached = Reached(
+        reached = ReachableHosts(
             others,
             lambda message, target: self.send(message, [target], self.now),
         )
