--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -221,7 +221,7 @@
         shared = allowances.Allowances(self.load.slack, others, now)
         name = ids.Host(f'host-{address.port}')
         process = ids.make_incarnation(name, str(address), now)
-        reached = ReachableHosts(
+        reachable = ReachableHosts(
             others,
             lambda message, target: self.send(message, [target], self.now),
         )
@@ -231,8 +231,8 @@
             process,
             shared,
             self.load.slack,
-            reached,
-            candidates.Candidates(name, reached),
+            reachable,
+            candidates.Candidates(name, reachable),
             self.find_organisation,
             lambda: False,
             now,
