--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -200,7 +200,7 @@
             elif kind == 'ask':
                 self.ask(host, now)
             elif kind == 'look':
-                self.look(host, item, now)
+                self.poll_answer(host, item, now)
             elif kind == 'tick':
                 host.keeper.tick(now)
                 self.add_event(now + TICK_INTERVAL_S, 'tick', address, None)
@@ -273,10 +273,10 @@
         organisation = self.load.organisation
         cost = self.load.draw_cost(self.rng)
         unit_request = host.keeper.ask(organisation, cost, now)
-        self.look(host, unit_request, now)
+        self.poll_answer(host, unit_request, now)
         self.add_event(self.find_next(now), 'ask', host.address, None)
 
-    def look(self, host: Host, item: object, now: float) -> None:
+    def poll_answer(self, host: Host, item: object, now: float) -> None:
         """Poll for the answer, in place of a waiting task."""
         assert isinstance(item, sharedallowances.UnitRequest)
         if not item.answered.is_set():
