--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -253,7 +253,7 @@
         for kind in ('near', 'far', 'search'):
             self.add_event(now, kind, address, None)
         self.add_event(now, 'tick', address, None)
-        self.add_event(self.find_next(now), 'ask', address, None)
+        self.add_event(self.draw_next_time(now), 'ask', address, None)
 
     def find_organisation(
         self, name: ids.Organisation
@@ -265,7 +265,7 @@
         load = self.load
         return host.name in load.killed and self.now >= load.killed_at
 
-    def find_next(self, now: float) -> float:
+    def draw_next_time(self, now: float) -> float:
         pause = self.rng.expovariate(1 / self.load.interval_s)
         return max(now, self.load.starts_at) + pause
 
@@ -274,7 +274,7 @@
         cost = self.load.draw_cost(self.rng)
         unit_request = host.keeper.ask(organisation, cost, now)
         self.poll_answer(host, unit_request, now)
-        self.add_event(self.find_next(now), 'ask', host.address, None)
+        self.add_event(self.draw_next_time(now), 'ask', host.address, None)
 
     def poll_answer(self, host: Host, item: object, now: float) -> None:
         """Poll for the answer, in place of a waiting task."""
