--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -321,7 +321,7 @@
             way = self.rng.uniform(0.0005, MAX_LATENCY_S)
             self.add_event(now + way, 'state', target, state)
 
-    def find_most(self, window_s: float) -> float:
+    def find_max_units(self, window_s: float) -> float:
         """Return the maximum of units that ran within a window."""
         most = total = 0.0
         first = 0
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -81,7 +81,7 @@
         for seed in (1, 2, 3):
             play = allowancesimulation.Simulation(PRESSING, HOSTS, seed)
             play.play()
-            self.assertLessEqual(play.find_most(WINDOW_S), allowed)
+            self.assertLessEqual(play.find_max_units(WINDOW_S), allowed)
 
     def test_whole_allowance_is_handed_out(self) -> None:
         # Callers that ask for more than the allowance get nine tenths of it
@@ -272,7 +272,7 @@
         allowed = find_allowed(load.organisation, LARGE_SLACK)
         play = allowancesimulation.Simulation(load, LARGE_HOSTS, 3)
         play.play()
-        self.assertLessEqual(play.find_most(WINDOW_S), allowed)
+        self.assertLessEqual(play.find_max_units(WINDOW_S), allowed)
         # The remaining hosts still grant the allowance.
         owed = LARGE_RATE * (load.seconds - 22.0)
         self.assertGreaterEqual(play.count_units(22.0), 0.8 * owed)
@@ -284,4 +284,4 @@
         allowed = find_allowed(load.organisation, LARGE_SLACK)
         play = allowancesimulation.Simulation(load, LARGE_HOSTS, 1)
         play.play()
-        self.assertLessEqual(play.find_most(WINDOW_S), allowed)
+        self.assertLessEqual(play.find_max_units(WINDOW_S), allowed)
