--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -209,7 +209,7 @@
                     host.others.probe_address(known)
                 host.shared.mark_hosts_listed()
             else:
-                self.tell(host, kind, now)
+                self.send_state(host, kind, now)
 
     def start(self, address: addresses.Address, now: float) -> None:
         others = mesh.Mesh(
@@ -287,7 +287,7 @@
         else:
             self.refused += 1
 
-    def tell(self, host: Host, kind: str, now: float) -> None:
+    def send_state(self, host: Host, kind: str, now: float) -> None:
         peers = list(host.others.peers.values())
         near = [peer.address for peer in peers if peer.is_near]
         if kind == 'near':
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -135,7 +135,7 @@
         shared.mark_hosts_listed()
         for number in range(1, 24):
             host = ids.Host(f'host-{number}')
-            self.tell(others, host, 1, 60.0, hosts=24)
+            self.send_state(others, host, 1, 60.0, hosts=24)
         far = [
             host
             for host in sorted(others.peers)
@@ -148,7 +148,7 @@
         for turn in range(1, 120):
             now = 60.0 + turn * 0.05
             if turn % 6 == 0:
-                self.tell(
+                self.send_state(
                     others,
                     far[0],
                     turn,
@@ -158,13 +158,15 @@
                     group_used=used,
                 )
             if is_greeted and turn % 6 == 1:
-                self.tell(others, far[1], turn, now, incarnation=str(turn))
+                self.send_state(
+                    others, far[1], turn, now, incarnation=str(turn)
+                )
             terms = shared.find_terms(organisation, now)
             if shared.grant(organisation, COST, terms, now) is None:
                 units += COST
         return units
 
-    def tell(
+    def send_state(
         self,
         others: mesh.Mesh,
         host: ids.Host,
