--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -89,7 +89,7 @@
     keeper: sharedallowances.SharedAllowances
     number: int = 0
     # Far hosts that have not been sent a state in this round.
-    turn: list[ids.Host] = dataclasses.field(default_factory=list)
+    round_hosts: list[ids.Host] = dataclasses.field(default_factory=list)
 
     def make_state(self, now: float, scope: mesh.Scope) -> messages.HostState:
         self.number += 1
@@ -135,11 +135,13 @@
 
     def choose_far(self) -> list[addresses.Address]:
         peers = self.others.peers
-        if not self.turn:
-            self.turn = [name for name in peers if not peers[name].is_near]
-        if not self.turn or self.turn[-1] not in peers:
+        if not self.round_hosts:
+            self.round_hosts = [
+                name for name in peers if not peers[name].is_near
+            ]
+        if not self.round_hosts or self.round_hosts[-1] not in peers:
             return []
-        return [peers[self.turn.pop()].address]
+        return [peers[self.round_hosts.pop()].address]
 
     def take(self, message: object, now: float) -> None:
         if isinstance(message, allowancemessages.AllowanceRequest):
