--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -86,7 +86,7 @@
     others: mesh.Mesh
     shared: allowances.Allowances
     process: ids.Incarnation
-    keeper: sharedallowances.SharedAllowances
+    shared_allowances: sharedallowances.SharedAllowances
     number: int = 0
     # Far hosts that have not been sent a state in this round.
     round_hosts: list[ids.Host] = dataclasses.field(default_factory=list)
@@ -145,11 +145,11 @@
 
     def take(self, message: object, now: float) -> None:
         if isinstance(message, allowancemessages.AllowanceRequest):
-            self.keeper.handle_request(message, now)
+            self.shared_allowances.handle_request(message, now)
         elif isinstance(message, allowancemessages.AllowanceReply):
-            self.keeper.handle_reply(message, now)
+            self.shared_allowances.handle_reply(message, now)
         elif isinstance(message, allowancemessages.UsageUpdate):
-            self.keeper.handle_usage_update(message, now)
+            self.shared_allowances.handle_usage_update(message, now)
         if isinstance(message, messages.HostChange):
             self.others.handle_change(message, now)
         elif isinstance(message, messages.HostState):
@@ -204,7 +204,7 @@
             elif kind == 'look':
                 self.poll_answer(host, item, now)
             elif kind == 'tick':
-                host.keeper.tick(now)
+                host.shared_allowances.tick(now)
                 self.add_event(now + TICK_INTERVAL_S, 'tick', address, None)
             elif kind == 'list':
                 for known in self.hosts:
@@ -227,7 +227,7 @@
             others,
             lambda message, target: self.send(message, [target], self.now),
         )
-        keeper = sharedallowances.SharedAllowances(
+        shared_allowances = sharedallowances.SharedAllowances(
             name,
             address,
             process,
@@ -243,11 +243,13 @@
         def take_state(state: messages.HostState, now: float) -> None:
             shared.apply_state(state, now)
             is_new = state.hosts == 0
-            keeper.apply_usage(state.incarnation, state.usage, is_new, now)
+            shared_allowances.apply_usage(
+                state.incarnation, state.usage, is_new, now
+            )
 
         others.on_state = take_state
         self.hosts[address] = Host(
-            name, address, others, shared, process, keeper
+            name, address, others, shared, process, shared_allowances
         )
         self.add_event(
             now + self.rng.uniform(*LIST_READ_RANGE_S), 'list', address, None
@@ -274,7 +276,7 @@
     def ask(self, host: Host, now: float) -> None:
         organisation = self.load.organisation
         cost = self.load.draw_cost(self.rng)
-        unit_request = host.keeper.ask(organisation, cost, now)
+        unit_request = host.shared_allowances.ask(organisation, cost, now)
         self.poll_answer(host, unit_request, now)
         self.add_event(self.draw_next_time(now), 'ask', host.address, None)
 
