--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -24,7 +24,7 @@
 COST = 200.0
 # The operators' window, in seconds.
 WINDOW_S = 8.0
-PRESSING = allowancesimulation.Load(
+OVERLOAD = allowancesimulation.Load(
     organisation=gatewayparts.make_organisation(RATE),
     slack=SLACK,
     interval_s=0.2,
@@ -77,9 +77,9 @@
         # several times: 41,400 units ran in 8 s where 21,800 are allowed. Each
         # host took itself for the only one and granted half a burst, and the
         # groups that formed later started with another share each.
-        allowed = find_allowed(PRESSING.organisation, SLACK)
+        allowed = find_allowed(OVERLOAD.organisation, SLACK)
         for seed in (1, 2, 3):
-            play = allowancesimulation.Simulation(PRESSING, HOSTS, seed)
+            play = allowancesimulation.Simulation(OVERLOAD, HOSTS, seed)
             play.play()
             self.assertLessEqual(play.find_max_units(WINDOW_S), allowed)
 
@@ -87,9 +87,9 @@
         # Callers that ask for more than the allowance get nine tenths of it
         # from the fourth second on, with seven hosts and with forty.
         for count in (7, HOSTS):
-            play = allowancesimulation.Simulation(PRESSING, count, 4)
+            play = allowancesimulation.Simulation(OVERLOAD, count, 4)
             play.play()
-            owed = RATE * (PRESSING.seconds - 4.0)
+            owed = RATE * (OVERLOAD.seconds - 4.0)
             self.assertGreaterEqual(play.count_units(4.0), 0.9 * owed)
 
 
@@ -104,7 +104,7 @@
         shared = allowances.Allowances(SLACK, others, 0.0)
         shared.mark_hosts_listed()
         now = 60.0
-        organisation = PRESSING.organisation
+        organisation = OVERLOAD.organisation
         terms = shared.find_terms(organisation, now)
         self.assertIsNone(shared.grant(organisation, COST, terms, now))
         for number in range(1, 30):
@@ -141,7 +141,7 @@
             for host in sorted(others.peers)
             if not others.partition.is_near(host)
         ]
-        organisation = PRESSING.organisation
+        organisation = OVERLOAD.organisation
         asked = {organisation.name: 9 * RATE}
         used = {organisation.name: 0.9 * RATE}
         units = 0.0
@@ -215,7 +215,7 @@
                 host=host, incarnation=f'{host}/1', hints={}, usage={}
             )
             others.handle_state(state, now)
-        organisation = PRESSING.organisation
+        organisation = OVERLOAD.organisation
         terms = shared.find_terms(organisation, now)
         self.assertIsNone(shared.grant(organisation, COST, terms, now))
         board = records.Board()
