--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -122,7 +122,7 @@
 class TestStartsElsewhere(testtools.TestCase):
     """A host of another group starts, and sends a state without usage."""
 
-    def grant_units(self, is_greeted: bool) -> float:
+    def grant_units(self, has_restarts: bool) -> float:
         """Return the units granted in six seconds, of 12,000 and a burst.
 
         The other group is asked for nine times the allowance and uses all but
@@ -157,7 +157,7 @@
                     group_asked=asked,
                     group_used=used,
                 )
-            if is_greeted and turn % 6 == 1:
+            if has_restarts and turn % 6 == 1:
                 self.send_state(
                     others, far[1], turn, now, incarnation=str(turn)
                 )
@@ -193,9 +193,9 @@
         # after a host of another group restarted: its first state to hosts
         # that it does not know yet omits its group's usage, which was taken
         # for no usage.
-        alone = self.grant_units(is_greeted=False)
+        alone = self.grant_units(has_restarts=False)
         self.assertLess(alone, BURST * 2)
-        self.assertLessEqual(self.grant_units(is_greeted=True), alone)
+        self.assertLessEqual(self.grant_units(has_restarts=True), alone)
 
 
 class TestGreeting(testtools.TestCase):
