--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -39,11 +39,11 @@
 LARGE_SLACK = 190000.0
 LARGE_HOSTS = 71
 # Tokens of a request: a mean of 3,800, and one in a hundred above 20,000.
-MEDIAN_TOKENS, TOKENS_SIGMA, SIZE_MOST = 2500.0, 0.9, 53000.0
+MEDIAN_TOKENS, TOKENS_SIGMA, MAX_TOKENS = 2500.0, 0.9, 53000.0
 
 
 def draw_size(rng: random.Random) -> float:
-    return min(SIZE_MOST, MEDIAN_TOKENS * rng.lognormvariate(0, TOKENS_SIGMA))
+    return min(MAX_TOKENS, MEDIAN_TOKENS * rng.lognormvariate(0, TOKENS_SIGMA))
 
 
 def make_large_load(part: float) -> allowancesimulation.Load:
