--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -21,14 +21,14 @@
 RATE = BURST = 2000.0
 # The operators' slack: ten requests.
 SLACK = 2000.0
-COST = 200.0
+COST_UNITS = 200.0
 # The operators' window, in seconds.
 WINDOW_S = 8.0
 OVERLOAD = allowancesimulation.Load(
     organisation=gatewayparts.make_organisation(RATE),
     slack=SLACK,
     interval_s=0.2,
-    draw_cost=lambda rng: COST,
+    draw_cost=lambda rng: COST_UNITS,
 )
 
 # Where host-0 listens.
@@ -106,7 +106,7 @@
         now = 60.0
         organisation = OVERLOAD.organisation
         terms = shared.find_terms(organisation, now)
-        self.assertIsNone(shared.grant(organisation, COST, terms, now))
+        self.assertIsNone(shared.grant(organisation, COST_UNITS, terms, now))
         for number in range(1, 30):
             host = ids.Host(f'host-{number}')
             state = test_foreign_messages.make_state(
@@ -114,7 +114,7 @@
             )
             others.handle_state(state, now)
         self.assertGreater(others.partition.count, 1)
-        shared.give_back(organisation, COST, now)
+        shared.give_back(organisation, COST_UNITS, now)
         used = shared.buckets.usage[organisation.name]
         self.assertEqual(0.0, used)
 
@@ -162,8 +162,8 @@
                     others, far[1], turn, now, incarnation=str(turn)
                 )
             terms = shared.find_terms(organisation, now)
-            if shared.grant(organisation, COST, terms, now) is None:
-                units += COST
+            if shared.grant(organisation, COST_UNITS, terms, now) is None:
+                units += COST_UNITS
         return units
 
     def send_state(
@@ -217,7 +217,7 @@
             others.handle_state(state, now)
         organisation = OVERLOAD.organisation
         terms = shared.find_terms(organisation, now)
-        self.assertIsNone(shared.grant(organisation, COST, terms, now))
+        self.assertIsNone(shared.grant(organisation, COST_UNITS, terms, now))
         board = records.Board()
         bounds = dict.fromkeys(records.TOPICS, 1.0)
         schedule = scheduler.Scheduler(
