--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -20,13 +20,13 @@
 HOSTS = 40
 RATE = BURST = 2000.0
 # The operators' slack: ten requests.
-SLACK = 2000.0
+SLACK_UNITS = 2000.0
 COST_UNITS = 200.0
 # The operators' window, in seconds.
 WINDOW_S = 8.0
 OVERLOAD = allowancesimulation.Load(
     organisation=gatewayparts.make_organisation(RATE),
-    slack=SLACK,
+    slack=SLACK_UNITS,
     interval_s=0.2,
     draw_cost=lambda rng: COST_UNITS,
 )
@@ -77,7 +77,7 @@
         # several times: 41,400 units ran in 8 s where 21,800 are allowed. Each
         # host took itself for the only one and granted half a burst, and the
         # groups that formed later started with another share each.
-        allowed = find_allowed(OVERLOAD.organisation, SLACK)
+        allowed = find_allowed(OVERLOAD.organisation, SLACK_UNITS)
         for seed in (1, 2, 3):
             play = allowancesimulation.Simulation(OVERLOAD, HOSTS, seed)
             play.play()
@@ -101,7 +101,7 @@
         # were taken while all hosts were one group, and are given back after a
         # second group was heard, to a group bucket that does not exist yet.
         others = make_mesh()
-        shared = allowances.Allowances(SLACK, others, 0.0)
+        shared = allowances.Allowances(SLACK_UNITS, others, 0.0)
         shared.mark_hosts_listed()
         now = 60.0
         organisation = OVERLOAD.organisation
@@ -130,7 +130,7 @@
         Another one restarts repeatedly, and sends its first state.
         """
         others = make_mesh()
-        shared = allowances.Allowances(SLACK, others, 0.0)
+        shared = allowances.Allowances(SLACK_UNITS, others, 0.0)
         others.on_state = shared.apply_state
         shared.mark_hosts_listed()
         for number in range(1, 24):
@@ -207,7 +207,7 @@
         # organisation that uses nothing from one that is not named.
         now = clocks.read_monotonic()
         others = make_mesh()
-        shared = allowances.Allowances(SLACK, others, now - 100.0)
+        shared = allowances.Allowances(SLACK_UNITS, others, now - 100.0)
         shared.mark_hosts_listed()
         for number in range(1, 24):
             host = ids.Host(f'host-{number}')
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -4,18 +4,19 @@
 
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import sharedallowances
 import gatewayparts
+from apricotlanding import addresses, ids
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    allowances,
+    candidates,
+    mesh,
+    messages,
+    sharedallowances,
+)
 
 FESTIN = gatewayparts.make_organisation(1000.0)
-SLACK = 0.0
+SLACK_UNITS = 0.0
 # A time long after the start of the hosts.
 NOW = 100.0
 
@@ -63,14 +64,14 @@
         address = self.hosts.find_address(host)
         assert address is not None
         others = mesh.Mesh(host, address, (), random.Random(1))
-        own = allowances.Allowances(SLACK, others, 0.0)
+        own = allowances.Allowances(SLACK_UNITS, others, 0.0)
         own.mark_hosts_listed()
         return sharedallowances.SharedAllowances(
             host,
             address,
             ids.Incarnation(f'{host}/1'),
             own,
-            SLACK,
+            SLACK_UNITS,
             self.hosts,
             candidates.Candidates(host, self.hosts),
             lambda name: FESTIN if name == FESTIN.name else None,
