--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -198,7 +198,7 @@
         self.assertLessEqual(self.grant_units(has_restarts=True), alone)
 
 
-class TestGreeting(testtools.TestCase):
+class TestFirstState(testtools.TestCase):
     """The first state that a host sends to one that it never heard."""
 
     def test_greeting_says_what_the_group_uses(self) -> None:
