--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -201,7 +201,7 @@
 class TestFirstState(testtools.TestCase):
     """The first state that a host sends to one that it never heard."""
 
-    def test_greeting_says_what_the_group_uses(self) -> None:
+    def test_first_state_reports_group_usage(self) -> None:
         # As above, for a host that knows what its group uses. The receiver may
         # be of its own group or of another one, and cannot tell an
         # organisation that uses nothing from one that is not named.
