--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -188,7 +188,7 @@
         )
         others.handle_state(state, now)
 
-    def test_what_a_group_uses_is_not_forgotten(self) -> None:
+    def test_group_usage_is_kept_after_a_restart(self) -> None:
         # Guards against an organisation that runs more than its allowance
         # after a host of another group restarted: its first state to hosts
         # that it does not know yet omits its group's usage, which was taken
