--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -72,7 +72,7 @@
 class TestColdStart(testtools.TestCase):
     """An organisation asks each of forty hosts for many times its share."""
 
-    def test_burst_is_handed_out_once(self) -> None:
+    def test_burst_is_granted_once(self) -> None:
         # Guards against hosts that are started together and grant a burst
         # several times: 41,400 units ran in 8 s where 21,800 are allowed. Each
         # host took itself for the only one and granted half a burst, and the
