--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -83,7 +83,7 @@
             play.play()
             self.assertLessEqual(play.find_max_units(WINDOW_S), allowed)
 
-    def test_whole_allowance_is_handed_out(self) -> None:
+    def test_whole_allowance_is_granted(self) -> None:
         # Callers that ask for more than the allowance get nine tenths of it
         # from the fourth second on, with seven hosts and with forty.
         for count in (7, HOSTS):
