--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -263,7 +263,7 @@
             asked = len(play.runs) + play.refused
             self.assertLessEqual(play.refused, 0.02 * asked)
 
-    def test_bound_is_kept_while_the_keeping_host_is_lost(self) -> None:
+    def test_bound_holds_when_the_coordinator_is_lost(self) -> None:
         # Guards against hosts that grant an allowance again because its
         # coordinator was killed.
         load = make_large_load(5.0)
