--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -279,7 +279,7 @@
         owed = LARGE_RATE * (load.seconds - 22.0)
         self.assertGreaterEqual(play.count_units(22.0), 0.8 * owed)
 
-    def test_pressing_organisation_keeps_the_bound(self) -> None:
+    def test_bound_holds_under_overload(self) -> None:
         # Five times the allowance is asked for at once, in all groups, and no
         # more than the operators' bound runs.
         load = make_large_load(5.0)
