--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -6,19 +6,13 @@
 import anyio
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import clocks
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import groupuses
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import groups
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotstandins import processes
 import gatewayparts
 import test_foreign_messages
+from apricotlanding import addresses, clocks, ids
+from apricotlandingd.gateway import dialect
+from apricotlandingd.gateway.decisions import groupuses, quotas, waiting
+from apricotlandingd.gateway.hosts import groups, mesh, messages
+from apricotstandins import processes
 
 HOSTS = [ids.Host(f'host-{number}') for number in range(61)]
 FESTIN = gatewayparts.make_organisation(1000.0)
@@ -70,7 +64,7 @@
         ]
         self.assertLessEqual(len(moved), 4)
 
-    def test_lonely_host_uses_its_share_of_each_runner(self) -> None:
+    def test_isolated_host_uses_its_share_of_each_runner(self) -> None:
         # Guards against a host that reaches no coordinator and overloads
         # runners, or leaves some of them unused.
         found = groups.Partition(5, 2)
