--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -101,7 +101,7 @@
         part = groupuses.GroupUses().find_part(FESTIN, 5000.0, 4)
         self.assertEqual(0.25, part)
 
-    def test_groups_together_hand_out_the_allowance_once(self) -> None:
+    def test_groups_together_grant_the_allowance_once(self) -> None:
         # Guards against an organisation that gets four bursts at once, because
         # each group has a bucket of its own and hears of the others' use a
         # third of a second later.
