--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -89,7 +89,7 @@
             self.assertLessEqual(outcome.find_queued_share(), 0.005)
             self.assertLessEqual(outcome.find_mean_wait(), 0.02)
 
-    def test_overload_waits_here_and_not_at_runners(self) -> None:
+    def test_overload_queues_at_hosts_and_not_at_runners(self) -> None:
         # Guards against requests that queue at runners, where they cannot be
         # reordered: at 1.5 times the runners' capacity, a third is refused.
         for seed in (1, 2, 3):
