--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -106,7 +106,7 @@
         self.assertLessEqual(outcome.refused[1], outcome.refused[2])
         self.assertLessEqual(outcome.refused[1], 0.25 * asked)
 
-    def test_lost_messages_are_made_good(self) -> None:
+    def test_lost_messages_are_resent(self) -> None:
         for seed in (2, 3, 5):
             outcome = self.play(seed, part=0.8, loss_share=0.1)
             self.assertLessEqual(outcome.find_refused_share(), 0.002)
