--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -149,7 +149,7 @@
         outcome = play.play()
         self.assertLessEqual(outcome.find_refused_share(), 0.01)
 
-    def test_crashed_runner_is_found_out_once_for_all_hosts(self) -> None:
+    def test_crashed_runner_is_detected_once_for_all_hosts(self) -> None:
         # Guards against each of many hosts trying a crashed runner for itself:
         # it always has free places.
         load = placesimulation.Load(
