--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -252,7 +252,7 @@
         )
         return placesimulation.Simulation(load, seed)
 
-    def test_killed_coordinator_is_replaced_in_a_moment(self) -> None:
+    def test_killed_coordinator_is_replaced_quickly(self) -> None:
         for seed in (1, 2):
             play = self.make_simulation(seed)
             victim = play.hosts[find_coordinator(play)]
