--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -268,7 +268,7 @@
             )
             self.assertLessEqual(outcome.find_mean_wait(), 0.03)
 
-    def test_host_that_reaches_nobody_goes_on_alone(self) -> None:
+    def test_host_without_coordinators_decides_locally(self) -> None:
         # Guards against callers that wait for unreachable coordinators.
         play = self.make_simulation(3)
         alone = play.hosts[ids.Host('host-7')]
