--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -281,7 +281,7 @@
         self.assertLessEqual(outcome.find_refused_share(), 0.002)
         self.assertLessEqual(outcome.max_waited_s, 0.6)
 
-    def test_places_held_before_the_cut_count_alone(self) -> None:
+    def test_places_held_before_a_partition_count_locally(self) -> None:
         # Guards against a host that overloads a runner after it loses its
         # coordinators, because it forgets the places that it holds.
         load = placesimulation.Load(
