--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -310,7 +310,7 @@
             )
         self.assertEqual(0, sum(host.local.places.running.values()))
 
-    def test_halves_that_are_cut_apart_both_go_on(self) -> None:
+    def test_both_halves_of_a_partition_serve_callers(self) -> None:
         play = self.make_simulation(4)
         names = list(play.hosts)
         halves = set(names[::2]), set(names[1::2])
