--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -98,7 +98,7 @@
                 self.asker.handle_usage_update(message, now)
 
 
-class TestKeptAllowance(testtools.TestCase):
+class TestSharedAllowance(testtools.TestCase):
     """One organisation's allowance, coordinated by one of two hosts."""
 
     def setUp(self) -> None:
