--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -315,12 +315,12 @@
             now += 0.1
             message = self.decode(data)
             if isinstance(message, allowancemessages.AllowanceRequest):
-                play.keeper.handle_request(message, now)
+                play.grantor.handle_request(message, now)
             elif isinstance(message, allowancemessages.AllowanceReply):
-                play.keeper.handle_reply(message, now)
+                play.grantor.handle_reply(message, now)
             elif isinstance(message, allowancemessages.UsageUpdate):
-                play.keeper.handle_usage_update(message, now)
-        play.keeper.tick(now)
+                play.grantor.handle_usage_update(message, now)
+        play.grantor.tick(now)
         for sent in play.hosts.take_sent():
             if isinstance(sent, allowancemessages.AllowanceReply):
                 self.assertTrue(0 <= sent.wait_s < math.inf)
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -57,7 +57,7 @@
         self.keeper_name, self.asker_name = candidates.rank_hosts(name, names)
         self.hosts = Hosts(names)
         self.is_stopping = False
-        self.keeper = self.make(self.keeper_name)
+        self.grantor = self.make(self.keeper_name)
         self.asker = self.make(self.asker_name)
 
     def make(self, host: ids.Host) -> sharedallowances.SharedAllowances:
@@ -82,7 +82,7 @@
     def pass_messages(self, now: float) -> None:
         for message in self.hosts.take_sent():
             if isinstance(message, allowancemessages.AllowanceRequest):
-                self.keeper.handle_request(message, now)
+                self.grantor.handle_request(message, now)
             elif isinstance(message, allowancemessages.AllowanceReply):
                 self.asker.handle_reply(message, now)
 
@@ -163,10 +163,10 @@
         # Guards against an allowance that is granted again because its
         # coordinator was lost.
         now = NOW
-        self.pair.keeper.tick(now)
+        self.pair.grantor.tick(now)
         self.pair.tell_news(now)
         self.assertIsNone(self.pair.ask(1000.0, now).wait_s)
-        self.pair.keeper.tick(
+        self.pair.grantor.tick(
             now + sharedallowances.USAGE_UPDATE_INTERVAL_S + 0.01
         )
         self.pair.tell_news(now)
