--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -58,7 +58,7 @@
         self.hosts = Hosts(names)
         self.is_stopping = False
         self.grantor = self.make(self.grantor_name)
-        self.asker = self.make(self.asker_name)
+        self.requester = self.make(self.asker_name)
 
     def make(self, host: ids.Host) -> sharedallowances.SharedAllowances:
         address = self.hosts.find_address(host)
@@ -84,10 +84,10 @@
             if isinstance(message, allowancemessages.AllowanceRequest):
                 self.grantor.handle_request(message, now)
             elif isinstance(message, allowancemessages.AllowanceReply):
-                self.asker.handle_reply(message, now)
+                self.requester.handle_reply(message, now)
 
     def ask(self, cost: float, now: float) -> sharedallowances.UnitRequest:
-        unit_request = self.asker.ask(FESTIN, cost, now)
+        unit_request = self.requester.ask(FESTIN, cost, now)
         self.pass_messages(now)
         self.pass_messages(now)
         return unit_request
@@ -95,7 +95,7 @@
     def tell_news(self, now: float) -> None:
         for message in self.hosts.take_sent():
             if isinstance(message, allowancemessages.UsageUpdate):
-                self.asker.handle_usage_update(message, now)
+                self.requester.handle_usage_update(message, now)
 
 
 class TestSharedAllowance(testtools.TestCase):
@@ -114,10 +114,10 @@
     def test_lost_reply_costs_nothing(self) -> None:
         # Guards against an organisation that is charged twice for one request
         # because the first reply was lost.
-        unit_request = self.pair.asker.ask(FESTIN, 600.0, NOW)
+        unit_request = self.pair.requester.ask(FESTIN, 600.0, NOW)
         self.pair.pass_messages(NOW)
         self.pair.hosts.take_sent()
-        self.pair.asker.tick(NOW + candidates.RESEND_INTERVAL_S + 0.01)
+        self.pair.requester.tick(NOW + candidates.RESEND_INTERVAL_S + 0.01)
         self.pair.pass_messages(NOW)
         self.pair.pass_messages(NOW)
         self.assertTrue(unit_request.answered.is_set())
@@ -126,7 +126,7 @@
 
     def test_returned_units_are_there_again(self) -> None:
         unit_request = self.pair.ask(1000.0, NOW)
-        self.pair.asker.give_back(unit_request, NOW)
+        self.pair.requester.give_back(unit_request, NOW)
         self.pair.pass_messages(NOW)
         self.assertIsNone(self.pair.ask(1000.0, NOW).wait_s)
 
@@ -134,16 +134,16 @@
         # Guards against an allowance that grows with each refusal.
         self.pair.ask(1000.0, NOW)
         refused = self.pair.ask(1000.0, NOW)
-        self.pair.asker.give_back(refused, NOW)
+        self.pair.requester.give_back(refused, NOW)
         self.pair.pass_messages(NOW)
         self.assertIsNotNone(self.pair.ask(1000.0, NOW).wait_s)
 
     def test_return_that_overtakes_its_question_is_worth_nothing(self) -> None:
         # Guards against units that are returned and then granted to a caller
         # that has left, or returned without having been granted.
-        unit_request = self.pair.asker.ask(FESTIN, 1000.0, NOW)
+        unit_request = self.pair.requester.ask(FESTIN, 1000.0, NOW)
         asked = self.pair.hosts.take_sent()
-        self.pair.asker.give_back(unit_request, NOW)
+        self.pair.requester.give_back(unit_request, NOW)
         self.pair.pass_messages(NOW)
         self.pair.hosts.sent = asked
         self.pair.pass_messages(NOW)
@@ -152,9 +152,9 @@
 
     def test_silent_keeper_is_passed_over(self) -> None:
         # Guards against callers that wait for a host that has ended.
-        unit_request = self.pair.asker.ask(FESTIN, 100.0, NOW)
+        unit_request = self.pair.requester.ask(FESTIN, 100.0, NOW)
         self.pair.hosts.take_sent()
-        self.pair.asker.tick(NOW + candidates.REPLY_TIMEOUT_S + 0.01)
+        self.pair.requester.tick(NOW + candidates.REPLY_TIMEOUT_S + 0.01)
         # The next in the order is the asking host itself.
         self.assertTrue(unit_request.answered.is_set())
         self.assertIsNone(unit_request.wait_s)
@@ -170,15 +170,15 @@
             now + sharedallowances.USAGE_UPDATE_INTERVAL_S + 0.01
         )
         self.pair.tell_news(now)
-        unit_request = self.pair.asker.ask(FESTIN, 1000.0, now)
+        unit_request = self.pair.requester.ask(FESTIN, 1000.0, now)
         self.pair.hosts.take_sent()
-        self.pair.asker.tick(now + candidates.REPLY_TIMEOUT_S + 0.01)
+        self.pair.requester.tick(now + candidates.REPLY_TIMEOUT_S + 0.01)
         self.assertTrue(unit_request.answered.is_set())
         self.assertIsNotNone(unit_request.wait_s)
 
     def test_keeper_that_stops_is_left(self) -> None:
         self.pair.is_stopping = True
         self.pair.ask(100.0, NOW)
-        unit_request = self.pair.asker.ask(FESTIN, 100.0, NOW)
+        unit_request = self.pair.requester.ask(FESTIN, 100.0, NOW)
         # Answered by the next in the order, at once.
         self.assertTrue(unit_request.answered.is_set())
