--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -54,11 +54,13 @@
     def __init__(self) -> None:
         names = [ids.Host('host-1'), ids.Host('host-2')]
         name = f'allowance/{FESTIN.name}'
-        self.grantor_name, self.asker_name = candidates.rank_hosts(name, names)
+        self.grantor_name, self.requester_name = candidates.rank_hosts(
+            name, names
+        )
         self.hosts = Hosts(names)
         self.is_stopping = False
         self.grantor = self.make(self.grantor_name)
-        self.requester = self.make(self.asker_name)
+        self.requester = self.make(self.requester_name)
 
     def make(self, host: ids.Host) -> sharedallowances.SharedAllowances:
         address = self.hosts.find_address(host)
