--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -94,7 +94,7 @@
         self.pass_messages(now)
         return unit_request
 
-    def tell_news(self, now: float) -> None:
+    def pass_updates(self, now: float) -> None:
         for message in self.hosts.take_sent():
             if isinstance(message, allowancemessages.UsageUpdate):
                 self.requester.handle_usage_update(message, now)
@@ -166,12 +166,12 @@
         # coordinator was lost.
         now = NOW
         self.pair.grantor.tick(now)
-        self.pair.tell_news(now)
+        self.pair.pass_updates(now)
         self.assertIsNone(self.pair.ask(1000.0, now).wait_s)
         self.pair.grantor.tick(
             now + sharedallowances.USAGE_UPDATE_INTERVAL_S + 0.01
         )
-        self.pair.tell_news(now)
+        self.pair.pass_updates(now)
         unit_request = self.pair.requester.ask(FESTIN, 1000.0, now)
         self.pair.hosts.take_sent()
         self.pair.requester.tick(now + candidates.REPLY_TIMEOUT_S + 0.01)
