--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -107,7 +107,7 @@
         super().setUp()
         self.pair = Pair()
 
-    def test_units_are_handed_out_once(self) -> None:
+    def test_units_are_granted_once(self) -> None:
         self.assertIsNone(self.pair.ask(1000.0, NOW).wait_s)
         refused = self.pair.ask(1000.0, NOW)
         assert refused.wait_s is not None
