--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -140,7 +140,7 @@
         self.pair.pass_messages(NOW)
         self.assertIsNotNone(self.pair.ask(1000.0, NOW).wait_s)
 
-    def test_return_that_overtakes_its_question_is_worth_nothing(self) -> None:
+    def test_return_before_its_request_refunds_nothing(self) -> None:
         # Guards against units that are returned and then granted to a caller
         # that has left, or returned without having been granted.
         unit_request = self.pair.requester.ask(FESTIN, 1000.0, NOW)
