--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -152,7 +152,7 @@
         self.assertIsNone(self.pair.ask(1000.0, NOW).wait_s)
         self.assertIsNotNone(self.pair.ask(1000.0, NOW).wait_s)
 
-    def test_silent_keeper_is_passed_over(self) -> None:
+    def test_silent_coordinator_is_skipped(self) -> None:
         # Guards against callers that wait for a host that has ended.
         unit_request = self.pair.requester.ask(FESTIN, 100.0, NOW)
         self.pair.hosts.take_sent()
