--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -161,7 +161,7 @@
         self.assertTrue(unit_request.answered.is_set())
         self.assertIsNone(unit_request.wait_s)
 
-    def test_next_keeper_knows_what_was_handed_out(self) -> None:
+    def test_next_coordinator_knows_granted_units(self) -> None:
         # Guards against an allowance that is granted again because its
         # coordinator was lost.
         now = NOW
