--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -178,7 +178,7 @@
         self.assertTrue(unit_request.answered.is_set())
         self.assertIsNotNone(unit_request.wait_s)
 
-    def test_keeper_that_stops_is_left(self) -> None:
+    def test_stopping_coordinator_is_skipped(self) -> None:
         self.pair.is_stopping = True
         self.pair.ask(100.0, NOW)
         unit_request = self.pair.requester.ask(FESTIN, 100.0, NOW)
