--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -10,20 +10,15 @@
 import msgpack
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import addresses, errors, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.replication import recordexchange
-from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.hosts import mesh, messages
+from apricotlandingd.gateway.replication import recordexchange, records
 from apricotstandins import processes
 
-
 # Timeout of each wait; long enough for a busy machine.
-PATIENCE = 10.0
+WAIT_TIMEOUT_S = 10.0
 # Seconds within which a peer must send its records.
 FETCH_S = 2.0
 
@@ -205,7 +200,7 @@
                 ):
                     sender.sendto(data, ('127.0.0.1', port))
                 number = 0
-                with anyio.fail_after(PATIENCE):
+                with anyio.fail_after(WAIT_TIMEOUT_S):
                     while not found.peers:
                         number += 1
                         sender.sendto(
@@ -275,7 +270,7 @@
                 for data in BAD_QUERIES:
                     await self.ask(place, data)
                 board = records.Board()
-                with anyio.fail_after(PATIENCE):
+                with anyio.fail_after(WAIT_TIMEOUT_S):
                     asker = recordexchange.RecordExchange(board)
                     self.assertTrue(await asker.fetch(place, FETCH_S))
                 self.assertEqual(1, board.positions[dialect.RUNNERS])
@@ -287,7 +282,7 @@
         async with await anyio.connect_tcp(place.host, place.port) as stream:
             await stream.send(data)
             await stream.send_eof()
-            with anyio.fail_after(PATIENCE):
+            with anyio.fail_after(WAIT_TIMEOUT_S):
                 try:
                     while True:
                         await stream.receive()
@@ -318,7 +313,7 @@
         place = addresses.Address('127.0.0.1', port)
         async with listener, anyio.create_task_group() as group:
             group.start_soon(listener.serve, reply)
-            with anyio.fail_after(PATIENCE):
+            with anyio.fail_after(WAIT_TIMEOUT_S):
                 is_taken = await asker.fetch(place, FETCH_S)
             group.cancel_scope.cancel()
         return is_taken
