--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -20,7 +20,7 @@
 # Timeout of each wait; long enough for a busy machine.
 WAIT_TIMEOUT_S = 10.0
 # Seconds within which a peer must send its records.
-FETCH_S = 2.0
+FETCH_TIMEOUT_S = 2.0
 
 
 def make_state(**changes: ty.Any) -> messages.HostState:
@@ -272,7 +272,7 @@
                 board = records.Board()
                 with anyio.fail_after(WAIT_TIMEOUT_S):
                     asker = recordexchange.RecordExchange(board)
-                    self.assertTrue(await asker.fetch(place, FETCH_S))
+                    self.assertTrue(await asker.fetch(place, FETCH_TIMEOUT_S))
                 self.assertEqual(1, board.positions[dialect.RUNNERS])
                 group.cancel_scope.cancel()
 
@@ -314,6 +314,6 @@
         async with listener, anyio.create_task_group() as group:
             group.start_soon(listener.serve, reply)
             with anyio.fail_after(WAIT_TIMEOUT_S):
-                is_taken = await asker.fetch(place, FETCH_S)
+                is_taken = await asker.fetch(place, FETCH_TIMEOUT_S)
             group.cancel_scope.cancel()
         return is_taken
