--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -183,7 +183,7 @@
         # a map with a list as a key. For up to five seconds the host would
         # neither hear others nor send, so callers would be refused and
         # allowances granted twice.
-        async def scene() -> None:
+        async def scenario() -> None:
             port = processes.find_port()
             found = self.make_mesh(port)
             sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -211,7 +211,7 @@
                 self.assertEqual(2, found.count_running(ids.RunnerStart('r1')))
                 group.cancel_scope.cancel()
 
-        anyio.run(scene)
+        anyio.run(scenario)
 
 
 def frame(data: bytes) -> bytes:
@@ -260,7 +260,7 @@
         # for the records of three topics, and accepts no connections for up to
         # five seconds. A host that cannot read the store would then stay
         # behind the others.
-        async def scene() -> None:
+        async def scenario() -> None:
             found = self.make_exchange()
             listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
@@ -276,7 +276,7 @@
                 self.assertEqual(1, board.positions[dialect.RUNNERS])
                 group.cancel_scope.cancel()
 
-        anyio.run(scene)
+        anyio.run(scenario)
 
     async def ask(self, place: addresses.Address, data: bytes) -> None:
         async with await anyio.connect_tcp(place.host, place.port) as stream:
