--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -255,7 +255,7 @@
         board.apply(dialect.RUNNERS, batch, is_whole=False)
         return recordexchange.RecordExchange(board)
 
-    def test_a_bad_question_does_not_end_the_listener(self) -> None:
+    def test_a_bad_query_does_not_end_the_listener(self) -> None:
         # Guards against a listener that ends on a malformed query, such as one
         # for the records of three topics, and accepts no connections for up to
         # five seconds. A host that cannot read the store would then stay
