--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -289,7 +289,7 @@
                 except (anyio.EndOfStream, anyio.BrokenResourceError):
                     return
 
-    def test_a_bad_reply_is_no_answer(self) -> None:
+    def test_a_bad_reply_is_ignored(self) -> None:
         # Guards against a fetch task that ends on a reply of another message
         # type, and is down for up to five seconds: the host would not learn of
         # a new configuration.
