--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -17,20 +17,21 @@
 
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
-from apricotlandingd.gateway.runners import starts
+from apricotlanding import addresses, ids
+from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
+from apricotlandingd.gateway.hosts import (
+    candidates,
+    coordinator,
+    messages,
+    placemessages,
+)
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    observations,
+    pace,
+    starts,
+)
 
 __all__ = ['Dispatcher']
 
@@ -80,7 +81,7 @@
     free: int = 0
     heard_at: float | None = None
     # Consecutive coordinators that did not reply.
-    silent: int = 0
+    silent_hosts: int = 0
 
 
 @ty.final
@@ -232,7 +233,7 @@
         if reply.host != link.target:
             # It was skipped; another coordinator has all requests by now.
             return
-        link.free, link.heard_at, link.silent = reply.free, now, 0
+        link.free, link.heard_at, link.silent_hosts = reply.free, now, 0
         if reply.answers >= link.awaited_number:
             link.unanswered_at = None
         elif link.unanswered_at is not None:
@@ -286,7 +287,7 @@
             return
         if all(
             subset not in self._links
-            or self._links[subset].silent >= candidates.MAX_SILENT_HOSTS
+            or self._links[subset].silent_hosts >= candidates.MAX_SILENT_HOSTS
             for subset in item.asked
         ):
             item.is_local = True
@@ -311,7 +312,7 @@
             return
         if link.unanswered_at is not None:
             if now - link.unanswered_at > candidates.REPLY_TIMEOUT_S:
-                link.silent += 1
+                link.silent_hosts += 1
                 self._candidates.mark_silent(link.target, now)
                 self._retarget(link, now)
             elif now - link.sent_at > candidates.RESEND_INTERVAL_S:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -20,14 +20,15 @@
 
 import anyio
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    allowances,
+    candidates,
+    messages,
+)
 
 __all__ = ['SharedAllowances', 'UnitRequest']
 
@@ -54,7 +55,7 @@
     asked_at: float | None = None
     sent_at: float = 0.0
     # Consecutive hosts that did not reply.
-    silent: int = 0
+    silent_hosts: int = 0
     # Seconds until there are enough; None if they were granted.
     wait_s: float | None = None
     # Granted by this host, as the coordinator or by its own copy.
@@ -173,7 +174,7 @@
             asked_at = unit_request.asked_at or now
             if now - asked_at > candidates.REPLY_TIMEOUT_S:
                 self._candidates.mark_silent(unit_request.target, now)
-                unit_request.silent += 1
+                unit_request.silent_hosts += 1
                 unit_request.asked_at = None
                 self._send(unit_request, now)
             elif now - unit_request.sent_at > candidates.RESEND_INTERVAL_S:
@@ -300,7 +301,7 @@
     # Requests to coordinators.
 
     def _send(self, unit_request: UnitRequest, now: float) -> None:
-        if unit_request.silent >= candidates.MAX_SILENT_HOSTS:
+        if unit_request.silent_hosts >= candidates.MAX_SILENT_HOSTS:
             self._decide_locally(unit_request, now)
             return
         if unit_request.asked_at is None:
