--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -4,16 +4,15 @@
 
 import testtools
 
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlandingd.gateway.hosts import allowancemessages
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import sharedallowances
 import gatewayparts
-from apricotlanding import addresses, ids
-from apricotlandingd.gateway.hosts import (
-    allowancemessages,
-    allowances,
-    candidates,
-    mesh,
-    messages,
-    sharedallowances,
-)
 
 FESTIN = gatewayparts.make_organisation(1000.0)
 SLACK_UNITS = 0.0
