--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -186,7 +186,7 @@
             self._events, (at, next(self._order), kind, address, item)
         )
 
-    def play(self) -> None:
+    def simulate(self) -> None:
         while self._events[0][0] < self.load.seconds:
             now, _, kind, address, item = heapq.heappop(self._events)
             self.now = now
--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -119,8 +119,8 @@
 class _KnownHosts:
     """The hosts as one host knows them."""
 
-    def __init__(self, play: 'Simulation', host: ids.Host) -> None:
-        self._simulation = play
+    def __init__(self, simulation: 'Simulation', host: ids.Host) -> None:
+        self._simulation = simulation
         self._host = host
         self.changes = 0
 
@@ -254,7 +254,7 @@
             self._events, (self.now + after, next(self._order), event)
         )
 
-    def play(self) -> Outcome:
+    def simulate(self) -> Outcome:
         """Run to the end; return the outcome."""
         while self._events and self._events[0][0] < self.load.seconds:
             self.now, _, event = heapq.heappop(self._events)
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -258,7 +258,7 @@
         reply = self.decode(data.draw(write_spoiled(good)))
         if isinstance(reply, placemessages.PlaceReply):
             host.dispatcher.handle_reply(reply, 0.1)
-        play.play()
+        play.simulate()
         # Whatever was said, the request is decided in the end.
         self.assertIsNotNone(ticket.decision)
 
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -86,18 +86,18 @@
         # groups that formed later started with another share each.
         allowed = find_allowed(OVERLOAD.organisation, SLACK_UNITS)
         for seed in (1, 2, 3):
-            play = allowancesimulation.Simulation(OVERLOAD, HOSTS, seed)
-            play.play()
-            self.assertLessEqual(play.find_max_units(WINDOW_S), allowed)
+            simulation = allowancesimulation.Simulation(OVERLOAD, HOSTS, seed)
+            simulation.simulate()
+            self.assertLessEqual(simulation.find_max_units(WINDOW_S), allowed)
 
     def test_whole_allowance_is_granted(self) -> None:
         # Callers that ask for more than the allowance get nine tenths of it
         # from the fourth second on, with seven hosts and with forty.
         for count in (7, HOSTS):
-            play = allowancesimulation.Simulation(OVERLOAD, count, 4)
-            play.play()
+            simulation = allowancesimulation.Simulation(OVERLOAD, count, 4)
+            simulation.simulate()
             owed = RATE * (OVERLOAD.seconds - 4.0)
-            self.assertGreaterEqual(play.count_units(4.0), 0.9 * owed)
+            self.assertGreaterEqual(simulation.count_units(4.0), 0.9 * owed)
 
 
 class TestFormingGroups(testtools.TestCase):
@@ -263,12 +263,12 @@
         # large requests, and the shares followed each request. A single host
         # refuses almost none; seventy-one hosts may refuse two in a hundred.
         for seed in (1, 2):
-            play = allowancesimulation.Simulation(
+            simulation = allowancesimulation.Simulation(
                 make_large_load(0.55), LARGE_HOSTS, seed
             )
-            play.play()
-            asked = len(play.runs) + play.refused
-            self.assertLessEqual(play.refused, 0.02 * asked)
+            simulation.simulate()
+            asked = len(simulation.runs) + simulation.refused
+            self.assertLessEqual(simulation.refused, 0.02 * asked)
 
     def test_bound_holds_when_the_coordinator_is_lost(self) -> None:
         # Guards against hosts that grant an allowance again because its
@@ -279,18 +279,18 @@
         load.killed = tuple(candidates.rank_hosts(name, hosts)[:2])
         load.killed_at = 20.0
         allowed = find_allowed(load.organisation, LARGE_SLACK)
-        play = allowancesimulation.Simulation(load, LARGE_HOSTS, 3)
-        play.play()
-        self.assertLessEqual(play.find_max_units(WINDOW_S), allowed)
+        simulation = allowancesimulation.Simulation(load, LARGE_HOSTS, 3)
+        simulation.simulate()
+        self.assertLessEqual(simulation.find_max_units(WINDOW_S), allowed)
         # The remaining hosts still grant the allowance.
         owed = LARGE_RATE * (load.seconds - 22.0)
-        self.assertGreaterEqual(play.count_units(22.0), 0.8 * owed)
+        self.assertGreaterEqual(simulation.count_units(22.0), 0.8 * owed)
 
     def test_bound_holds_under_overload(self) -> None:
         # Five times the allowance is asked for at once, in all groups, and no
         # more than the operators' bound runs.
         load = make_large_load(5.0)
         allowed = find_allowed(load.organisation, LARGE_SLACK)
-        play = allowancesimulation.Simulation(load, LARGE_HOSTS, 1)
-        play.play()
-        self.assertLessEqual(play.find_max_units(WINDOW_S), allowed)
+        simulation = allowancesimulation.Simulation(load, LARGE_HOSTS, 1)
+        simulation.simulate()
+        self.assertLessEqual(simulation.find_max_units(WINDOW_S), allowed)
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -23,10 +23,10 @@
 HOSTS, RUNNERS = 60, 24
 
 
-def find_coordinator(play: placesimulation.Simulation) -> ids.Host:
+def find_coordinator(simulation: placesimulation.Simulation) -> ids.Host:
     """Return the first coordinator of the pool's first subset."""
     found = subsets.list_subsets(gatewayparts.POOL, RUNNERS)
-    return candidates.rank_hosts(found[0].find_name(), play.hosts)[0]
+    return candidates.rank_hosts(found[0].find_name(), simulation.hosts)[0]
 
 
 class TestSubsets(testtools.TestCase):
@@ -73,15 +73,17 @@
 class TestPlaces(testtools.TestCase):
     """Callers of many hosts, and runners of unlike speed."""
 
-    def play(self, seed: int, **changes: ty.Any) -> placesimulation.Outcome:
+    def simulate(
+        self, seed: int, **changes: ty.Any
+    ) -> placesimulation.Outcome:
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, seconds=10.0, **changes
         )
-        return placesimulation.Simulation(load, seed).play()
+        return placesimulation.Simulation(load, seed).simulate()
 
     def test_free_places_are_found_and_not_overfilled(self) -> None:
         for seed in (1, 2, 3):
-            outcome = self.play(seed, part=0.8)
+            outcome = self.simulate(seed, part=0.8)
             self.assertEqual(0.0, outcome.find_refused_share())
             self.assertLessEqual(outcome.find_queued_share(), 0.005)
             self.assertLessEqual(outcome.find_mean_wait(), 0.02)
@@ -90,14 +92,14 @@
         # Guards against requests that queue at runners, where they cannot be
         # reordered: at 1.5 times the runners' capacity, a third is refused.
         for seed in (1, 2, 3):
-            outcome = self.play(seed, part=1.5)
+            outcome = self.simulate(seed, part=1.5)
             self.assertLessEqual(outcome.find_queued_share(), 0.02)
             self.assertLessEqual(outcome.find_refused_share(), 0.40)
 
     def test_urgent_tier_is_served_first_at_all_hosts(self) -> None:
         # Guards against a tier that is refused at one host while a lower one
         # is served at another.
-        outcome = self.play(4, part=1.5, tiers=3)
+        outcome = self.simulate(4, part=1.5, tiers=3)
         asked = outcome.asked / 3
         self.assertLessEqual(outcome.refused[0], 0.01 * asked)
         self.assertLessEqual(outcome.refused[1], outcome.refused[2])
@@ -105,7 +107,7 @@
 
     def test_lost_messages_are_resent(self) -> None:
         for seed in (2, 3, 5):
-            outcome = self.play(seed, part=0.8, loss_share=0.1)
+            outcome = self.simulate(seed, part=0.8, loss_share=0.1)
             self.assertLessEqual(outcome.find_refused_share(), 0.002)
             self.assertLessEqual(outcome.find_queued_share(), 0.05)
             self.assertLessEqual(outcome.find_mean_wait(), 0.05)
@@ -126,7 +128,7 @@
             busy_weight=30.0,
         )
         for seed in (1, 2):
-            outcome = placesimulation.Simulation(load, seed).play()
+            outcome = placesimulation.Simulation(load, seed).simulate()
             self.assertEqual(0.0, outcome.find_refused_share())
             self.assertLessEqual(outcome.find_queued_share(), 0.01)
             self.assertLessEqual(outcome.find_mean_wait(), 0.03)
@@ -137,13 +139,13 @@
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.5, seconds=10.0
         )
-        play = placesimulation.Simulation(load, 3)
-        entries = play.known.list_open(gatewayparts.POOL)
+        simulation = placesimulation.Simulation(load, 3)
+        entries = simulation.known.list_open(gatewayparts.POOL)
         first = subsets.list_subsets(gatewayparts.POOL, len(entries))[0]
         lost = subsets.select_runners(first, entries)
         for entry in lost:
-            play.runners[entry.start].is_lost = True
-        outcome = play.play()
+            simulation.runners[entry.start].is_lost = True
+        outcome = simulation.simulate()
         self.assertLessEqual(outcome.find_refused_share(), 0.01)
 
     def test_crashed_runner_is_detected_once_for_all_hosts(self) -> None:
@@ -152,9 +154,9 @@
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.6, seconds=10.0
         )
-        play = placesimulation.Simulation(load, 4)
-        next(iter(play.runners.values())).is_lost = True
-        outcome = play.play()
+        simulation = placesimulation.Simulation(load, 4)
+        next(iter(simulation.runners.values())).is_lost = True
+        outcome = simulation.simulate()
         self.assertLessEqual(outcome.failed_connections, 0.5 * HOSTS)
         self.assertLessEqual(outcome.find_refused_share(), 0.001)
 
@@ -251,13 +253,13 @@
 
     def test_killed_coordinator_is_replaced_quickly(self) -> None:
         for seed in (1, 2):
-            play = self.make_simulation(seed)
-            victim = play.hosts[find_coordinator(play)]
+            simulation = self.make_simulation(seed)
+            victim = simulation.hosts[find_coordinator(simulation)]
 
-            play.add_event(
+            simulation.add_event(
                 5.0, functools.partial(setattr, victim, 'is_up', False)
             )
-            outcome = play.play()
+            outcome = simulation.simulate()
             self.assertLessEqual(outcome.find_refused_share(), 0.002)
             # The request is resent, the host skipped and another one asked.
             self.assertLessEqual(
@@ -267,14 +269,14 @@
 
     def test_host_without_coordinators_decides_locally(self) -> None:
         # Guards against callers that wait for unreachable coordinators.
-        play = self.make_simulation(3)
-        alone = play.hosts[ids.Host('host-7')]
-        for host in play.hosts.values():
+        simulation = self.make_simulation(3)
+        alone = simulation.hosts[ids.Host('host-7')]
+        for host in simulation.hosts.values():
             if host is alone:
                 continue
             alone.unreachable.add(host.name)
             host.unreachable.add(alone.name)
-        outcome = play.play()
+        outcome = simulation.simulate()
         self.assertLessEqual(outcome.find_refused_share(), 0.002)
         self.assertLessEqual(outcome.max_waited_s, 0.6)
 
@@ -284,14 +286,14 @@
         load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, part=0.0001, seconds=1.0
         )
-        play = placesimulation.Simulation(load, 5)
-        host = play.hosts[ids.Host('host-7')]
+        simulation = placesimulation.Simulation(load, 5)
+        host = simulation.hosts[ids.Host('host-7')]
         tickets = [
             gatewayparts.make_ticket(f'b{number}', 0.0) for number in range(9)
         ]
         for ticket in tickets:
             host.dispatcher.enter(ticket, 0.0)
-        play.play()
+        simulation.simulate()
         held = [
             ticket.decision.runner
             for ticket in tickets
@@ -303,17 +305,17 @@
         for ticket in tickets:
             assert isinstance(ticket.decision, waiting.Grant)
             host.dispatcher.release(
-                gatewayparts.POOL, ticket.decision, play.now
+                gatewayparts.POOL, ticket.decision, simulation.now
             )
         self.assertEqual(0, sum(host.local.places.running.values()))
 
     def test_both_halves_of_a_partition_serve_callers(self) -> None:
-        play = self.make_simulation(4)
-        names = list(play.hosts)
+        simulation = self.make_simulation(4)
+        names = list(simulation.hosts)
         halves = set(names[::2]), set(names[1::2])
         for half, other in (halves, halves[::-1]):
             for name in half:
-                play.hosts[name].unreachable.update(other)
-        outcome = play.play()
+                simulation.hosts[name].unreachable.update(other)
+        outcome = simulation.simulate()
         self.assertLessEqual(outcome.find_refused_share(), 0.01)
         self.assertLessEqual(outcome.find_mean_wait(), 0.1)
