--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -48,7 +48,7 @@
     runners: int = 20
     slots: int = 7
     # Share of the runners' capacity that callers ask for.
-    part: float = 0.8
+    utilisation: float = 0.8
     # Mean seconds for which a request holds its place at a fast and at a slow
     # runner; of so many runners, one is slow.
     fast_hold_s: float = 0.6
@@ -193,7 +193,7 @@
         capacity = sum(
             load.slots / runner.hold for runner in self.runners.values()
         )
-        self.interval = 1 / (load.part * capacity)
+        self.interval = 1 / (load.utilisation * capacity)
         self.add_event(0.0, self.add_request)
         for host in self.hosts.values():
             self.plan_tick(host, self.rng.uniform(0, TICK_INTERVAL_S))
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -235,7 +235,7 @@
     @hypothesis.given(strategies.data())
     def test_replies(self, data: strategies.DataObject) -> None:
         load = placesimulation.Load(
-            hosts=2, runners=2, part=0.0001, seconds=0.5
+            hosts=2, runners=2, utilisation=0.0001, seconds=0.5
         )
         play = placesimulation.Simulation(load, 1)
         host = next(iter(play.hosts.values()))
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -53,12 +53,12 @@
     return min(MAX_TOKENS, MEDIAN_TOKENS * rng.lognormvariate(0, TOKENS_SIGMA))
 
 
-def make_large_load(part: float) -> allowancesimulation.Load:
+def make_large_load(demand_share: float) -> allowancesimulation.Load:
     """Return a load of this share of the allowance at 71 hosts."""
     return allowancesimulation.Load(
         organisation=gatewayparts.make_organisation(LARGE_RATE),
         slack=LARGE_SLACK,
-        interval_s=LARGE_HOSTS * 3750.0 / (part * LARGE_RATE),
+        interval_s=LARGE_HOSTS * 3750.0 / (demand_share * LARGE_RATE),
         draw_cost=draw_size,
         starts_at=12.0,
         seconds=32.0,
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -83,7 +83,7 @@
 
     def test_free_places_are_found_and_not_overfilled(self) -> None:
         for seed in (1, 2, 3):
-            outcome = self.simulate(seed, part=0.8)
+            outcome = self.simulate(seed, utilisation=0.8)
             self.assertEqual(0.0, outcome.find_refused_share())
             self.assertLessEqual(outcome.find_queued_share(), 0.005)
             self.assertLessEqual(outcome.find_mean_wait(), 0.02)
@@ -92,14 +92,14 @@
         # Guards against requests that queue at runners, where they cannot be
         # reordered: at 1.5 times the runners' capacity, a third is refused.
         for seed in (1, 2, 3):
-            outcome = self.simulate(seed, part=1.5)
+            outcome = self.simulate(seed, utilisation=1.5)
             self.assertLessEqual(outcome.find_queued_share(), 0.02)
             self.assertLessEqual(outcome.find_refused_share(), 0.40)
 
     def test_urgent_tier_is_served_first_at_all_hosts(self) -> None:
         # Guards against a tier that is refused at one host while a lower one
         # is served at another.
-        outcome = self.simulate(4, part=1.5, tiers=3)
+        outcome = self.simulate(4, utilisation=1.5, tiers=3)
         asked = outcome.asked / 3
         self.assertLessEqual(outcome.refused[0], 0.01 * asked)
         self.assertLessEqual(outcome.refused[1], outcome.refused[2])
@@ -107,7 +107,7 @@
 
     def test_lost_messages_are_resent(self) -> None:
         for seed in (2, 3, 5):
-            outcome = self.simulate(seed, part=0.8, loss_share=0.1)
+            outcome = self.simulate(seed, utilisation=0.8, loss_share=0.1)
             self.assertLessEqual(outcome.find_refused_share(), 0.002)
             self.assertLessEqual(outcome.find_queued_share(), 0.05)
             self.assertLessEqual(outcome.find_mean_wait(), 0.05)
@@ -122,7 +122,7 @@
         load = placesimulation.Load(
             hosts=HOSTS,
             runners=RUNNERS,
-            part=0.9,
+            utilisation=0.9,
             seconds=10.0,
             busy_hosts=3,
             busy_weight=30.0,
@@ -137,7 +137,7 @@
         # Guards against callers that are refused because the runners of the
         # subset that was drawn for them have crashed.
         load = placesimulation.Load(
-            hosts=HOSTS, runners=RUNNERS, part=0.5, seconds=10.0
+            hosts=HOSTS, runners=RUNNERS, utilisation=0.5, seconds=10.0
         )
         simulation = placesimulation.Simulation(load, 3)
         entries = simulation.known.list_open(gatewayparts.POOL)
@@ -152,7 +152,7 @@
         # Guards against each of many hosts trying a crashed runner for itself:
         # it always has free places.
         load = placesimulation.Load(
-            hosts=HOSTS, runners=RUNNERS, part=0.6, seconds=10.0
+            hosts=HOSTS, runners=RUNNERS, utilisation=0.6, seconds=10.0
         )
         simulation = placesimulation.Simulation(load, 4)
         next(iter(simulation.runners.values())).is_lost = True
@@ -247,7 +247,7 @@
 
     def make_simulation(self, seed: int) -> placesimulation.Simulation:
         load = placesimulation.Load(
-            hosts=HOSTS, runners=RUNNERS, part=0.7, seconds=12.0
+            hosts=HOSTS, runners=RUNNERS, utilisation=0.7, seconds=12.0
         )
         return placesimulation.Simulation(load, seed)
 
@@ -284,7 +284,7 @@
         # Guards against a host that overloads a runner after it loses its
         # coordinators, because it forgets the places that it holds.
         load = placesimulation.Load(
-            hosts=HOSTS, runners=RUNNERS, part=0.0001, seconds=1.0
+            hosts=HOSTS, runners=RUNNERS, utilisation=0.0001, seconds=1.0
         )
         simulation = placesimulation.Simulation(load, 5)
         host = simulation.hosts[ids.Host('host-7')]
