--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -100,7 +100,7 @@
 
 @ty.final
 class _NoPeers:
-    """The peers as a host without any sees them."""
+    """The peers of a host that shares no places: none are heard."""
 
     def __init__(self, count: int) -> None:
         self.partition = groups.Partition(count)
