--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -6,6 +6,7 @@
 
 import testtools
 
+import allowancesimulation
 from apricotlanding import addresses
 from apricotlanding import clocks
 from apricotlanding import ids
@@ -20,7 +21,6 @@
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
 from apricotlandingd.gateway.runners import pace
-import allowancesimulation
 import gatewayparts
 import test_foreign_messages
 
