--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -17,20 +17,21 @@
 
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
-from apricotlandingd.gateway.runners import starts
+from apricotlanding import addresses, ids
+from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
+from apricotlandingd.gateway.hosts import (
+    candidates,
+    coordinator,
+    messages,
+    placemessages,
+)
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    observations,
+    pace,
+    starts,
+)
 
 __all__ = ['Dispatcher']
 
@@ -240,7 +241,7 @@
         self._candidates.mark_reachable(reply.host)
         for number, digest in reply.granted.items():
             if number in link.wanted:
-                self._take_grant(number, digest, subset, now)
+                self._apply_grant(number, digest, subset, now)
         for number, refused in reply.refused.items():
             if number in link.wanted:
                 self._take_refusal(number, refused, subset, now)
@@ -356,7 +357,7 @@
             if subset != granted:
                 self._send(link, now, wants_reply=False)
 
-    def _take_grant(
+    def _apply_grant(
         self, number: int, digest: int, subset: subsets.Subset, now: float
     ) -> None:
         item = self._waiting[number]
