--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -244,7 +244,7 @@
                 self._apply_grant(number, digest, subset, now)
         for number, refused in reply.refused.items():
             if number in link.wanted:
-                self._take_refusal(number, refused, subset, now)
+                self._apply_refusal(number, refused, subset, now)
         if reply.is_stopping and reply.host != self._host:
             self._candidates.mark_stopping(reply.host, now)
             self._retarget(link, now)
@@ -387,7 +387,7 @@
             if item.ticket.number in self._waiting:
                 self._ask(item.ticket.number, subset, now)
 
-    def _take_refusal(
+    def _apply_refusal(
         self,
         number: int,
         refused: placemessages.Refused,
