--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -247,7 +247,7 @@
                 self._apply_refusal(number, refused, subset, now)
         if reply.is_stopping and reply.host != self._host:
             self._candidates.mark_stopping(reply.host, now)
-            self._retarget(link, now)
+            self._switch_target(link, now)
 
     def tick(self, now: float) -> None:
         """Send the messages and make the decisions that are due."""
@@ -308,13 +308,13 @@
             return
         if self._choose_target(subset, now) != link.target:
             self._release_all(link, now)
-            self._retarget(link, now)
+            self._switch_target(link, now)
             return
         if link.unanswered_at is not None:
             if now - link.unanswered_at > candidates.REPLY_TIMEOUT_S:
                 link.silent_hosts += 1
                 self._candidates.mark_silent(link.target, now)
-                self._retarget(link, now)
+                self._switch_target(link, now)
             elif now - link.sent_at > candidates.RESEND_INTERVAL_S:
                 self._send(link, now)
             return
@@ -507,7 +507,7 @@
             self._links[subset] = link
         return link
 
-    def _retarget(self, link: _Link, now: float) -> None:
+    def _switch_target(self, link: _Link, now: float) -> None:
         link.target = self._choose_target(link.subset, now)
         link.unanswered_at = None
         self._send(link, now)
