--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -20,14 +20,15 @@
 
 import anyio
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    allowances,
+    candidates,
+    messages,
+)
 
 __all__ = ['SharedAllowances', 'UnitRequest']
 
@@ -305,7 +306,9 @@
             return
         if unit_request.asked_at is None:
             unit_request.asked_at = now
-            unit_request.target = self._choose(unit_request.organisation, now)
+            unit_request.target = self._choose_coordinator(
+                unit_request.organisation, now
+            )
         unit_request.sent_at = now
         if unit_request.target == self._host:
             wait = self._grant(
@@ -329,7 +332,7 @@
         unit_request.wait_s = wait
         unit_request.answered.set()
 
-    def _choose(
+    def _choose_coordinator(
         self, organisation: catalogue.Organisation, now: float
     ) -> ids.Host:
         return self._candidates.choose(
