--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -11,16 +11,17 @@
 import itertools
 import random
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import allowancemessages
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import sharedallowances
+from apricotlandingd.gateway.hosts import (
+    allowancemessages,
+    allowances,
+    candidates,
+    mesh,
+    messages,
+    sharedallowances,
+)
 
 __all__ = ['Load', 'Simulation']
 
@@ -83,7 +84,7 @@
     name: ids.Host
     address: addresses.Address
     others: mesh.Mesh
-    shared: allowances.Allowances
+    local_allowances: allowances.Allowances
     process: ids.Incarnation
     shared_allowances: sharedallowances.SharedAllowances
     number: int = 0
@@ -92,10 +93,10 @@
 
     def make_state(self, now: float, scope: mesh.Scope) -> messages.HostState:
         self.number += 1
-        asked = self.shared.buckets.list_asked(now)
+        asked = self.local_allowances.buckets.list_asked(now)
         group_used = quotas.Usage()
         if scope is mesh.Scope.FAR:
-            group_used = self.shared.list_used(now)
+            group_used = self.local_allowances.list_used(now)
         known = list(self.others.peers.values())[-mesh.HINTS_PER_MESSAGE :]
         hints = {peer.state.host: peer.state.state_address for peer in known}
         return messages.HostState(
@@ -108,14 +109,14 @@
             reads_store=True,
             positions=[1, 1],
             running={},
-            usage=dict(self.shared.buckets.usage),
+            usage=dict(self.local_allowances.buckets.usage),
             ranks={},
             hints=hints,
             asked=asked,
-            group_asked=self.shared.sum_group_asked(asked),
+            group_asked=self.local_allowances.sum_group_asked(asked),
             group_used=group_used,
-            hosts=self.shared.count_hosts(now),
-            levels=self.shared.list_levels(now),
+            hosts=self.local_allowances.count_hosts(now),
+            levels=self.local_allowances.list_levels(now),
         )
 
     def make_change(self) -> messages.HostChange:
@@ -127,7 +128,7 @@
             reads_store=True,
             positions=[1, 1],
             running={},
-            usage=dict(self.shared.buckets.usage),
+            usage=dict(self.local_allowances.buckets.usage),
             ranks={},
             answer_ages=[],
         )
@@ -208,7 +209,7 @@
             elif kind == 'list':
                 for known in self.hosts:
                     host.others.probe_address(known)
-                host.shared.mark_hosts_listed()
+                host.local_allowances.mark_hosts_listed()
             else:
                 self.send_state(host, kind, now)
 
@@ -219,7 +220,7 @@
             tuple(self._addresses[:3]),
             self.rng,
         )
-        shared = allowances.Allowances(self.load.slack, others, now)
+        local_allowances = allowances.Allowances(self.load.slack, others, now)
         name = ids.Host(f'host-{address.port}')
         process = ids.make_incarnation(name, str(address), now)
         reachable = ReachableHosts(
@@ -230,7 +231,7 @@
             name,
             address,
             process,
-            shared,
+            local_allowances,
             self.load.slack,
             reachable,
             candidates.Candidates(name, reachable),
@@ -240,7 +241,7 @@
         )
 
         def take_state(state: messages.HostState, now: float) -> None:
-            shared.apply_state(state, now)
+            local_allowances.apply_state(state, now)
             is_new = state.hosts == 0
             shared_allowances.apply_usage(
                 state.incarnation, state.usage, is_new, now
@@ -248,7 +249,7 @@
 
         others.on_state = take_state
         self.hosts[address] = Host(
-            name, address, others, shared, process, shared_allowances
+            name, address, others, local_allowances, process, shared_allowances
         )
         self.add_event(
             now + self.rng.uniform(*LIST_READ_RANGE_S), 'list', address, None
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -7,22 +7,15 @@
 import testtools
 
 import allowancesimulation
-from apricotlanding import addresses
-from apricotlanding import clocks
-from apricotlanding import ids
+import gatewayparts
+import test_foreign_messages
+from apricotlanding import addresses, clocks, ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import allowances, candidates, mesh
 from apricotlandingd.gateway.process import hoststates
-from apricotlandingd.gateway.replication import freshness
-from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
-import gatewayparts
-import test_foreign_messages
+from apricotlandingd.gateway.replication import freshness, records
+from apricotlandingd.gateway.runners import directory, health, pace
 
 HOSTS = 40
 RATE = BURST = 2000.0
@@ -108,12 +101,14 @@
         # were taken while all hosts were one group, and are given back after a
         # second group was heard, to a group bucket that does not exist yet.
         others = make_mesh()
-        shared = allowances.Allowances(SLACK_UNITS, others, 0.0)
-        shared.mark_hosts_listed()
+        local_allowances = allowances.Allowances(SLACK_UNITS, others, 0.0)
+        local_allowances.mark_hosts_listed()
         now = 60.0
         organisation = OVERLOAD.organisation
-        terms = shared.find_terms(organisation, now)
-        self.assertIsNone(shared.grant(organisation, COST_UNITS, terms, now))
+        terms = local_allowances.find_terms(organisation, now)
+        self.assertIsNone(
+            local_allowances.grant(organisation, COST_UNITS, terms, now)
+        )
         for number in range(1, 30):
             host = ids.Host(f'host-{number}')
             state = test_foreign_messages.make_state(
@@ -121,8 +116,8 @@
             )
             others.handle_state(state, now)
         self.assertGreater(others.partition.count, 1)
-        shared.give_back(organisation, COST_UNITS, now)
-        used = shared.buckets.usage[organisation.name]
+        local_allowances.give_back(organisation, COST_UNITS, now)
+        used = local_allowances.buckets.usage[organisation.name]
         self.assertEqual(0.0, used)
 
 
@@ -137,9 +132,9 @@
         Another one restarts repeatedly, and sends its first state.
         """
         others = make_mesh()
-        shared = allowances.Allowances(SLACK_UNITS, others, 0.0)
-        others.on_state = shared.apply_state
-        shared.mark_hosts_listed()
+        local_allowances = allowances.Allowances(SLACK_UNITS, others, 0.0)
+        others.on_state = local_allowances.apply_state
+        local_allowances.mark_hosts_listed()
         for number in range(1, 24):
             host = ids.Host(f'host-{number}')
             self.send_state(others, host, 1, 60.0, hosts=24)
@@ -168,8 +163,11 @@
                 self.send_state(
                     others, far[1], turn, now, incarnation=str(turn)
                 )
-            terms = shared.find_terms(organisation, now)
-            if shared.grant(organisation, COST_UNITS, terms, now) is None:
+            terms = local_allowances.find_terms(organisation, now)
+            if (
+                local_allowances.grant(organisation, COST_UNITS, terms, now)
+                is None
+            ):
                 units += COST_UNITS
         return units
 
@@ -214,8 +212,10 @@
         # organisation that uses nothing from one that is not named.
         now = clocks.read_monotonic()
         others = make_mesh()
-        shared = allowances.Allowances(SLACK_UNITS, others, now - 100.0)
-        shared.mark_hosts_listed()
+        local_allowances = allowances.Allowances(
+            SLACK_UNITS, others, now - 100.0
+        )
+        local_allowances.mark_hosts_listed()
         for number in range(1, 24):
             host = ids.Host(f'host-{number}')
             state = test_foreign_messages.make_state(
@@ -223,8 +223,10 @@
             )
             others.handle_state(state, now)
         organisation = OVERLOAD.organisation
-        terms = shared.find_terms(organisation, now)
-        self.assertIsNone(shared.grant(organisation, COST_UNITS, terms, now))
+        terms = local_allowances.find_terms(organisation, now)
+        self.assertIsNone(
+            local_allowances.grant(organisation, COST_UNITS, terms, now)
+        )
         board = records.Board()
         bounds = dict.fromkeys(records.TOPICS, 1.0)
         schedule = scheduler.Scheduler(
@@ -242,7 +244,7 @@
             ids.Incarnation('host-0/1'),
             board,
             freshness.Freshness(board, bounds),
-            shared,
+            local_allowances,
             schedule,
             others,
             lambda now: True,
