--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -143,7 +143,7 @@
             return []
         return [peers[self.round_hosts.pop()].address]
 
-    def take(self, message: object, now: float) -> None:
+    def handle_message(self, message: object, now: float) -> None:
         if isinstance(message, allowancemessages.AllowanceRequest):
             self.shared_allowances.handle_request(message, now)
         elif isinstance(message, allowancemessages.AllowanceReply):
@@ -198,7 +198,7 @@
             if host is None or self.is_killed(host):
                 continue
             if kind == 'state':
-                host.take(item, now)
+                host.handle_message(item, now)
             elif kind == 'ask':
                 self.ask(host, now)
             elif kind == 'look':
