--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -322,8 +322,8 @@
         now: float,
     ) -> None:
         for target in targets:
-            way = self.rng.uniform(0.0005, MAX_LATENCY_S)
-            self.add_event(now + way, 'state', target, state)
+            latency = self.rng.uniform(0.0005, MAX_LATENCY_S)
+            self.add_event(now + latency, 'state', target, state)
 
     def find_max_units(self, window_s: float) -> float:
         """Return the maximum of units that ran within a window."""
