--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -147,21 +147,21 @@
         asked = {organisation.name: 9 * RATE}
         used = {organisation.name: 0.9 * RATE}
         units = 0.0
-        for turn in range(1, 120):
-            now = 60.0 + turn * 0.05
-            if turn % 6 == 0:
+        for step in range(1, 120):
+            now = 60.0 + step * 0.05
+            if step % 6 == 0:
                 self.send_state(
                     others,
                     far[0],
-                    turn,
+                    step,
                     now,
                     hosts=24,
                     group_asked=asked,
                     group_used=used,
                 )
-            if has_restarts and turn % 6 == 1:
+            if has_restarts and step % 6 == 1:
                 self.send_state(
-                    others, far[1], turn, now, incarnation=str(turn)
+                    others, far[1], step, now, incarnation=str(step)
                 )
             terms = local_allowances.find_terms(organisation, now)
             if (
