--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -6,19 +6,13 @@
 import anyio
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import clocks
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import groupuses
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import groups
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotstandins import processes
 import gatewayparts
 import test_foreign_messages
+from apricotlanding import addresses, clocks, ids
+from apricotlandingd.gateway import dialect
+from apricotlandingd.gateway.decisions import groupuses, quotas, waiting
+from apricotlandingd.gateway.hosts import groups, mesh, messages
+from apricotstandins import processes
 
 HOSTS = [ids.Host(f'host-{number}') for number in range(61)]
 FESTIN = gatewayparts.make_organisation(1000.0)
@@ -139,7 +133,7 @@
             random.Random(1),
         )
         self.number = 0
-        self.hear_all(0.0)
+        self.deliver_all(0.0)
         self.near = [
             host for host in HOSTS[1:] if self.mesh.partition.is_near(host)
         ]
@@ -165,12 +159,12 @@
             now,
         )
 
-    def hear_all(self, now: float) -> None:
+    def deliver_all(self, now: float) -> None:
         for host in HOSTS[1:]:
             self.hear(host, now)
 
     def test_only_near_peers_count(self) -> None:
-        self.hear_all(0.1)
+        self.deliver_all(0.1)
         count = self.mesh.count_running(gatewayparts.make_start('r1'))
         self.assertEqual(len(self.near), count)
         self.assertEqual(count, len(self.mesh.list_waiting(gatewayparts.POOL)))
