--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -215,7 +215,7 @@
         )
         found.make_change = lambda number: test_foreign_messages.make_change()
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with anyio.create_task_group() as group:
                 async with await anyio.create_udp_socket(
                     local_host=far.host, local_port=far.port
@@ -228,7 +228,7 @@
                         await receiver.receive()
                     group.cancel_scope.cancel()
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def make_state(self, host: ids.Host, address: str) -> messages.HostState:
         return test_foreign_messages.make_state(
