--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -10,15 +10,11 @@
 import msgpack
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import addresses, errors, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.replication import recordexchange
-from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.hosts import mesh, messages
+from apricotlandingd.gateway.replication import recordexchange, records
 from apricotstandins import processes
 
 # Timeout of each wait; long enough for a busy machine.
@@ -268,22 +264,26 @@
             found = self.make_exchange()
             listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
-            place = addresses.Address('127.0.0.1', port)
+            address = addresses.Address('127.0.0.1', port)
             async with anyio.create_task_group() as group:
                 group.start_soon(listener.serve, found.serve)
                 for data in BAD_QUERIES:
-                    await self.ask(place, data)
+                    await self.ask(address, data)
                 board = records.Board()
                 with anyio.fail_after(WAIT_TIMEOUT_S):
                     asker = recordexchange.RecordExchange(board)
-                    self.assertTrue(await asker.fetch(place, FETCH_TIMEOUT_S))
+                    self.assertTrue(
+                        await asker.fetch(address, FETCH_TIMEOUT_S)
+                    )
                 self.assertEqual(1, board.positions[dialect.RUNNERS])
                 group.cancel_scope.cancel()
 
         anyio.run(scenario)
 
-    async def ask(self, place: addresses.Address, data: bytes) -> None:
-        async with await anyio.connect_tcp(place.host, place.port) as stream:
+    async def ask(self, address: addresses.Address, data: bytes) -> None:
+        async with await anyio.connect_tcp(
+            address.host, address.port
+        ) as stream:
             await stream.send(data)
             await stream.send_eof()
             with anyio.fail_after(WAIT_TIMEOUT_S):
@@ -314,10 +314,10 @@
 
         listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        place = addresses.Address('127.0.0.1', port)
+        address = addresses.Address('127.0.0.1', port)
         async with listener, anyio.create_task_group() as group:
             group.start_soon(listener.serve, reply)
             with anyio.fail_after(WAIT_TIMEOUT_S):
-                is_taken = await asker.fetch(place, FETCH_TIMEOUT_S)
+                is_taken = await asker.fetch(address, FETCH_TIMEOUT_S)
             group.cancel_scope.cancel()
         return is_taken
