--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -20,15 +20,14 @@
 
 import anyio
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import (
-    allowancemessages,
-    allowances,
-    candidates,
-    messages,
-)
+from apricotlandingd.gateway.hosts import allowancemessages
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import messages
 
 __all__ = ['SharedAllowances', 'UnitRequest']
 
--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -11,17 +11,16 @@
 import itertools
 import random
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.hosts import (
-    allowancemessages,
-    allowances,
-    candidates,
-    mesh,
-    messages,
-    sharedallowances,
-)
+from apricotlandingd.gateway.hosts import allowancemessages
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import sharedallowances
 
 __all__ = ['Load', 'Simulation']
 
--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -10,11 +10,15 @@
 import msgpack
 import testtools
 
-from apricotlanding import addresses, errors, ids
-from apricotlandingd.gateway import dialect
+from apricotlanding import addresses
+from apricotlanding import errors
+from apricotlanding import ids
 from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import mesh, messages
-from apricotlandingd.gateway.replication import recordexchange, records
+from apricotlandingd.gateway import dialect
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.replication import recordexchange
+from apricotlandingd.gateway.replication import records
 from apricotstandins import processes
 
 # Timeout of each wait; long enough for a busy machine.
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -6,13 +6,19 @@
 import anyio
 import testtools
 
-import gatewayparts
-import test_foreign_messages
-from apricotlanding import addresses, clocks, ids
+from apricotlanding import addresses
+from apricotlanding import clocks
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import groupuses
+from apricotlandingd.gateway.decisions import quotas
+from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import groupuses, quotas, waiting
-from apricotlandingd.gateway.hosts import groups, mesh, messages
+from apricotlandingd.gateway.hosts import groups
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
 from apricotstandins import processes
+import gatewayparts
+import test_foreign_messages
 
 HOSTS = [ids.Host(f'host-{number}') for number in range(61)]
 FESTIN = gatewayparts.make_organisation(1000.0)
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -6,16 +6,23 @@
 
 import testtools
 
-import allowancesimulation
-import gatewayparts
-import test_foreign_messages
-from apricotlanding import addresses, clocks, ids
+from apricotlanding import addresses
+from apricotlanding import clocks
+from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.hosts import allowances, candidates, mesh
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import mesh
 from apricotlandingd.gateway.process import hoststates
-from apricotlandingd.gateway.replication import freshness, records
-from apricotlandingd.gateway.runners import directory, health, pace
+from apricotlandingd.gateway.replication import freshness
+from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import pace
+import gatewayparts
+import allowancesimulation
+import test_foreign_messages
 
 HOSTS = 40
 RATE = BURST = 2000.0
