--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -73,7 +73,7 @@
     awaited_number: int = 0
     unanswered_at: float | None = None
     wanted: set[int] = dataclasses.field(default_factory=set)
-    seen: list[placemessages.RunnerObservation] = dataclasses.field(
+    unsent: list[placemessages.RunnerObservation] = dataclasses.field(
         default_factory=list
     )
     # Free places according to the last reply, and when it arrived.
@@ -98,7 +98,7 @@
         paces: pace.Paces,
         fitness: health.Health,
         hosts: candidates.Hosts,
-        asked: candidates.Candidates,
+        candidate_hosts: candidates.Candidates,
         rng: random.Random,
     ) -> None:
         """Start without requests.
@@ -116,7 +116,7 @@
         self._paces = paces
         self._health = fitness
         self._hosts = hosts
-        self._candidates = asked
+        self._candidates = candidate_hosts
         self._rng = rng
         self._place_count = 0
         self._message_count = 0
@@ -186,26 +186,28 @@
         self,
         service: ids.Pool,
         start: ids.RunnerStart,
-        seen: observations.Observation,
+        observation: observations.Observation,
         now: float,
     ) -> None:
         """Apply an observation of a runner, and report it."""
         observations.apply(
-            seen, service, start, self._paces, self._health, now
+            observation, service, start, self._paces, self._health, now
         )
-        if seen.kind is observations.Kind.HOLD:
-            self._local.note_hold(service, seen.seconds)
-        if seen.kind is observations.Kind.FIRST:
-            self._local.note_part(seen.part, start, now)
+        if observation.kind is observations.Kind.HOLD:
+            self._local.note_hold(service, observation.seconds)
+        if observation.kind is observations.Kind.FIRST:
+            self._local.note_part(observation.part, start, now)
         if not self._hosts.has_multiple_groups():
             return
         subset = self._find_subset(start)
         if subset is None:
             return
         link = self._get_link(subset, now)
-        if len(link.seen) < MAX_UNSENT_OBSERVATIONS:
+        if len(link.unsent) < MAX_UNSENT_OBSERVATIONS:
             runner = messages.digest_start(start)
-            link.seen.append(placemessages.RunnerObservation(runner, *seen))
+            link.unsent.append(
+                placemessages.RunnerObservation(runner, *observation)
+            )
 
     def note_load(
         self, start: ids.RunnerStart, load: tuple[int, int], now: float
@@ -298,7 +300,7 @@
         has_held = any(
             self._find_subset(start) == subset for start in self._held.values()
         )
-        if not link.wanted and not has_held and not link.seen:
+        if not link.wanted and not has_held and not link.unsent:
             if (
                 link.heard_at is None
                 or now - link.heard_at > FREE_PLACES_MAX_AGE_S
@@ -432,8 +434,8 @@
         for number, start in self._held.items():
             if self._find_subset(start) == link.subset:
                 request.held[number] = messages.digest_start(start)
-        request.seen.extend(link.seen)
-        link.seen.clear()
+        request.seen.extend(link.unsent)
+        link.unsent.clear()
         self._send_request(link.target, request, now)
 
     def _release_all(self, link: _Link, now: float) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/groups.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/groups.py
@@ -63,8 +63,8 @@
         return [self._limit_slots(entry) for entry in entries]
 
     def _limit_slots(self, entry: dialect.RunnerEntry) -> dialect.RunnerEntry:
-        part = entry.slots * GROUP_SHARE_RATIO / self.count
-        return dataclasses.replace(entry, slots=max(1, round(part)))
+        slots = entry.slots * GROUP_SHARE_RATIO / self.count
+        return dataclasses.replace(entry, slots=max(1, round(slots)))
 
 
 def make_partition(own: ids.Host, others: list[ids.Host]) -> Partition:
@@ -77,7 +77,8 @@
     hosts = sorted([own, *others], key=_hash_name)
     count = max(1, round(len(hosts) / GROUP_TARGET_HOSTS))
     groups = {
-        host: place * count // len(hosts) for place, host in enumerate(hosts)
+        host: position * count // len(hosts)
+        for position, host in enumerate(hosts)
     }
     return Partition(count, groups[own], groups)
 
--- a/tests/allowancesimulation.py
+++ b/tests/allowancesimulation.py
@@ -239,14 +239,14 @@
             now,
         )
 
-        def take_state(state: messages.HostState, now: float) -> None:
+        def handle_state(state: messages.HostState, now: float) -> None:
             local_allowances.apply_state(state, now)
             is_new = state.hosts == 0
             shared_allowances.apply_usage(
                 state.incarnation, state.usage, is_new, now
             )
 
-        others.on_state = take_state
+        others.on_state = handle_state
         self.hosts[address] = Host(
             name, address, others, local_allowances, process, shared_allowances
         )
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -145,7 +145,7 @@
         ]
         self.far = [host for host in HOSTS[1:] if host not in self.near]
 
-    def hear(self, host: ids.Host, now: float) -> None:
+    def deliver(self, host: ids.Host, now: float) -> None:
         self.number += 1
         self.mesh.handle_state(
             messages.HostState(
@@ -167,7 +167,7 @@
 
     def deliver_all(self, now: float) -> None:
         for host in HOSTS[1:]:
-            self.hear(host, now)
+            self.deliver(host, now)
 
     def test_only_near_peers_count(self) -> None:
         self.deliver_all(0.1)
@@ -178,21 +178,21 @@
 
     def test_far_peer_that_is_heard_in_its_turn_is_not_silent(self) -> None:
         for host in self.near:
-            self.hear(host, 5.0)
+            self.deliver(host, 5.0)
         self.mesh.drop_silent(5.0)
         self.assertEqual(60, len(self.mesh.list_heard()))
         self.assertEqual(0.0, self.mesh.find_silent_share())
 
     def test_silent_near_peer_keeps_its_share(self) -> None:
         for host in self.near[1:]:
-            self.hear(host, 1.0)
+            self.deliver(host, 1.0)
         self.mesh.drop_silent(1.0)
         share = 1 / (1 + len(self.near))
         self.assertAlmostEqual(share, self.mesh.find_silent_share())
 
     def test_far_peers_that_are_gone_are_dropped_in_the_end(self) -> None:
         for host in self.near:
-            self.hear(host, 60.0)
+            self.deliver(host, 60.0)
         self.mesh.drop_silent(60.0)
         self.assertEqual(len(self.near), len(self.mesh.peers))
 
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -6,6 +6,7 @@
 
 import testtools
 
+import allowancesimulation
 from apricotlanding import addresses
 from apricotlanding import clocks
 from apricotlanding import ids
@@ -21,7 +22,6 @@
 from apricotlandingd.gateway.runners import health
 from apricotlandingd.gateway.runners import pace
 import gatewayparts
-import allowancesimulation
 import test_foreign_messages
 
 HOSTS = 40
