--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -46,7 +46,7 @@
         random.Random(1),
     )
     for number in range(peers):
-        found.take(make_state(number, 1, runners), 0.0)
+        found.handle_state(make_state(number, 1, runners), 0.0)
     return found
 
 
@@ -166,7 +166,9 @@
         )
     found = make_mesh(60, 10)
     numbers = itertools.count(2)
-    take = time_call(lambda: found.take(make_state(1, next(numbers), 10), 0.0))
+    take = time_call(
+        lambda: found.handle_state(make_state(1, next(numbers), 10), 0.0)
+    )
     print(f'| state taken, 60 peers | {take:.0f} |')
 
 
