--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/mesh.py
@@ -1,17 +1,18 @@
-"""The other hosts: who they are, and what they use and want.
+"""Exchange of state with the other hosts.
 
 Hosts find each other by the seeds of the settings, by a record that each
 writes once into the platform's store, and by hints in each other's messages.
-They exchange ``HostState`` by datagram, and ``HostChange`` in between: each is
-newer than the one before, so loss and reordering need no repair, and a peer
-that has fallen silent costs nothing but its own estimate. ``Mesh`` implements
-what the scheduler asks about others.
+They exchange ``HostState`` by datagram, and ``HostChange`` in between. Each
+message supersedes the one before, so loss and reordering need no repair, and a
+peer that falls silent affects only the estimate of what it uses. ``Mesh``
+implements what the scheduler asks about other hosts.
 
-Hosts of one group (``groups``) are near: they tell each other every change,
-and only their requests and waits count here. Each other host is far: it hears
-from this one in its turn, so that hosts stay known and records spread.
+Hosts of one group (``groups``) are near: they send each other every change,
+and only their running and waiting requests count here. All other hosts are
+far: they get a message one after another, in turn, so that hosts stay known
+and records spread.
 
-A silent peer may be dead, frozen, or only cut off from this host. What it
+A silent peer may be dead, frozen, or only unreachable from this host. What it
 reported is used for a moment, after which it counts as silent: the scheduler
 and the quotas then assume that it goes on using its share.
 """
@@ -41,127 +42,127 @@
 __all__ = ['Mesh', 'Peer', 'Scope']
 
 # Seconds between messages to near peers when nothing changes.
-HEARTBEAT = 0.25
-# Least seconds between messages to near peers, for the square of their
-# number, as the messages in a group grow.
-INTERVAL_A_SQUARE = 0.0005
-# Seconds between messages to far peers, each of which gets one in its turn: of
-# four groups, a host hears each other one about three times a second.
-FAR_INTERVAL = 0.1
-# Seconds without a message after which a peer counts as silent: it missed
-# two heartbeats and most of a third.
-SILENT_AFTER = 0.7
-# Seconds without a message after which a peer is dropped. Until then its
-# share of places and allowances stays reserved: a host that cannot be heard
-# may go on serving callers.
-DROP_AFTER = 20.0
-# Seconds between whole states to near peers. What the others leave out serves
-# averages over seconds, or newcomers.
-WHOLE_INTERVAL = 0.5
-# Seconds for which a process that was first heard is new: it gets at least two
-# whole states in this time.
-NEW_TIME = 1.5
-# Seconds between tries to reach hosts that were never heard.
-SEARCH_INTERVAL = 0.5
-# Least seconds between messages to hosts that are new here: many become known
-# at once, and one message is written for all of them.
-CONTACT_PAUSE = 0.02
-# Tries after which a host that never answered is given up.
-SEARCH_TRIES = 20
+HEARTBEAT_INTERVAL_S = 0.25
+# Minimum seconds between messages to near peers, per square of their number:
+# the messages in a group grow with it.
+SQUARED_PEERS_INTERVAL_S = 0.0005
+# Seconds between messages to far peers, which get one each in turn: with four
+# groups, a host hears from each other group about three times a second.
+FAR_INTERVAL_S = 0.1
+# Seconds without a message after which a peer counts as silent: it missed two
+# heartbeats and most of a third.
+SILENT_TIMEOUT_S = 0.7
+# Seconds without a message after which a peer is dropped. Until then its share
+# of places and allowances stays reserved: a host that cannot be heard may
+# still serve callers.
+DROP_TIMEOUT_S = 20.0
+# Seconds between whole states to near peers. The fields that other messages
+# leave out are for averages over seconds, or for new hosts.
+WHOLE_STATE_INTERVAL_S = 0.5
+# Seconds for which a process counts as new after it was first heard: it gets
+# at least two whole states in this time.
+NEW_PEER_WINDOW_S = 1.5
+# Seconds between probes of hosts that were never heard.
+PROBE_INTERVAL_S = 0.5
+# Minimum seconds between probes of hosts that are new here: many become known
+# at once, and one message is encoded for all of them.
+MIN_PROBE_INTERVAL_S = 0.02
+# Probes after which a host that never replied is given up.
+MAX_PROBES = 20
 # Ranks and hints in one message: a datagram of a busy host stays below
-# 1,400 bytes, so that it is not cut into fragments.
-RANKS = 8
-HINTS = 3
+# 1,400 bytes, so that it is not fragmented.
+RANKS_PER_MESSAGE = 8
+HINTS_PER_MESSAGE = 3
 # Ended processes that are remembered.
-ENDED = 200
+MAX_ENDED_PROCESSES = 200
 
 
 class Scope(enum.Enum):
-    """What a state is to hold."""
+    """Fields that a state is to contain."""
 
     # Everything, for near peers.
     WHOLE = 'whole'
-    # The same and what hosts of other groups are told, for hosts that were
-    # never heard: they may be of either kind.
+    # Those for near and for far peers, for hosts that were never heard: they
+    # may be of either kind.
     SOUGHT = 'sought'
-    # What hosts of other groups use.
+    # Those for peers of other groups.
     FAR = 'far'
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """Another host, by its latest message."""
+    """Another host, according to its latest message."""
 
     state: messages.HostState
-    # Where it takes messages.
+    # Address at which it takes messages.
     address: addresses.Address
     heard_at: float
-    # Ranks of what waits there, on this host's clock.
+    # Ranks of the requests that wait there, on this host's clock.
     ranks: dict[ids.Pool, list[queueing.Rank]]
     # Requests at runners, by the digest of the runner's start.
     running: dict[int, int]
     # Is in this host's group.
     is_near: bool
     # When this process of the host was first heard.
-    first_at: float
-    # When it came into the group: before, it sent rarely.
-    near_at: float = 0.0
-    # Units asked for a second there, by the last state that said so.
+    first_heard_at: float
+    # When it joined this host's group; before, it sent rarely.
+    near_since: float = 0.0
+    # Units asked for per second there, by the last state that reported them.
     asked: dict[ids.Organisation, float] = dataclasses.field(
         default_factory=dict
     )
-    # Messages are missing.
+    # No message arrived within the timeout.
     is_silent: bool = False
 
 
 @ty.final
 class Mesh:
-    """All other hosts, as this one hears them."""
+    """All other hosts, and the messages to and from them."""
 
     def __init__(
         self,
         host: ids.Host,
         address: addresses.Address,
         seeds: tuple[addresses.Address, ...],
-        spread: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Start alone; ``seeds`` are where some hosts take messages."""
+        """Start without peers; ``seeds`` are addresses of some hosts."""
         self._host = host
         self._address = address
-        self._spread = spread
+        self._rng = rng
         self.peers: dict[ids.Host, Peer] = {}
-        # Requests of all heard near peers at each runner. Kept up with each
-        # message: summing all peers for each runner at each decision would
-        # cost more than the decision.
+        # Requests of all heard near peers at each runner. Updated with each
+        # message: summing over all peers for each runner at each decision
+        # would cost more than the decision.
         self._running: collections.Counter[int] = collections.Counter()
         # Host of each process that was heard, by its digest.
         self._processes: dict[int, ids.Host] = {}
         self._silent_share = 0.0
         self.partition = groups.Partition()
-        # Counts the changes of the hosts that are heard.
+        # Counts the changes of the hosts that may coordinate.
         self.changes = 0
-        # Addresses to try, with the tries that are left.
-        self._sought: dict[addresses.Address, int] = {}
-        # Those of them to try at once, and hosts that were just heard for
-        # the first time and may not have heard this one.
-        self._urgent: set[addresses.Address] = set()
-        self._searched = anyio.Event()
+        # Addresses to probe, with the probes that are left.
+        self._probes_left: dict[addresses.Address, int] = {}
+        # Those of them to probe at once, and addresses of hosts that were just
+        # heard for the first time and may not have heard this one.
+        self._due_probes: set[addresses.Address] = set()
+        self._probe_requested = anyio.Event()
         for seed in seeds:
-            self.seek(seed)
+            self.probe_address(seed)
         self._changed = anyio.Event()
-        # Sends at once or not at all, so that no task waits for another one;
-        # the event loop would add a wake-up for each message.
+        # Non-blocking: sends at once or not at all, so that no task waits for
+        # another one. The event loop would add a wake-up for each message.
         self._sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sender.setblocking(False)
         self._number = 0
-        # When the last whole state went to near peers.
-        self._whole_at = 0.0
-        # Processes that have been followed by another one on their host.
+        # When the last whole state was sent to near peers.
+        self._whole_state_sent_at = 0.0
+        # Processes that were replaced by another one on their host.
         self._ended: collections.deque[ids.Incarnation] = collections.deque(
-            maxlen=ENDED
+            maxlen=MAX_ENDED_PROCESSES
         )
-        # Filled in by the daemon.
+        # Set by the daemon.
         self.make_state: collections.abc.Callable[
             [int, Scope, dict[ids.Host, str]], messages.HostState
         ]
@@ -184,16 +185,16 @@
         self.on_allowance_reply: collections.abc.Callable[
             [allowancemessages.AllowanceReply, float], None
         ] = lambda reply, now: None
-        self.on_keeper_news: collections.abc.Callable[
-            [allowancemessages.KeeperNews, float], None
-        ] = lambda news, now: None
-        # Called with the sender's IP number and the reason for each message
-        # that cannot be read.
+        self.on_usage_update: collections.abc.Callable[
+            [allowancemessages.UsageUpdate, float], None
+        ] = lambda usage_update, now: None
+        # Called with the sender's IP address, the reason and the time for each
+        # message that cannot be decoded.
         self.on_unreadable: collections.abc.Callable[
             [str, str, float], None
         ] = lambda sender, detail, now: None
 
-    # What others are asked about.
+    # State of the other hosts.
 
     def count_hosts(self) -> int:
         """Return the number of hosts, this one included."""
@@ -208,41 +209,43 @@
         return [peer for peer in self.list_heard() if peer.is_near]
 
     def find_silent_share(self) -> float:
-        """Return the share of this host's group that is not heard."""
+        """Return the share of this host's group that is silent."""
         return self._silent_share
 
-    def find_turn(self) -> float:
-        """Return the seconds until a far peer sends here again.
+    def find_far_interval(self) -> float:
+        """Return the seconds between two messages of a far peer.
 
-        That is if it knows as many hosts as this one.
+        This assumes that it knows as many hosts as this one.
         """
-        return FAR_INTERVAL * len(self.peers)
+        return FAR_INTERVAL_S * len(self.peers)
 
-    def find_unheard_share(self) -> float:
+    def find_unreachable_share(self) -> float:
         """Return the share of this host's group that may act unheard.
 
-        Beside the silent ones these are hosts that this one looks for and has
-        never heard, or that its peers count: one that started a moment ago
-        knows nobody.
+        Besides silent peers, these are hosts that this one probes and has
+        never heard, or that its peers count: a host that has just started
+        knows no other.
         """
         known = 1 + len(self.peers)
-        return 1 - (1 - self._silent_share) * known / self.count_all()
+        return (
+            1 - (1 - self._silent_share) * known / self.count_possible_hosts()
+        )
 
-    def count_all(self) -> int:
-        """Return the hosts that there may be, heard or not."""
-        told = max(
+    def count_possible_hosts(self) -> int:
+        """Return the number of hosts that may exist, heard or not."""
+        reported = max(
             (peer.state.hosts for peer in self.peers.values()), default=0
         )
-        return max(1 + len(self.peers) + len(self._sought), told)
+        return max(1 + len(self.peers) + len(self._probes_left), reported)
 
-    def is_told_of_all(self) -> bool:
-        """Tell whether a peer has said how many hosts there are."""
+    def has_reported_host_count(self) -> bool:
+        """Tell whether a peer has reported how many hosts there are."""
         return any(peer.state.hosts > 0 for peer in self.peers.values())
 
     def has_new_peer(self, now: float) -> bool:
-        """Tell whether a near peer was first heard a moment ago."""
+        """Tell whether a near peer was first heard a short time ago."""
         return any(
-            peer.is_near and now - peer.first_at < NEW_TIME
+            peer.is_near and now - peer.first_heard_at < NEW_PEER_WINDOW_S
             for peer in self.peers.values()
         )
 
@@ -251,14 +254,14 @@
         return self._running[messages.digest_start(runner)]
 
     def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
-        """Return what waits at heard peers, sorted."""
+        """Return the sorted ranks of requests that wait at heard peers."""
         ranks: list[queueing.Rank] = []
         for peer in self.list_near():
             ranks.extend(peer.ranks.get(service, ()))
         ranks.sort()
         return ranks
 
-    def is_divided(self) -> bool:
+    def has_multiple_groups(self) -> bool:
         """Tell whether there are too many hosts to share all places."""
         return self.partition.count > 1
 
@@ -274,37 +277,37 @@
         ]
 
     def find_address(self, host: ids.Host) -> addresses.Address | None:
-        """Return where another host takes messages."""
+        """Return the address at which another host takes messages."""
         peer = self.peers.get(host)
         return None if peer is None else peer.address
 
     def send(self, message: object, address: addresses.Address) -> None:
-        """Send a message that may be lost."""
+        """Send a datagram, which may be lost."""
         self._send(messages.registry.encode(message), address)
 
-    # Changes.
+    # Discovery and messages.
 
-    def seek(self, address: addresses.Address) -> None:
-        """Try to reach a host at an address."""
-        if address == self._address or address in self._sought:
+    def probe_address(self, address: addresses.Address) -> None:
+        """Probe an address for a host that is not known yet."""
+        if address == self._address or address in self._probes_left:
             return
-        self._sought[address] = SEARCH_TRIES
-        self._contact(address)
+        self._probes_left[address] = MAX_PROBES
+        self._request_probe(address)
 
-    def _contact(self, address: addresses.Address) -> None:
-        self._urgent.add(address)
-        self._searched.set()
+    def _request_probe(self, address: addresses.Address) -> None:
+        self._due_probes.add(address)
+        self._probe_requested.set()
 
-    def list_sought(self) -> list[addresses.Address]:
-        """Return where hosts are looked for that were never heard."""
-        return list(self._sought)
+    def list_probed(self) -> list[addresses.Address]:
+        """Return the addresses of hosts that were never heard."""
+        return list(self._probes_left)
 
-    def tell(self) -> None:
-        """Send this host's state soon."""
+    def request_update(self) -> None:
+        """Have this host's state sent to near peers soon."""
         self._changed.set()
 
-    def take(self, state: messages.HostState, now: float) -> None:
-        """Take a peer's message."""
+    def handle_state(self, state: messages.HostState, now: float) -> None:
+        """Handle a peer's ``HostState``."""
         if state.host == self._host:
             return
         known = self.peers.get(state.host)
@@ -313,24 +316,24 @@
         process = messages.digest_process(state.incarnation)
         self._processes[process] = state.host
         running = messages.digest_starts(state.running)
-        self._file(self._make_peer(state, running, now), known, now)
+        self._store_peer(self._make_peer(state, running, now), known, now)
         for host, address in state.hints.items():
             if host != self._host and host not in self.peers:
-                self.seek(messages.read_address(address))
+                self.probe_address(messages.read_address(address))
         self.on_state(state, now)
 
-    def take_change(self, change: messages.HostChange, now: float) -> None:
-        """Take what has changed at a peer.
+    def handle_change(self, change: messages.HostChange, now: float) -> None:
+        """Handle a peer's ``HostChange``.
 
-        A process that was never heard is left out: its whole state, which
-        names it, comes within half a second.
+        That of a process that was never heard is ignored: its whole state,
+        which names it, arrives within half a second.
         """
         host = self._processes.get(change.process)
         known = None if host is None else self.peers.get(host)
         if known is None or change.number <= known.state.number:
             return
         if not known.is_near:
-            # Its groups are not those that this host sees.
+            # Its view of the groups differs from this host's.
             return
         state = dataclasses.replace(
             known.state,
@@ -346,10 +349,10 @@
             levels={},
         )
         peer = self._make_peer(state, change.running, now)
-        self._file(peer, known, now)
+        self._store_peer(peer, known, now)
         self.on_state(state, now)
 
-    def _file(self, peer: Peer, known: Peer | None, now: float) -> None:
+    def _store_peer(self, peer: Peer, known: Peer | None, now: float) -> None:
         host = peer.state.host
         if known is None or known.is_silent:
             eliot.log_message('gateway:peer_heard', peer=host)
@@ -357,43 +360,48 @@
             known.state.incarnation == peer.state.incarnation
         )
         if not is_same:
-            # Far hosts hear from this one in their turn only, seconds later in
-            # a large system. Until then a host that has just started, as all
-            # do after all were lost, leaves this one's part of everything to
-            # it: of 840 requests in the first second of 71 hosts, 260 were
-            # refused as beyond an allowance.
-            self._contact(peer.address)
+            # Far hosts get messages from this one in turn only, seconds later
+            # in a large system. Until then a host that has just started keeps
+            # this one's share of everything reserved. When 71 hosts started
+            # at once, 260 of the 840 requests of the first second were
+            # refused as over the allowance.
+            self._request_probe(peer.address)
         if known is not None:
-            peer.near_at = known.near_at
+            peer.near_since = known.near_since
             if is_same:
-                peer.first_at = known.first_at
+                peer.first_heard_at = known.first_heard_at
             peer.asked = peer.state.asked or known.asked
         self.peers[host] = peer
         if known is None or _may_coordinate(known) != _may_coordinate(peer):
             self.changes += 1
-        self._sought.pop(peer.address, None)
+        self._probes_left.pop(peer.address, None)
         if known is None:
             self._changed.set()
-            self._divide(now)
+            self._update_partition(now)
         elif known.is_silent:
-            self._count()
+            self._recount_peers()
         elif peer.is_near:
-            self._recount(known.running, peer.running)
+            self._replace_running(known.running, peer.running)
 
     def drop_silent(self, now: float) -> None:
-        """Leave silent peers out, and forget those that stay silent."""
+        """Mark silent peers, and drop those that stay silent."""
         count = len(self.peers)
         for host, peer in list(self.peers.items()):
-            turn = 0.0 if peer.is_near else self.find_turn()
+            far_interval = 0.0 if peer.is_near else self.find_far_interval()
             passed = now - peer.heard_at
-            quiet = now - max(peer.heard_at, peer.near_at)
-            if not peer.is_silent and quiet > SILENT_AFTER + 2 * turn:
+            silent_s = now - max(peer.heard_at, peer.near_since)
+            if (
+                not peer.is_silent
+                and silent_s > SILENT_TIMEOUT_S + 2 * far_interval
+            ):
                 peer.is_silent = True
                 self.changes += 1
-                self._count()
+                self._recount_peers()
                 eliot.log_message('gateway:peer_silent', peer=host)
-            limit = SILENT_AFTER if peer.state.is_stopping else DROP_AFTER
-            if passed <= limit + 4 * turn:
+            limit = (
+                SILENT_TIMEOUT_S if peer.state.is_stopping else DROP_TIMEOUT_S
+            )
+            if passed <= limit + 4 * far_interval:
                 continue
             del self.peers[host]
             self.changes += 1
@@ -402,7 +410,7 @@
             eliot.log_message('gateway:peer_dropped', peer=host)
             self.on_dropped(peer.state)
         if len(self.peers) != count:
-            self._divide(now)
+            self._update_partition(now)
 
     def _make_peer(
         self, state: messages.HostState, running: dict[int, int], now: float
@@ -420,19 +428,19 @@
             ranks=ranks,
             running=running,
             is_near=is_near,
-            first_at=now,
+            first_heard_at=now,
             asked=state.asked,
         )
 
-    def _divide(self, now: float) -> None:
+    def _update_partition(self, now: float) -> None:
         before = self.partition
         self.partition = groups.make_partition(self._host, list(self.peers))
         for host, peer in self.peers.items():
             was_near = peer.is_near
             peer.is_near = self.partition.is_near(host)
             if peer.is_near and not was_near:
-                peer.near_at = now
-        self._count()
+                peer.near_since = now
+        self._recount_peers()
         if self.partition.count != before.count:
             eliot.log_message(
                 'gateway:groups',
@@ -441,7 +449,7 @@
                 hosts=self.count_hosts(),
             )
 
-    def _recount(
+    def _replace_running(
         self,
         before: dict[int, int],
         after: dict[int, int],
@@ -451,7 +459,7 @@
         for runner, count in after.items():
             self._running[runner] += count
 
-    def _count(self) -> None:
+    def _recount_peers(self) -> None:
         self._running.clear()
         silent = near = 0
         for peer in self.peers.values():
@@ -480,22 +488,22 @@
     # Tasks.
 
     async def run(self) -> None:
-        """Exchange messages for as long as the daemon runs."""
+        """Exchange messages until cancelled."""
         async with await anyio.create_udp_socket(
             local_host=self._address.host, local_port=self._address.port
         ) as receiver:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._receive, receiver)
-                group.start_soon(self._search)
-                group.start_soon(self._tell_far)
-                await self._tell_near()
+                group.start_soon(self._probe)
+                group.start_soon(self._send_to_far)
+                await self._send_to_near()
 
     async def _receive(self, receiver: anyio.abc.UDPSocket) -> None:
         while True:
             try:
                 data, sender = await receiver.receive()
             except OSError:
-                # An earlier datagram met a host without a listener.
+                # An earlier datagram reached a host without a listener.
                 continue
             now = clocks.read_monotonic()
             try:
@@ -504,7 +512,7 @@
                 self.on_unreadable(sender[0], str(error), now)
                 continue
             if isinstance(state, messages.HostChange):
-                self.take_change(state, now)
+                self.handle_change(state, now)
                 continue
             if isinstance(state, placemessages.PlaceRequest):
                 self.on_place_request(state, now)
@@ -518,78 +526,78 @@
             if isinstance(state, allowancemessages.AllowanceReply):
                 self.on_allowance_reply(state, now)
                 continue
-            if isinstance(state, allowancemessages.KeeperNews):
-                self.on_keeper_news(state, now)
+            if isinstance(state, allowancemessages.UsageUpdate):
+                self.on_usage_update(state, now)
                 continue
             if not isinstance(state, messages.HostState):
                 self.on_unreadable(sender[0], 'no state of a host', now)
                 continue
-            self.take(state, now)
+            self.handle_state(state, now)
 
-    async def _tell_near(self) -> None:
+    async def _send_to_near(self) -> None:
         while True:
-            with anyio.move_on_after(HEARTBEAT):
+            with anyio.move_on_after(HEARTBEAT_INTERVAL_S):
                 await self._changed.wait()
             self._changed = anyio.Event()
             now = clocks.read_monotonic()
             self.drop_silent(now)
-            if now - self._whole_at > WHOLE_INTERVAL:
-                self._whole_at = now
+            if now - self._whole_state_sent_at > WHOLE_STATE_INTERVAL_S:
+                self._whole_state_sent_at = now
                 data = self._write_state(Scope.WHOLE)
             else:
                 data = self._write_change()
             near = [peer for peer in self.peers.values() if peer.is_near]
             for peer in near:
                 self._send(data, peer.address)
-            pause = INTERVAL_A_SQUARE * len(near) ** 2
-            await anyio.sleep(min(HEARTBEAT, pause))
+            pause = SQUARED_PEERS_INTERVAL_S * len(near) ** 2
+            await anyio.sleep(min(HEARTBEAT_INTERVAL_S, pause))
 
-    async def _tell_far(self) -> None:
-        turn: collections.deque[ids.Host] = collections.deque()
+    async def _send_to_far(self) -> None:
+        pending: collections.deque[ids.Host] = collections.deque()
         while True:
-            await anyio.sleep(FAR_INTERVAL)
-            if not turn:
-                turn.extend(self._list_far())
-            if not turn:
+            await anyio.sleep(FAR_INTERVAL_S)
+            if not pending:
+                pending.extend(self._list_far())
+            if not pending:
                 continue
-            peer = self.peers.get(turn.popleft())
+            peer = self.peers.get(pending.popleft())
             if peer is None or peer.is_near:
                 continue
             self._send(self._write_state(Scope.FAR), peer.address)
 
     def _list_far(self) -> list[ids.Host]:
-        # In a new order each time, so that those who send at the same pace
-        # do not all send to the same host at once.
+        # In a new order each time, so that hosts that send at the same rate do
+        # not all send to the same host at once.
         far = [host for host, peer in self.peers.items() if not peer.is_near]
-        self._spread.shuffle(far)
+        self._rng.shuffle(far)
         return far
 
-    async def _search(self) -> None:
+    async def _probe(self) -> None:
         due_at = clocks.read_monotonic()
         while True:
             now = clocks.read_monotonic()
-            targets, self._urgent = self._urgent, set()
+            targets, self._due_probes = self._due_probes, set()
             if now >= due_at:
-                due_at = now + SEARCH_INTERVAL
-                targets.update(self._list_tries())
+                due_at = now + PROBE_INTERVAL_S
+                targets.update(self._list_retries())
             if targets:
                 data = self._write_state(Scope.SOUGHT)
                 for address in targets:
                     self._send(data, address)
-            await anyio.sleep(CONTACT_PAUSE)
-            self._searched = anyio.Event()
-            if self._urgent:
+            await anyio.sleep(MIN_PROBE_INTERVAL_S)
+            self._probe_requested = anyio.Event()
+            if self._due_probes:
                 continue
             with anyio.move_on_after(due_at - clocks.read_monotonic()):
-                await self._searched.wait()
+                await self._probe_requested.wait()
 
-    def _list_tries(self) -> list[addresses.Address]:
+    def _list_retries(self) -> list[addresses.Address]:
         found: list[addresses.Address] = []
-        for address, tries in list(self._sought.items()):
-            if tries <= 0:
-                del self._sought[address]
+        for address, probes in list(self._probes_left.items()):
+            if probes <= 0:
+                del self._probes_left[address]
                 continue
-            self._sought[address] = tries - 1
+            self._probes_left[address] = probes - 1
             found.append(address)
         return found
 
@@ -597,8 +605,8 @@
         try:
             self._sender.sendto(data, (address.host, address.port))
         except OSError:
-            # No route or a full buffer: like any lost datagram, the next one
-            # makes it good.
+            # No route or a full buffer: as for any lost datagram, the next one
+            # replaces it.
             return
 
     def _write_change(self) -> bytes:
@@ -608,14 +616,14 @@
     def _write_state(self, scope: Scope) -> bytes:
         self._number += 1
         known = list(self.peers.values())
-        hinted = self._spread.sample(known, min(HINTS, len(known)))
+        hinted = self._rng.sample(known, min(HINTS_PER_MESSAGE, len(known)))
         hints = {peer.state.host: peer.state.state_address for peer in hinted}
         state = self.make_state(self._number, scope, hints)
         return messages.registry.encode(state)
 
 
 def _may_coordinate(peer: Peer) -> bool:
-    # One that has read no records knows no runners.
+    # A host that has read no records knows no runners.
     state = peer.state
     return (
         not peer.is_silent and not state.is_stopping and all(state.positions)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -147,7 +147,7 @@
                 self._find_readers,
                 self._directory.note_outage,
                 self._directory.note_return,
-                lambda: self._mesh.tell(),
+                lambda: self._mesh.request_update(),
                 probe_lock,
                 self._rng,
             )
@@ -234,11 +234,15 @@
             lambda: self._is_stopping,
             now,
         )
-        self._mesh.on_allowance_request = self._shared_allowances.take
-        self._mesh.on_keeper_news = self._shared_allowances.hear_news
-        self._mesh.on_allowance_reply = self._shared_allowances.take_reply
-        self._mesh.on_place_request = self._dispatcher.take
-        self._mesh.on_place_reply = self._dispatcher.take_reply
+        self._mesh.on_allowance_request = (
+            self._shared_allowances.handle_request
+        )
+        self._mesh.on_usage_update = (
+            self._shared_allowances.handle_usage_update
+        )
+        self._mesh.on_allowance_reply = self._shared_allowances.handle_reply
+        self._mesh.on_place_request = self._dispatcher.handle_request
+        self._mesh.on_place_reply = self._dispatcher.handle_reply
         states = hoststates.HostStateBuilder(
             config,
             self.incarnation,
@@ -371,9 +375,9 @@
         else:
             self._handle_runner(record, now)
         self._scheduler.schedule_all(now)
-        if self._mesh.is_divided():
+        if self._mesh.has_multiple_groups():
             # Few hosts read the store; the others depend on peers' messages.
-            self._mesh.tell()
+            self._mesh.request_update()
 
     def _report_corrupt_record(
         self, topic: dialect.Topic, corrupt_record: dialect.CorruptRecord
@@ -528,20 +532,20 @@
                     clocks.read_monotonic(),
                 )
                 continue
-            self._mesh.seek(address)
-        self._allowances.note_listed()
+            self._mesh.probe_address(address)
+        self._allowances.mark_hosts_listed()
 
     # States of hosts.
 
     def _announce_change(self) -> None:
         # In a large system, coordinators get messages of their own, and other
         # hosts learn of changes from the next heartbeat.
-        if not self._mesh.is_divided():
-            self._mesh.tell()
+        if not self._mesh.has_multiple_groups():
+            self._mesh.request_update()
 
     def _handle_state(self, state: messages.HostState, now: float) -> None:
-        self._allowances.hear(state, now)
-        self._shared_allowances.hear(
+        self._allowances.apply_state(state, now)
+        self._shared_allowances.apply_usage(
             state.incarnation, state.usage, state.hosts == 0, now
         )
         if self._mesh.partition.is_near(state.host):
@@ -641,7 +645,7 @@
             return
         is_changed = found != self._settings
         for seed in found.seeds:
-            self._mesh.seek(
+            self._mesh.probe_address(
                 addresses.Address(seed.host, self._settings.state.port)
             )
         bounds = found.bounds
@@ -662,7 +666,7 @@
         grace_s = self._settings.bounds.stop_grace_s
         plan = shutdown.make_plan(grace_s, clocks.read_monotonic())
         self._is_stopping = True
-        self._mesh.tell()
+        self._mesh.request_update()
         self._log_stop('gateway:stopping')
         await anyio.sleep(plan.close_at - clocks.read_monotonic())
         self._log_stop('gateway:listener_closing')
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/hoststates.py
@@ -124,7 +124,9 @@
 
     def _list_ranks(self, now: float) -> dict[ids.Pool, list[queueing.Rank]]:
         return {
-            service: [rank.shift(-now) for rank in items[: mesh.RANKS]]
+            service: [
+                rank.shift(-now) for rank in items[: mesh.RANKS_PER_MESSAGE]
+            ]
             for service, items in self._scheduler.list_waiting(now).items()
         }
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -43,7 +43,7 @@
         self.service = ids.Pool('')
         self.organisation: catalogue.Organisation | None = None
         # What was asked of the organisation's allowance, until it is returned.
-        self._question: sharedallowances.Question | None = None
+        self._question: sharedallowances.UnitRequest | None = None
         self.event_tokens = 1.0
         # Of the configuration that the request was admitted under.
         self.version: ids.Version | None = None
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -37,7 +37,7 @@
 from apricotlandingd.gateway.runners import pace
 import fuzzing
 import gatewayparts
-import placesplay
+import placesimulation
 import test_foreign_messages
 import test_gateway_shared_allowances
 
@@ -152,7 +152,7 @@
             state = self.decode(data)
             if not isinstance(state, messages.HostState):
                 continue
-            host.take(state, now)
+            host.handle_state(state, now)
             self.check_state(state)
         host.drop_silent(now)
         self.assertGreaterEqual(host.count_running(ids.RunnerStart('r1')), 0)
@@ -165,7 +165,7 @@
         good = test_foreign_messages.make_state(
             host='host-9', incarnation='host-9.1'
         )
-        host.take(good, now)
+        host.handle_state(good, now)
         self.assertIn('host-9', host.peers)
 
     def check_state(self, state: messages.HostState) -> None:
@@ -193,7 +193,7 @@
     },
     held={3: messages.digest_start(gatewayparts.make_start('i-1'))},
     seen=[
-        placemessages.Seen(
+        placemessages.RunnerObservation(
             messages.digest_start(gatewayparts.make_start('i-1')),
             kind,
             5,
@@ -230,7 +230,7 @@
             request = self.decode(data)
             if not isinstance(request, placemessages.PlaceRequest):
                 continue
-            for item in found.take(request, now):
+            for item in found.handle_request(request, now):
                 self.check_reply(item.reply)
         for item in found.pump(now + 5.0):
             self.check_reply(item.reply)
@@ -240,8 +240,10 @@
     @fuzzing.configure_examples()
     @hypothesis.given(strategies.data())
     def test_replies(self, data: strategies.DataObject) -> None:
-        load = placesplay.Load(hosts=2, runners=2, part=0.0001, seconds=0.5)
-        play = placesplay.Play(load, 1)
+        load = placesimulation.Load(
+            hosts=2, runners=2, utilisation=0.0001, seconds=0.5
+        )
+        play = placesimulation.Simulation(load, 1)
         host = next(iter(play.hosts.values()))
         ticket = gatewayparts.make_queued_request('a1', 0.0)
         for other in play.hosts.values():
@@ -261,8 +263,8 @@
         )
         reply = self.decode(data.draw(generate_corrupted(good)))
         if isinstance(reply, placemessages.PlaceReply):
-            host.dispatcher.take_reply(reply, 0.1)
-        play.play()
+            host.dispatcher.handle_reply(reply, 0.1)
+        play.simulate()
         # The request is decided whatever the reply contained.
         self.assertIsNotNone(ticket.decision)
 
@@ -296,7 +298,7 @@
         wait_s=0.5,
         is_stopping=False,
     ),
-    allowancemessages.KeeperNews(
+    allowancemessages.UsageUpdate(
         ids.Incarnation('host-2.1'), {FESTIN.name: 20.0}, {FESTIN.name: 10.0}
     ),
 )
@@ -321,12 +323,12 @@
             now += 0.1
             message = self.decode(data)
             if isinstance(message, allowancemessages.AllowanceRequest):
-                play.keeper.take(message, now)
+                play.grantor.handle_request(message, now)
             elif isinstance(message, allowancemessages.AllowanceReply):
-                play.keeper.take_reply(message, now)
-            elif isinstance(message, allowancemessages.KeeperNews):
-                play.keeper.hear_news(message, now)
-        play.keeper.tick(now)
+                play.grantor.handle_reply(message, now)
+            elif isinstance(message, allowancemessages.UsageUpdate):
+                play.grantor.handle_usage_update(message, now)
+        play.grantor.tick(now)
         for sent in play.hosts.take_sent():
             if isinstance(sent, allowancemessages.AllowanceReply):
                 self.assertTrue(0 <= sent.wait_s < math.inf)
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -614,39 +614,39 @@
 
     def test_latest_state_counts(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(1, {'r1': 3}), 0.0)
-        found.take(self.make_state(2, {'r1': 1, 'r2': 2}), 0.1)
+        found.handle_state(self.make_state(1, {'r1': 3}), 0.0)
+        found.handle_state(self.make_state(2, {'r1': 1, 'r2': 2}), 0.1)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
         self.assertEqual(2, found.count_running(gatewayparts.make_start('r2')))
 
     def test_state_that_arrives_late_is_ignored(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(2, {'r1': 1}), 0.0)
-        found.take(self.make_state(1, {'r1': 3}), 0.1)
+        found.handle_state(self.make_state(2, {'r1': 1}), 0.0)
+        found.handle_state(self.make_state(1, {'r1': 3}), 0.1)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
 
     def test_silent_peer_is_ignored_until_it_reports(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(1, {'r1': 3}), 0.0)
+        found.handle_state(self.make_state(1, {'r1': 3}), 0.0)
         found.drop_silent(1.0)
         self.assertEqual(0, found.count_running(gatewayparts.make_start('r1')))
         self.assertEqual(0.5, found.find_silent_share())
-        found.take(self.make_state(2, {'r1': 2}), 1.1)
+        found.handle_state(self.make_state(2, {'r1': 2}), 1.1)
         self.assertEqual(2, found.count_running(gatewayparts.make_start('r1')))
         self.assertEqual(0.0, found.find_silent_share())
 
     def test_restarted_peer_replaces_its_predecessor(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(9, {'r1': 3}), 0.0)
-        found.take(self.make_state(1, {'r1': 1}, 'b/2'), 0.1)
-        found.take(self.make_state(10, {'r1': 3}), 0.2)
+        found.handle_state(self.make_state(9, {'r1': 3}), 0.0)
+        found.handle_state(self.make_state(1, {'r1': 1}, 'b/2'), 0.1)
+        found.handle_state(self.make_state(10, {'r1': 3}), 0.2)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
 
     def test_change_counts_from_the_state_before(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(1, {'r1': 3}), 0.0)
+        found.handle_state(self.make_state(1, {'r1': 3}), 0.0)
         change = make_change('b/1', 2, {'r1': 1, 'r2': 2}, {'festin': 7.0})
-        found.take_change(change, 0.1)
+        found.handle_change(change, 0.1)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
         self.assertEqual(2, found.count_running(gatewayparts.make_start('r2')))
         peer = found.peers[ids.Host('b')]
@@ -658,27 +658,27 @@
         found = self.make_mesh()
         state = self.make_state(1, {})
         usage = {ids.Organisation('festin'): 5.0}
-        found.take(dataclasses.replace(state, usage=usage), 0.0)
-        found.take_change(make_change('b/1', 2, {}, {'ishami': 1.0}), 0.1)
+        found.handle_state(dataclasses.replace(state, usage=usage), 0.0)
+        found.handle_change(make_change('b/1', 2, {}, {'ishami': 1.0}), 0.1)
         peer = found.peers[ids.Host('b')]
         self.assertEqual({'festin': 5.0, 'ishami': 1.0}, peer.state.usage)
 
     def test_change_of_an_unknown_process_is_ignored(self) -> None:
         found = self.make_mesh()
-        found.take_change(make_change('b/1', 2, {'r1': 1}), 0.0)
+        found.handle_change(make_change('b/1', 2, {'r1': 1}), 0.0)
         self.assertEqual({}, found.peers)
 
     def test_change_of_an_ended_process_is_ignored(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(9, {'r1': 3}), 0.0)
-        found.take(self.make_state(1, {'r1': 1}, 'b/2'), 0.1)
-        found.take_change(make_change('b/1', 10, {'r1': 5}), 0.2)
+        found.handle_state(self.make_state(9, {'r1': 3}), 0.0)
+        found.handle_state(self.make_state(1, {'r1': 1}, 'b/2'), 0.1)
+        found.handle_change(make_change('b/1', 10, {'r1': 5}), 0.2)
         self.assertEqual(1, found.count_running(gatewayparts.make_start('r1')))
 
     def test_change_that_arrives_late_is_ignored(self) -> None:
         found = self.make_mesh()
-        found.take(self.make_state(3, {'r1': 3}), 0.0)
-        found.take_change(make_change('b/1', 2, {'r1': 5}), 0.1)
+        found.handle_state(self.make_state(3, {'r1': 3}), 0.0)
+        found.handle_change(make_change('b/1', 2, {'r1': 5}), 0.1)
         self.assertEqual(3, found.count_running(gatewayparts.make_start('r1')))
 
     def test_change_takes_a_third_of_the_bytes(self) -> None:
@@ -736,7 +736,7 @@
                 group.start_soon(second.run)
                 with anyio.fail_after(10):
                     while len(numbers) < 40:
-                        first.tell()
+                        first.request_update()
                         await anyio.sleep(0.01)
                 group.cancel_scope.cancel()
 
--- a/tests/test_gateway_shared_allowances.py
+++ b/tests/test_gateway_shared_allowances.py
@@ -1,4 +1,4 @@
-"""An allowance that one host keeps for all, message by message."""
+"""An allowance that one host grants for all, message by message."""
 
 import random
 
@@ -15,20 +15,20 @@
 import gatewayparts
 
 FESTIN = gatewayparts.make_organisation(1000.0)
-SLACK = 0.0
-# A time at which hosts have run for long.
+SLACK_UNITS = 0.0
+# A time long after the start of the hosts.
 NOW = 100.0
 
 
 class Hosts:
-    """Two hosts of a large system; messages wait until they are passed."""
+    """Two hosts of a large system; messages wait until they are delivered."""
 
     def __init__(self, names: list[ids.Host]) -> None:
         self.changes = 0
         self.names = names
         self.sent: list[object] = []
 
-    def is_divided(self) -> bool:
+    def has_multiple_groups(self) -> bool:
         return True
 
     def list_coordinators(self) -> list[ids.Host]:
@@ -38,7 +38,7 @@
         return addresses.Address('127.0.0.1', 1 + self.names.index(host))
 
     def send(self, message: object, address: addresses.Address) -> None:
-        # As on the wire.
+        # Encoded as on the wire.
         data = messages.registry.encode(message)
         self.sent.append(messages.registry.decode(data))
 
@@ -48,29 +48,31 @@
 
 
 class Pair:
-    """A host that asks, and the one that keeps the allowance."""
+    """A host that asks for units, and the coordinator that grants them."""
 
     def __init__(self) -> None:
         names = [ids.Host('host-1'), ids.Host('host-2')]
         name = f'allowance/{FESTIN.name}'
-        self.keeper_name, self.asker_name = candidates.rank_hosts(name, names)
+        self.grantor_name, self.requester_name = candidates.rank_hosts(
+            name, names
+        )
         self.hosts = Hosts(names)
         self.is_stopping = False
-        self.keeper = self.make(self.keeper_name)
-        self.asker = self.make(self.asker_name)
+        self.grantor = self.make(self.grantor_name)
+        self.requester = self.make(self.requester_name)
 
     def make(self, host: ids.Host) -> sharedallowances.SharedAllowances:
         address = self.hosts.find_address(host)
         assert address is not None
         others = mesh.Mesh(host, address, (), random.Random(1))
-        own = allowances.Allowances(SLACK, others, 0.0)
-        own.note_listed()
+        own = allowances.Allowances(SLACK_UNITS, others, 0.0)
+        own.mark_hosts_listed()
         return sharedallowances.SharedAllowances(
             host,
             address,
             ids.Incarnation(f'{host}/1'),
             own,
-            SLACK,
+            SLACK_UNITS,
             self.hosts,
             candidates.Candidates(host, self.hosts),
             lambda name: FESTIN if name == FESTIN.name else None,
@@ -81,51 +83,51 @@
     def pass_messages(self, now: float) -> None:
         for message in self.hosts.take_sent():
             if isinstance(message, allowancemessages.AllowanceRequest):
-                self.keeper.take(message, now)
+                self.grantor.handle_request(message, now)
             elif isinstance(message, allowancemessages.AllowanceReply):
-                self.asker.take_reply(message, now)
+                self.requester.handle_reply(message, now)
 
-    def ask(self, cost: float, now: float) -> sharedallowances.Question:
-        question = self.asker.ask(FESTIN, cost, now)
+    def ask(self, cost: float, now: float) -> sharedallowances.UnitRequest:
+        unit_request = self.requester.ask(FESTIN, cost, now)
         self.pass_messages(now)
         self.pass_messages(now)
-        return question
+        return unit_request
 
-    def tell_news(self, now: float) -> None:
+    def pass_updates(self, now: float) -> None:
         for message in self.hosts.take_sent():
-            if isinstance(message, allowancemessages.KeeperNews):
-                self.asker.hear_news(message, now)
+            if isinstance(message, allowancemessages.UsageUpdate):
+                self.requester.handle_usage_update(message, now)
 
 
-class TestKeptAllowance(testtools.TestCase):
-    """One organisation's allowance, kept by one of two hosts."""
+class TestSharedAllowance(testtools.TestCase):
+    """One organisation's allowance, coordinated by one of two hosts."""
 
     def setUp(self) -> None:
         super().setUp()
         self.pair = Pair()
 
-    def test_units_are_handed_out_once(self) -> None:
+    def test_units_are_granted_once(self) -> None:
         self.assertIsNone(self.pair.ask(1000.0, NOW).wait_s)
         refused = self.pair.ask(1000.0, NOW)
         assert refused.wait_s is not None
         self.assertGreater(refused.wait_s, 0.5)
 
     def test_lost_reply_costs_nothing(self) -> None:
-        # Guards against an organisation that pays twice for one request
-        # because the first answer was lost.
-        question = self.pair.asker.ask(FESTIN, 600.0, NOW)
+        # Guards against an organisation that is charged twice for one request
+        # because the first reply was lost.
+        unit_request = self.pair.requester.ask(FESTIN, 600.0, NOW)
         self.pair.pass_messages(NOW)
         self.pair.hosts.take_sent()
-        self.pair.asker.tick(NOW + candidates.RESEND_TIME + 0.01)
+        self.pair.requester.tick(NOW + candidates.RESEND_INTERVAL_S + 0.01)
         self.pair.pass_messages(NOW)
         self.pair.pass_messages(NOW)
-        self.assertTrue(question.answered.is_set())
-        self.assertIsNone(question.wait_s)
+        self.assertTrue(unit_request.answered.is_set())
+        self.assertIsNone(unit_request.wait_s)
         self.assertIsNone(self.pair.ask(400.0, NOW).wait_s)
 
     def test_returned_units_are_there_again(self) -> None:
-        question = self.pair.ask(1000.0, NOW)
-        self.pair.asker.give_back(question, NOW)
+        unit_request = self.pair.ask(1000.0, NOW)
+        self.pair.requester.give_back(unit_request, NOW)
         self.pair.pass_messages(NOW)
         self.assertIsNone(self.pair.ask(1000.0, NOW).wait_s)
 
@@ -133,49 +135,51 @@
         # Guards against an allowance that grows with each refusal.
         self.pair.ask(1000.0, NOW)
         refused = self.pair.ask(1000.0, NOW)
-        self.pair.asker.give_back(refused, NOW)
+        self.pair.requester.give_back(refused, NOW)
         self.pair.pass_messages(NOW)
         self.assertIsNotNone(self.pair.ask(1000.0, NOW).wait_s)
 
-    def test_return_that_overtakes_its_question_is_worth_nothing(self) -> None:
-        # Guards against units that are returned and then handed out to a
-        # caller that has left, or returned without having been handed out.
-        question = self.pair.asker.ask(FESTIN, 1000.0, NOW)
+    def test_return_before_its_request_refunds_nothing(self) -> None:
+        # Guards against units that are returned and then granted to a caller
+        # that has left, or returned without having been granted.
+        unit_request = self.pair.requester.ask(FESTIN, 1000.0, NOW)
         asked = self.pair.hosts.take_sent()
-        self.pair.asker.give_back(question, NOW)
+        self.pair.requester.give_back(unit_request, NOW)
         self.pair.pass_messages(NOW)
         self.pair.hosts.sent = asked
         self.pair.pass_messages(NOW)
         self.assertIsNone(self.pair.ask(1000.0, NOW).wait_s)
         self.assertIsNotNone(self.pair.ask(1000.0, NOW).wait_s)
 
-    def test_silent_keeper_is_passed_over(self) -> None:
-        # Guards against callers that wait for a host that is gone.
-        question = self.pair.asker.ask(FESTIN, 100.0, NOW)
+    def test_silent_coordinator_is_skipped(self) -> None:
+        # Guards against callers that wait for a host that has ended.
+        unit_request = self.pair.requester.ask(FESTIN, 100.0, NOW)
         self.pair.hosts.take_sent()
-        self.pair.asker.tick(NOW + candidates.SILENT_TIME + 0.01)
+        self.pair.requester.tick(NOW + candidates.REPLY_TIMEOUT_S + 0.01)
         # The next in the order is the asking host itself.
-        self.assertTrue(question.answered.is_set())
-        self.assertIsNone(question.wait_s)
+        self.assertTrue(unit_request.answered.is_set())
+        self.assertIsNone(unit_request.wait_s)
 
-    def test_next_keeper_knows_what_was_handed_out(self) -> None:
-        # Guards against an allowance that is handed out again because the
-        # host that kept it was lost.
+    def test_next_coordinator_knows_granted_units(self) -> None:
+        # Guards against an allowance that is granted again because its
+        # coordinator was lost.
         now = NOW
-        self.pair.keeper.tick(now)
-        self.pair.tell_news(now)
+        self.pair.grantor.tick(now)
+        self.pair.pass_updates(now)
         self.assertIsNone(self.pair.ask(1000.0, now).wait_s)
-        self.pair.keeper.tick(now + sharedallowances.NEWS_INTERVAL + 0.01)
-        self.pair.tell_news(now)
-        question = self.pair.asker.ask(FESTIN, 1000.0, now)
+        self.pair.grantor.tick(
+            now + sharedallowances.USAGE_UPDATE_INTERVAL_S + 0.01
+        )
+        self.pair.pass_updates(now)
+        unit_request = self.pair.requester.ask(FESTIN, 1000.0, now)
         self.pair.hosts.take_sent()
-        self.pair.asker.tick(now + candidates.SILENT_TIME + 0.01)
-        self.assertTrue(question.answered.is_set())
-        self.assertIsNotNone(question.wait_s)
+        self.pair.requester.tick(now + candidates.REPLY_TIMEOUT_S + 0.01)
+        self.assertTrue(unit_request.answered.is_set())
+        self.assertIsNotNone(unit_request.wait_s)
 
-    def test_keeper_that_stops_is_left(self) -> None:
+    def test_stopping_coordinator_is_skipped(self) -> None:
         self.pair.is_stopping = True
         self.pair.ask(100.0, NOW)
-        question = self.pair.asker.ask(FESTIN, 100.0, NOW)
+        unit_request = self.pair.requester.ask(FESTIN, 100.0, NOW)
         # Answered by the next in the order, at once.
-        self.assertTrue(question.answered.is_set())
+        self.assertTrue(unit_request.answered.is_set())
