--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -131,8 +131,9 @@
         """Start without subsets.
 
         While ``knows_runners`` returns False, requests get no reply.
-        ``find_hold_time`` returns the seconds for which this host's own requests
-        hold a place of a service, as the first estimate for a new subset.
+        ``find_hold_time`` returns the seconds for which this host's own
+        requests hold a place of a service, as the first estimate for a new
+        subset.
         """
         self._host = host
         self._runners = runners
