--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -13,16 +13,11 @@
 import statistics
 import time
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.decisions import scheduler, waiting
+from apricotlandingd.gateway.hosts import mesh, messages
+from apricotlandingd.gateway.runners import directory, health, latency
 
 POOL = ids.Pool('pool')
 ROUNDS = 5
@@ -83,7 +78,7 @@
             )
         )
     return scheduler.Scheduler(
-        known, pace.Paces(), health.Health(), others, random.Random(1)
+        known, latency.Paces(), health.Health(), others, random.Random(1)
     )
 
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -12,7 +12,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import latency
 
 __all__ = ['Option', 'choose_runner']
 
@@ -37,7 +37,7 @@
     # Places taken and in all.
     used: int
     slots: int
-    pace: pace.Pace
+    latency: latency.Pace
     is_avoided: bool
     # This host sent the prompt's last part there a short time ago.
     has_part: bool
@@ -67,15 +67,15 @@
 
 
 def _predict(ticket: waiting.Ticket, option: Option, is_home: bool) -> float:
-    read = option.pace.read_s * ticket.prompt_tokens
+    read = option.latency.read_s * ticket.prompt_tokens
     saved = 0.0
     if option.has_part:
         saved = read
     elif is_home:
         saved = read * HOME_PREFERENCE
     load = 1 + FULL_SLOWDOWN * option.used / option.slots
-    rest = option.pace.write_s * ticket.events
-    return option.pace.start_s + read - saved + rest * load
+    rest = option.latency.write_s * ticket.events
+    return option.latency.start_s + read - saved + rest * load
 
 
 def _rate_home(part: str, start: ids.RunnerStart) -> int:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -17,13 +17,9 @@
 import eliot
 
 from apricotlanding import ids
-from apricotlandingd.gateway.decisions import placement
-from apricotlandingd.gateway.decisions import places
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.decisions import placement, places, waiting
+from apricotlandingd.gateway.runners import directory, health, latency
 
 __all__ = ['Others', 'Scheduler', 'Selection']
 
@@ -124,7 +120,7 @@
     def __init__(
         self,
         runners: directory.Directory,
-        paces: pace.Paces,
+        paces: latency.Paces,
         fitness: health.Health,
         others: Others,
         spread: random.Random,
@@ -326,7 +322,7 @@
                 runner=entry.start,
                 used=entry.slots - view.free[entry.start],
                 slots=entry.slots,
-                pace=self._paces.find(entry.service, entry.start),
+                latency=self._paces.find(entry.service, entry.start),
                 is_avoided=entry.start in view.avoided,
                 has_part=self._has_part(ticket.last_part, entry.start, now),
             )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -12,19 +12,17 @@
 import random
 import typing as ty
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
-from apricotlandingd.gateway.runners import starts
+from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
+from apricotlandingd.gateway.hosts import messages, placemessages
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    latency,
+    observations,
+    starts,
+)
 
 __all__ = ['Coordinator', 'Outgoing']
 
@@ -120,7 +118,7 @@
         self,
         host: ids.Host,
         runners: directory.Directory,
-        paces: pace.Paces,
+        paces: latency.Paces,
         fitness: health.Health,
         spread: random.Random,
         is_stopping: collections.abc.Callable[[], bool],
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -31,41 +31,48 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import asgi
-from apricotlanding import clocks
-from apricotlanding import ids
-from apricotlanding import retrybudget
-from apricotlanding import shutdown
-from apricotlanding import supervisor
-from apricotlandingd.gateway import catalogue
+from apricotlanding import (
+    addresses,
+    asgi,
+    clocks,
+    ids,
+    retrybudget,
+    shutdown,
+    supervisor,
+)
+from apricotlandingd.gateway import catalogue, dialect
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import dispatch
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import sharedallowances
-from apricotlandingd.gateway.process import foreigninput
-from apricotlandingd.gateway.process import hoststates
-from apricotlandingd.gateway.process import measures
-from apricotlandingd.gateway.process import settings
-from apricotlandingd.gateway.process import stalls
-from apricotlandingd.gateway.replication import catchup
-from apricotlandingd.gateway.replication import freshness
-from apricotlandingd.gateway.replication import recordexchange
-from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.replication import storereader
-from apricotlandingd.gateway.replication import waits
-from apricotlandingd.gateway.requests import habits
-from apricotlandingd.gateway.requests import listener
-from apricotlandingd.gateway.requests import parts
-from apricotlandingd.gateway.requests import runnerclients
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.hosts import (
+    allowances,
+    candidates,
+    coordinator,
+    dispatch,
+    mesh,
+    messages,
+    sharedallowances,
+)
+from apricotlandingd.gateway.process import (
+    foreigninput,
+    hoststates,
+    measures,
+    settings,
+    stalls,
+)
+from apricotlandingd.gateway.replication import (
+    catchup,
+    freshness,
+    recordexchange,
+    records,
+    storereader,
+    waits,
+)
+from apricotlandingd.gateway.requests import (
+    habits,
+    listener,
+    parts,
+    runnerclients,
+)
+from apricotlandingd.gateway.runners import directory, health, latency
 
 __all__ = ['Gateway']
 
@@ -183,7 +190,7 @@
         bounds = config.bounds
         now = clocks.read_monotonic()
         self._stalls = stalls.StallWatch()
-        self._paces = pace.Paces()
+        self._paces = latency.Paces()
         self._health = health.Health()
         self._allowances = allowances.Allowances(
             bounds.quota_slack, self._mesh, now
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
@@ -7,18 +7,16 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import ids
-from apricotlanding import retrybudget
-from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import allowances
-from apricotlandingd.gateway.hosts import dispatch
-from apricotlandingd.gateway.hosts import sharedallowances
+from apricotlanding import ids, retrybudget
+from apricotlandingd.gateway import catalogue, dialect
+from apricotlandingd.gateway.hosts import (
+    allowances,
+    dispatch,
+    sharedallowances,
+)
 from apricotlandingd.gateway.process import measures
-from apricotlandingd.gateway.requests import habits
-from apricotlandingd.gateway.requests import runnerclient
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.requests import habits, runnerclient
+from apricotlandingd.gateway.runners import directory, latency
 
 __all__ = ['Parts']
 
@@ -34,7 +32,7 @@
     retry_budget: retrybudget.RetryBudget
     dispatcher: dispatch.Dispatcher
     directory: directory.Directory
-    paces: pace.Paces
+    paces: latency.Paces
     measures: measures.Measures
     find_catalogue: collections.abc.Callable[[], catalogue.Catalogue | None]
     find_client: collections.abc.Callable[
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/pace.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -69,13 +69,13 @@
         seconds: float,
     ) -> None:
         """Learn from the time to a first event."""
-        pace = self._open(service, runner)
-        pace.answers += 1
+        latency = self._open(service, runner)
+        latency.answers += 1
         if prompt_tokens < 500:
-            pace.start_s = _blend(pace.start_s, seconds)
+            latency.start_s = _blend(latency.start_s, seconds)
             return
-        rest = max(0.0, seconds - pace.start_s)
-        pace.read_s = _blend(pace.read_s, rest / prompt_tokens)
+        rest = max(0.0, seconds - latency.start_s)
+        latency.read_s = _blend(latency.read_s, rest / prompt_tokens)
 
     def note_rest(
         self,
@@ -87,14 +87,14 @@
         """Learn from the time from the first event to the last."""
         if events < FEW_EVENTS:
             return
-        pace = self._open(service, runner)
-        pace.write_s = _blend(pace.write_s, seconds / (events - 1))
+        latency = self._open(service, runner)
+        latency.write_s = _blend(latency.write_s, seconds / (events - 1))
 
     def find(self, service: ids.Pool, runner: ids.RunnerStart) -> Pace:
         """Return a runner's speed, or that of the middle one."""
-        pace = self._paces.get(runner)
-        if pace is not None and pace.answers > 0:
-            return pace
+        latency = self._paces.get(runner)
+        if latency is not None and latency.answers > 0:
+            return latency
         return self.find_usual(service)
 
     def find_usual(self, service: ids.Pool) -> Pace:
@@ -107,9 +107,9 @@
         if not known:
             return Pace()
         return Pace(
-            start_s=statistics.median(pace.start_s for pace in known),
-            read_s=statistics.median(pace.read_s for pace in known),
-            write_s=statistics.median(pace.write_s for pace in known),
+            start_s=statistics.median(latency.start_s for latency in known),
+            read_s=statistics.median(latency.read_s for latency in known),
+            write_s=statistics.median(latency.write_s for latency in known),
         )
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -10,8 +10,7 @@
 import typing as ty
 
 from apricotlanding import ids
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import health, latency
 
 __all__ = ['Kind', 'Observation', 'apply']
 
@@ -51,7 +50,7 @@
         Observation,
         ids.Pool,
         ids.RunnerStart,
-        pace.Paces,
+        latency.Paces,
         health.Health,
         float,
     ],
@@ -64,7 +63,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
+    paces: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -87,7 +86,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
+    paces: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -99,7 +98,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
+    paces: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -111,7 +110,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
+    paces: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -123,7 +122,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
+    paces: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -135,7 +134,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
+    paces: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -147,7 +146,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
+    paces: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
--- a/tests/placesplay.py
+++ b/tests/placesplay.py
@@ -13,21 +13,23 @@
 import random
 import typing as ty
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import dispatch
-from apricotlandingd.gateway.hosts import groups
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import gatewayparts
+from apricotlanding import addresses, ids
+from apricotlandingd.gateway.decisions import scheduler, waiting
+from apricotlandingd.gateway.hosts import (
+    candidates,
+    coordinator,
+    dispatch,
+    groups,
+    messages,
+    placemessages,
+)
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    latency,
+    observations,
+)
 
 __all__ = ['Load', 'Outcome', 'Play']
 
@@ -202,7 +204,7 @@
         name = ids.Host(f'host-{number}')
         address = addresses.Address('127.0.0.1', 1000 + number)
         process = ids.Incarnation(f'{name}/1')
-        paces, fitness = pace.Paces(), health.Health()
+        paces, fitness = latency.Paces(), health.Health()
         local = self.make_scheduler(paces, fitness)
         own = coordinator.Coordinator(
             name,
@@ -232,14 +234,14 @@
 
     def make_scheduler(
         self,
-        paces: pace.Paces | None = None,
+        paces: latency.Paces | None = None,
         fitness: health.Health | None = None,
     ) -> scheduler.Scheduler:
         """Return what a host decides by that reaches no coordinator."""
         count = max(1, round(self.load.hosts / PARTITION_HOSTS))
         return scheduler.Scheduler(
             self.known,
-            paces or pace.Paces(),
+            paces or latency.Paces(),
             fitness or health.Health(),
             _Alone(count),
             self.spread,
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -6,23 +6,15 @@
 import anyio
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlanding import retrybudget
-from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
+import gatewayparts
+from apricotlanding import addresses, ids, retrybudget
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import groups
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.decisions import quotas, scheduler, waiting
+from apricotlandingd.gateway.hosts import groups, mesh, messages
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.requests import streams
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import directory, health, latency
 from apricotstandins import processes
-import gatewayparts
 
 FESTIN = gatewayparts.make_organisation(100.0)
 
@@ -56,7 +48,7 @@
         for name in ('r1', 'r2'):
             self.runners.update(gatewayparts.make_entry(name))
         self.health = health.Health()
-        self.paces = pace.Paces()
+        self.paces = latency.Paces()
         self.scheduler = scheduler.Scheduler(
             self.runners,
             self.paces,
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -6,19 +6,22 @@
 
 import testtools
 
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.hosts import candidates
-from apricotlandingd.gateway.hosts import coordinator
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.hosts import placemessages
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import gatewayparts
 import placesplay
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import subsets, waiting
+from apricotlandingd.gateway.hosts import (
+    candidates,
+    coordinator,
+    messages,
+    placemessages,
+)
+from apricotlandingd.gateway.runners import (
+    directory,
+    health,
+    latency,
+    observations,
+)
 
 HOSTS, RUNNERS = 60, 24
 
@@ -169,7 +172,7 @@
         entry = gatewayparts.make_entry('i-1')
         known.update(entry)
         self.runner = entry.start
-        self.paces = pace.Paces()
+        self.paces = latency.Paces()
         self.coordinator = coordinator.Coordinator(
             ids.Host('host-1'),
             known,
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -7,22 +7,14 @@
 import anyio
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlanding import webclient
-from apricotlandingd.gateway.decisions import places
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
+import gatewayparts
+from apricotlanding import addresses, ids, webclient
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.requests import runnerclient
-from apricotlandingd.gateway.requests import runnerclients
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.decisions import places, scheduler, waiting
+from apricotlandingd.gateway.hosts import mesh, messages
+from apricotlandingd.gateway.requests import runnerclient, runnerclients
+from apricotlandingd.gateway.runners import directory, health, latency
 from apricotplatform import registrations
-import gatewayparts
 
 RUNNER = ids.Runner('r1')
 # Unix milliseconds: two starts of the runner.
@@ -154,7 +146,7 @@
             (),
             self.spread,
         )
-        self.paces = pace.Paces()
+        self.paces = latency.Paces()
         self.health = health.Health()
         self.scheduler = scheduler.Scheduler(
             self.runners, self.paces, self.health, self.others, self.spread
@@ -248,7 +240,7 @@
         self.assertEqual(set(), self.health.list_avoided([LATER, LATER], 0.1))
         self.paces.keep_only({LATER})
         found = self.paces.find(gatewayparts.POOL, LATER)
-        self.assertEqual(pace.FIRST_START, found.start_s)
+        self.assertEqual(latency.FIRST_START, found.start_s)
 
     def test_stated_loads_are_dropped(self) -> None:
         # Each restart left an entry behind for as long as the process ran.
@@ -267,7 +259,7 @@
         quick, slow = (gatewayparts.make_start(name, 1) for name in 'ab')
         for name in 'ab':
             runners.update(gatewayparts.make_entry(name, birth=1))
-        paces = pace.Paces()
+        paces = latency.Paces()
         found = scheduler.Scheduler(
             runners,
             paces,
