--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -37,7 +37,7 @@
     # Places taken and in all.
     used: int
     slots: int
-    latency: latency.Pace
+    latency: latency.LatencyEstimate
     is_avoided: bool
     # This host sent the prompt's last part there a short time ago.
     has_part: bool
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -13,7 +13,7 @@
 
 from apricotlanding import ids
 
-__all__ = ['Pace', 'Paces']
+__all__ = ['LatencyEstimate', 'Paces']
 
 # Weight of the newest answer: a runner that turns slow shows after three.
 NEWEST_WEIGHT = 0.3
@@ -32,7 +32,7 @@
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class Pace:
+class LatencyEstimate:
     """Speed of one runner."""
 
     # Seconds to the answer or the first event, beyond reading the prompt.
@@ -58,7 +58,7 @@
 
     def __init__(self) -> None:
         """Start without any answers."""
-        self._paces: dict[ids.RunnerStart, Pace] = {}
+        self._paces: dict[ids.RunnerStart, LatencyEstimate] = {}
         self._services: dict[ids.Pool, set[ids.RunnerStart]] = {}
 
     def note_first(
@@ -90,14 +90,16 @@
         latency = self._open(service, runner)
         latency.write_s = _blend(latency.write_s, seconds / (events - 1))
 
-    def find(self, service: ids.Pool, runner: ids.RunnerStart) -> Pace:
+    def find(
+        self, service: ids.Pool, runner: ids.RunnerStart
+    ) -> LatencyEstimate:
         """Return a runner's speed, or that of the middle one."""
         latency = self._paces.get(runner)
         if latency is not None and latency.answers > 0:
             return latency
         return self.find_usual(service)
 
-    def find_usual(self, service: ids.Pool) -> Pace:
+    def find_usual(self, service: ids.Pool) -> LatencyEstimate:
         """Return the speed of the middle runner of a service."""
         known = [
             self._paces[runner]
@@ -105,8 +107,8 @@
             if self._paces[runner].answers > 0
         ]
         if not known:
-            return Pace()
-        return Pace(
+            return LatencyEstimate()
+        return LatencyEstimate(
             start_s=statistics.median(latency.start_s for latency in known),
             read_s=statistics.median(latency.read_s for latency in known),
             write_s=statistics.median(latency.write_s for latency in known),
@@ -119,9 +121,11 @@
         for members in self._services.values():
             members &= runners
 
-    def _open(self, service: ids.Pool, runner: ids.RunnerStart) -> Pace:
+    def _open(
+        self, service: ids.Pool, runner: ids.RunnerStart
+    ) -> LatencyEstimate:
         self._services.setdefault(service, set()).add(runner)
-        return self._paces.setdefault(runner, Pace())
+        return self._paces.setdefault(runner, LatencyEstimate())
 
 
 def _blend(old: float, newest: float) -> float:
