--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -120,14 +120,14 @@
     def __init__(
         self,
         runners: directory.Directory,
-        paces: latency.Paces,
+        latencies: latency.Paces,
         fitness: health.Health,
         others: Others,
         spread: random.Random,
     ) -> None:
         """Start without requests."""
         self._runners = runners
-        self._paces = paces
+        self._paces = latencies
         self._health = fitness
         self._others = others
         self._spread = spread
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -118,7 +118,7 @@
         self,
         host: ids.Host,
         runners: directory.Directory,
-        paces: latency.Paces,
+        latencies: latency.Paces,
         fitness: health.Health,
         spread: random.Random,
         is_stopping: collections.abc.Callable[[], bool],
@@ -134,7 +134,7 @@
         self._host = host
         self._runners = runners
         self._starts = starts.Starts(runners)
-        self._paces = paces
+        self._paces = latencies
         self._health = fitness
         self._spread = spread
         self._is_stopping = is_stopping
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -94,7 +94,7 @@
         local: scheduler.Scheduler,
         own: coordinator.Coordinator,
         runners: directory.Directory,
-        paces: latency.Paces,
+        latencies: latency.Paces,
         fitness: health.Health,
         hosts: candidates.Hosts,
         asked: candidates.Candidates,
@@ -112,7 +112,7 @@
         self._own = own
         self._runners = runners
         self._starts = starts.Starts(runners)
-        self._paces = paces
+        self._paces = latencies
         self._health = fitness
         self._hosts = hosts
         self._candidates = asked
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -265,7 +265,7 @@
             retry_budget=self._retry_budget,
             dispatcher=self._dispatcher,
             directory=self._directory,
-            paces=self._paces,
+            latencies=self._paces,
             measures=self._measures,
             find_catalogue=lambda: self._catalogue,
             find_client=self._clients.find,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -23,21 +23,18 @@
 import anyio
 import eliot
 
-from apricotlanding import asgi
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import taskgroups
-from apricotlanding import webclient
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import asgi, clocks, errors, ids, taskgroups, webclient
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.requests import admission
-from apricotlandingd.gateway.requests import parts
-from apricotlandingd.gateway.requests import replies
-from apricotlandingd.gateway.requests import runnerclient
-from apricotlandingd.gateway.requests import silence
-from apricotlandingd.gateway.requests import streams
-from apricotlandingd.gateway.requests import tickets
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.requests import (
+    admission,
+    parts,
+    replies,
+    runnerclient,
+    silence,
+    streams,
+    tickets,
+)
 from apricotlandingd.gateway.runners import observations
 
 __all__ = ['Exchange']
@@ -353,7 +350,7 @@
         if not self._can_leave():
             yield guard
             return
-        found = self._parts.paces.find(self._asked.service, entry.start)
+        found = self._parts.latencies.find(self._asked.service, entry.start)
         first = found.find_first(self._asked.head.prompt_tokens)
         guard.extend(
             silence.find_first_patience(self._asked.route.objective_s, first)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -10,8 +10,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.requests import admission
-from apricotlandingd.gateway.requests import parts
+from apricotlandingd.gateway.requests import admission, parts
 
 __all__ = ['Progress', 'make_ticket']
 
@@ -45,7 +44,7 @@
 ) -> waiting.Ticket:
     """Return the ticket of a request that is about to wait."""
     route, head = asked.route, asked.head
-    usual = shared.paces.find_usual(asked.service)
+    usual = shared.latencies.find_usual(asked.service)
     first = usual.find_first(head.prompt_tokens)
     began = shared.habits.find_beginning(
         route.name, asked.given_s, asked.arrived_at
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -63,14 +63,14 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: latency.Paces,
+    latencies: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
     """Learn from what was seen of a runner of a service."""
     applier = _appliers.get(seen.kind)
     if applier is not None:
-        applier(seen, service, start, paces, fitness, now)
+        applier(seen, service, start, latencies, fitness, now)
 
 
 def _applies(kind: Kind) -> collections.abc.Callable[[_Applier], _Applier]:
@@ -86,11 +86,11 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: latency.Paces,
+    latencies: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
-    paces.note_first(service, start, seen.amount, seen.seconds)
+    latencies.note_first(service, start, seen.amount, seen.seconds)
 
 
 @_applies(Kind.REST)
@@ -98,11 +98,11 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: latency.Paces,
+    latencies: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
-    paces.note_rest(service, start, seen.amount, seen.seconds)
+    latencies.note_rest(service, start, seen.amount, seen.seconds)
 
 
 @_applies(Kind.SUCCESS)
@@ -110,7 +110,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: latency.Paces,
+    latencies: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -122,7 +122,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: latency.Paces,
+    latencies: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -134,7 +134,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: latency.Paces,
+    latencies: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -146,7 +146,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: latency.Paces,
+    latencies: latency.Paces,
     fitness: health.Health,
     now: float,
 ) -> None:
--- a/tests/placesplay.py
+++ b/tests/placesplay.py
@@ -204,12 +204,12 @@
         name = ids.Host(f'host-{number}')
         address = addresses.Address('127.0.0.1', 1000 + number)
         process = ids.Incarnation(f'{name}/1')
-        paces, fitness = latency.Paces(), health.Health()
-        local = self.make_scheduler(paces, fitness)
+        latencies, fitness = latency.Paces(), health.Health()
+        local = self.make_scheduler(latencies, fitness)
         own = coordinator.Coordinator(
             name,
             self.known,
-            paces,
+            latencies,
             fitness,
             self.spread,
             lambda: False,
@@ -224,7 +224,7 @@
             local,
             own,
             self.known,
-            paces,
+            latencies,
             fitness,
             hosts,
             candidates.Candidates(name, hosts),
@@ -234,14 +234,14 @@
 
     def make_scheduler(
         self,
-        paces: latency.Paces | None = None,
+        latencies: latency.Paces | None = None,
         fitness: health.Health | None = None,
     ) -> scheduler.Scheduler:
         """Return what a host decides by that reaches no coordinator."""
         count = max(1, round(self.load.hosts / PARTITION_HOSTS))
         return scheduler.Scheduler(
             self.known,
-            paces or latency.Paces(),
+            latencies or latency.Paces(),
             fitness or health.Health(),
             _Alone(count),
             self.spread,
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -48,10 +48,10 @@
         for name in ('r1', 'r2'):
             self.runners.update(gatewayparts.make_entry(name))
         self.health = health.Health()
-        self.paces = latency.Paces()
+        self.latencies = latency.Paces()
         self.scheduler = scheduler.Scheduler(
             self.runners,
-            self.paces,
+            self.latencies,
             self.health,
             self.others,
             random.Random(1),
@@ -213,10 +213,10 @@
 
     def test_faster_runner_is_taken_first(self) -> None:
         for _ in range(5):
-            self.paces.note_first(
+            self.latencies.note_first(
                 gatewayparts.POOL, gatewayparts.make_start('r1'), 100, 0.5
             )
-            self.paces.note_first(
+            self.latencies.note_first(
                 gatewayparts.POOL, gatewayparts.make_start('r2'), 100, 0.05
             )
         grant = self.enter(0.0).decision
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -172,11 +172,11 @@
         entry = gatewayparts.make_entry('i-1')
         known.update(entry)
         self.runner = entry.start
-        self.paces = latency.Paces()
+        self.latencies = latency.Paces()
         self.coordinator = coordinator.Coordinator(
             ids.Host('host-1'),
             known,
-            self.paces,
+            self.latencies,
             self.health,
             random.Random(1),
             lambda: False,
@@ -220,7 +220,7 @@
     def test_speed_is_learned_from_all_hosts(self) -> None:
         for number in range(6):
             self.report(f'host-{number + 2}', observations.Kind.FIRST, 0.0)
-        found = self.paces.find(gatewayparts.POOL, self.runner)
+        found = self.latencies.find(gatewayparts.POOL, self.runner)
         self.assertGreater(found.start_s, 2.0)
 
 
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -146,10 +146,10 @@
             (),
             self.spread,
         )
-        self.paces = latency.Paces()
+        self.latencies = latency.Paces()
         self.health = health.Health()
         self.scheduler = scheduler.Scheduler(
-            self.runners, self.paces, self.health, self.others, self.spread
+            self.runners, self.latencies, self.health, self.others, self.spread
         )
 
     def enter(self, now: float, last_part: str = '') -> waiting.Ticket:
@@ -234,12 +234,12 @@
     def test_late_answers_teach_nothing(self) -> None:
         # Answers that the earlier start had sent arrive after its end.
         self.runners.update(make_entry(LATE))
-        self.paces.note_first(gatewayparts.POOL, EARLIER, 0, 9.0)
+        self.latencies.note_first(gatewayparts.POOL, EARLIER, 0, 9.0)
         for _ in range(4):
             self.health.note_failure(EARLIER, 0.0)
         self.assertEqual(set(), self.health.list_avoided([LATER, LATER], 0.1))
-        self.paces.keep_only({LATER})
-        found = self.paces.find(gatewayparts.POOL, LATER)
+        self.latencies.keep_only({LATER})
+        found = self.latencies.find(gatewayparts.POOL, LATER)
         self.assertEqual(latency.FIRST_START, found.start_s)
 
     def test_stated_loads_are_dropped(self) -> None:
@@ -259,10 +259,10 @@
         quick, slow = (gatewayparts.make_start(name, 1) for name in 'ab')
         for name in 'ab':
             runners.update(gatewayparts.make_entry(name, birth=1))
-        paces = latency.Paces()
+        latencies = latency.Paces()
         found = scheduler.Scheduler(
             runners,
-            paces,
+            latencies,
             health.Health(),
             mesh.Mesh(
                 ids.Host('host-a'),
@@ -274,7 +274,7 @@
         )
         reborn = gatewayparts.make_start('b', 2)
         for start, seconds in ((quick, 0.05), (slow, 0.9), (reborn, 0.9)):
-            paces.note_first(gatewayparts.POOL, start, 0, seconds)
+            latencies.note_first(gatewayparts.POOL, start, 0, seconds)
         found.note_part('p', slow, 0.0)
         self.assertEqual(slow, self.choose(found))
         runners.update(gatewayparts.make_entry('b', birth=2))
