--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -78,7 +78,11 @@
             )
         )
     return scheduler.Scheduler(
-        known, latency.Paces(), health.Health(), others, random.Random(1)
+        known,
+        latency.LatencyEstimates(),
+        health.Health(),
+        others,
+        random.Random(1),
     )
 
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -120,7 +120,7 @@
     def __init__(
         self,
         runners: directory.Directory,
-        latencies: latency.Paces,
+        latencies: latency.LatencyEstimates,
         fitness: health.Health,
         others: Others,
         spread: random.Random,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -118,7 +118,7 @@
         self,
         host: ids.Host,
         runners: directory.Directory,
-        latencies: latency.Paces,
+        latencies: latency.LatencyEstimates,
         fitness: health.Health,
         spread: random.Random,
         is_stopping: collections.abc.Callable[[], bool],
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -94,7 +94,7 @@
         local: scheduler.Scheduler,
         own: coordinator.Coordinator,
         runners: directory.Directory,
-        latencies: latency.Paces,
+        latencies: latency.LatencyEstimates,
         fitness: health.Health,
         hosts: candidates.Hosts,
         asked: candidates.Candidates,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -190,7 +190,7 @@
         bounds = config.bounds
         now = clocks.read_monotonic()
         self._stalls = stalls.StallWatch()
-        self._paces = latency.Paces()
+        self._paces = latency.LatencyEstimates()
         self._health = health.Health()
         self._allowances = allowances.Allowances(
             bounds.quota_slack, self._mesh, now
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
@@ -32,7 +32,7 @@
     retry_budget: retrybudget.RetryBudget
     dispatcher: dispatch.Dispatcher
     directory: directory.Directory
-    latencies: latency.Paces
+    latencies: latency.LatencyEstimates
     measures: measures.Measures
     find_catalogue: collections.abc.Callable[[], catalogue.Catalogue | None]
     find_client: collections.abc.Callable[
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -13,7 +13,7 @@
 
 from apricotlanding import ids
 
-__all__ = ['LatencyEstimate', 'Paces']
+__all__ = ['LatencyEstimate', 'LatencyEstimates']
 
 # Weight of the newest answer: a runner that turns slow shows after three.
 NEWEST_WEIGHT = 0.3
@@ -53,7 +53,7 @@
 
 
 @ty.final
-class Paces:
+class LatencyEstimates:
     """Speeds of all runners."""
 
     def __init__(self) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -50,7 +50,7 @@
         Observation,
         ids.Pool,
         ids.RunnerStart,
-        latency.Paces,
+        latency.LatencyEstimates,
         health.Health,
         float,
     ],
@@ -63,7 +63,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    latencies: latency.Paces,
+    latencies: latency.LatencyEstimates,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -86,7 +86,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    latencies: latency.Paces,
+    latencies: latency.LatencyEstimates,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -98,7 +98,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    latencies: latency.Paces,
+    latencies: latency.LatencyEstimates,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -110,7 +110,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    latencies: latency.Paces,
+    latencies: latency.LatencyEstimates,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -122,7 +122,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    latencies: latency.Paces,
+    latencies: latency.LatencyEstimates,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -134,7 +134,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    latencies: latency.Paces,
+    latencies: latency.LatencyEstimates,
     fitness: health.Health,
     now: float,
 ) -> None:
@@ -146,7 +146,7 @@
     seen: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    latencies: latency.Paces,
+    latencies: latency.LatencyEstimates,
     fitness: health.Health,
     now: float,
 ) -> None:
--- a/tests/placesplay.py
+++ b/tests/placesplay.py
@@ -204,7 +204,7 @@
         name = ids.Host(f'host-{number}')
         address = addresses.Address('127.0.0.1', 1000 + number)
         process = ids.Incarnation(f'{name}/1')
-        latencies, fitness = latency.Paces(), health.Health()
+        latencies, fitness = latency.LatencyEstimates(), health.Health()
         local = self.make_scheduler(latencies, fitness)
         own = coordinator.Coordinator(
             name,
@@ -234,14 +234,14 @@
 
     def make_scheduler(
         self,
-        latencies: latency.Paces | None = None,
+        latencies: latency.LatencyEstimates | None = None,
         fitness: health.Health | None = None,
     ) -> scheduler.Scheduler:
         """Return what a host decides by that reaches no coordinator."""
         count = max(1, round(self.load.hosts / PARTITION_HOSTS))
         return scheduler.Scheduler(
             self.known,
-            latencies or latency.Paces(),
+            latencies or latency.LatencyEstimates(),
             fitness or health.Health(),
             _Alone(count),
             self.spread,
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -209,7 +209,7 @@
         found = coordinator.Coordinator(
             ids.Host('host-1'),
             self.make_runners(),
-            latency.Paces(),
+            latency.LatencyEstimates(),
             health.Health(),
             random.Random(1),
             lambda: False,
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -48,7 +48,7 @@
         for name in ('r1', 'r2'):
             self.runners.update(gatewayparts.make_entry(name))
         self.health = health.Health()
-        self.latencies = latency.Paces()
+        self.latencies = latency.LatencyEstimates()
         self.scheduler = scheduler.Scheduler(
             self.runners,
             self.latencies,
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -219,7 +219,7 @@
         bounds = dict.fromkeys(records.TOPICS, 1.0)
         schedule = scheduler.Scheduler(
             directory.Directory(2.0),
-            latency.Paces(),
+            latency.LatencyEstimates(),
             health.Health(),
             others,
             random.Random(1),
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -172,7 +172,7 @@
         entry = gatewayparts.make_entry('i-1')
         known.update(entry)
         self.runner = entry.start
-        self.latencies = latency.Paces()
+        self.latencies = latency.LatencyEstimates()
         self.coordinator = coordinator.Coordinator(
             ids.Host('host-1'),
             known,
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -146,7 +146,7 @@
             (),
             self.spread,
         )
-        self.latencies = latency.Paces()
+        self.latencies = latency.LatencyEstimates()
         self.health = health.Health()
         self.scheduler = scheduler.Scheduler(
             self.runners, self.latencies, self.health, self.others, self.spread
@@ -259,7 +259,7 @@
         quick, slow = (gatewayparts.make_start(name, 1) for name in 'ab')
         for name in 'ab':
             runners.update(gatewayparts.make_entry(name, birth=1))
-        latencies = latency.Paces()
+        latencies = latency.LatencyEstimates()
         found = scheduler.Scheduler(
             runners,
             latencies,
