--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -75,7 +75,7 @@
         saved = read * HOME_PREFERENCE
     load = 1 + FULL_SLOWDOWN * option.used / option.slots
     rest = option.latency.write_s * ticket.events
-    return option.latency.start_s + read - saved + rest * load
+    return option.latency.base_s + read - saved + rest * load
 
 
 def _rate_home(part: str, start: ids.RunnerStart) -> int:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -36,7 +36,7 @@
     """Speed of one runner."""
 
     # Seconds to the answer or the first event, beyond reading the prompt.
-    start_s: float = FIRST_START
+    base_s: float = FIRST_START
     # Seconds for each prompt token read.
     read_s: float = FIRST_READ
     # Seconds for each event of the answer.
@@ -45,7 +45,7 @@
 
     def find_first(self, prompt_tokens: int) -> float:
         """Return the expected seconds to the first event."""
-        return self.start_s + self.read_s * prompt_tokens
+        return self.base_s + self.read_s * prompt_tokens
 
     def find_whole(self, prompt_tokens: int, events: float) -> float:
         """Return the expected seconds to the end of the answer."""
@@ -72,9 +72,9 @@
         latency = self._open(service, runner)
         latency.answers += 1
         if prompt_tokens < 500:
-            latency.start_s = _blend(latency.start_s, seconds)
+            latency.base_s = _blend(latency.base_s, seconds)
             return
-        rest = max(0.0, seconds - latency.start_s)
+        rest = max(0.0, seconds - latency.base_s)
         latency.read_s = _blend(latency.read_s, rest / prompt_tokens)
 
     def note_rest(
@@ -109,7 +109,7 @@
         if not known:
             return LatencyEstimate()
         return LatencyEstimate(
-            start_s=statistics.median(latency.start_s for latency in known),
+            base_s=statistics.median(latency.base_s for latency in known),
             read_s=statistics.median(latency.read_s for latency in known),
             write_s=statistics.median(latency.write_s for latency in known),
         )
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -221,7 +221,7 @@
         for number in range(6):
             self.report(f'host-{number + 2}', observations.Kind.FIRST, 0.0)
         found = self.latencies.find(gatewayparts.POOL, self.runner)
-        self.assertGreater(found.start_s, 2.0)
+        self.assertGreater(found.base_s, 2.0)
 
 
 class TestHolds(testtools.TestCase):
