--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -67,7 +67,7 @@
 
 
 def _predict(ticket: waiting.Ticket, option: Option, is_home: bool) -> float:
-    read = option.latency.read_s * ticket.prompt_tokens
+    read = option.latency.prompt_token_s * ticket.prompt_tokens
     saved = 0.0
     if option.has_part:
         saved = read
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -38,14 +38,14 @@
     # Seconds to the answer or the first event, beyond reading the prompt.
     base_s: float = FIRST_START
     # Seconds for each prompt token read.
-    read_s: float = FIRST_READ
+    prompt_token_s: float = FIRST_READ
     # Seconds for each event of the answer.
     write_s: float = FIRST_WRITE
     answers: int = 0
 
     def find_first(self, prompt_tokens: int) -> float:
         """Return the expected seconds to the first event."""
-        return self.base_s + self.read_s * prompt_tokens
+        return self.base_s + self.prompt_token_s * prompt_tokens
 
     def find_whole(self, prompt_tokens: int, events: float) -> float:
         """Return the expected seconds to the end of the answer."""
@@ -75,7 +75,9 @@
             latency.base_s = _blend(latency.base_s, seconds)
             return
         rest = max(0.0, seconds - latency.base_s)
-        latency.read_s = _blend(latency.read_s, rest / prompt_tokens)
+        latency.prompt_token_s = _blend(
+            latency.prompt_token_s, rest / prompt_tokens
+        )
 
     def note_rest(
         self,
@@ -110,7 +112,9 @@
             return LatencyEstimate()
         return LatencyEstimate(
             base_s=statistics.median(latency.base_s for latency in known),
-            read_s=statistics.median(latency.read_s for latency in known),
+            prompt_token_s=statistics.median(
+                latency.prompt_token_s for latency in known
+            ),
             write_s=statistics.median(latency.write_s for latency in known),
         )
 
