--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -74,7 +74,7 @@
     elif is_home:
         saved = read * HOME_PREFERENCE
     load = 1 + FULL_SLOWDOWN * option.used / option.slots
-    rest = option.latency.write_s * ticket.events
+    rest = option.latency.event_s * ticket.events
     return option.latency.base_s + read - saved + rest * load
 
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -40,7 +40,7 @@
     # Seconds for each prompt token read.
     prompt_token_s: float = FIRST_READ
     # Seconds for each event of the answer.
-    write_s: float = FIRST_WRITE
+    event_s: float = FIRST_WRITE
     answers: int = 0
 
     def find_first(self, prompt_tokens: int) -> float:
@@ -49,7 +49,7 @@
 
     def find_whole(self, prompt_tokens: int, events: float) -> float:
         """Return the expected seconds to the end of the answer."""
-        return self.find_first(prompt_tokens) + self.write_s * events
+        return self.find_first(prompt_tokens) + self.event_s * events
 
 
 @ty.final
@@ -90,7 +90,7 @@
         if events < FEW_EVENTS:
             return
         latency = self._open(service, runner)
-        latency.write_s = _blend(latency.write_s, seconds / (events - 1))
+        latency.event_s = _blend(latency.event_s, seconds / (events - 1))
 
     def find(
         self, service: ids.Pool, runner: ids.RunnerStart
@@ -115,7 +115,7 @@
             prompt_token_s=statistics.median(
                 latency.prompt_token_s for latency in known
             ),
-            write_s=statistics.median(latency.write_s for latency in known),
+            event_s=statistics.median(latency.event_s for latency in known),
         )
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
