--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -127,7 +127,7 @@
     ) -> None:
         """Start without requests."""
         self._runners = runners
-        self._paces = latencies
+        self._latencies = latencies
         self._health = fitness
         self._others = others
         self._spread = spread
@@ -322,7 +322,7 @@
                 runner=entry.start,
                 used=entry.slots - view.free[entry.start],
                 slots=entry.slots,
-                latency=self._paces.find(entry.service, entry.start),
+                latency=self._latencies.find(entry.service, entry.start),
                 is_avoided=entry.start in view.avoided,
                 has_part=self._has_part(ticket.last_part, entry.start, now),
             )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -134,7 +134,7 @@
         self._host = host
         self._runners = runners
         self._starts = starts.Starts(runners)
-        self._paces = latencies
+        self._latencies = latencies
         self._health = fitness
         self._spread = spread
         self._is_stopping = is_stopping
@@ -195,7 +195,7 @@
             found = _Schedule(
                 scheduler.Scheduler(
                     self._runners,
-                    self._paces,
+                    self._latencies,
                     self._health,
                     _SubsetView(subset),
                     self._spread,
@@ -387,7 +387,7 @@
             ),
             request.service,
             start,
-            self._paces,
+            self._latencies,
             self._health,
             now,
         )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -112,7 +112,7 @@
         self._own = own
         self._runners = runners
         self._starts = starts.Starts(runners)
-        self._paces = latencies
+        self._latencies = latencies
         self._health = fitness
         self._hosts = hosts
         self._candidates = asked
@@ -189,7 +189,7 @@
     ) -> None:
         """Learn from what was seen of a runner, and report it."""
         observations.apply(
-            seen, service, start, self._paces, self._health, now
+            seen, service, start, self._latencies, self._health, now
         )
         if seen.kind is observations.Kind.HOLD:
             self._local.note_hold(service, seen.seconds)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -190,7 +190,7 @@
         bounds = config.bounds
         now = clocks.read_monotonic()
         self._stalls = stalls.StallWatch()
-        self._paces = latency.LatencyEstimates()
+        self._latencies = latency.LatencyEstimates()
         self._health = health.Health()
         self._allowances = allowances.Allowances(
             bounds.quota_slack, self._mesh, now
@@ -200,7 +200,7 @@
         )
         self._scheduler = scheduler.Scheduler(
             self._directory,
-            self._paces,
+            self._latencies,
             self._health,
             self._mesh,
             self._spread,
@@ -214,7 +214,7 @@
             coordinator.Coordinator(
                 config.host,
                 self._directory,
-                self._paces,
+                self._latencies,
                 self._health,
                 self._spread,
                 lambda: self._is_stopping,
@@ -222,7 +222,7 @@
                 self._scheduler.find_hold,
             ),
             self._directory,
-            self._paces,
+            self._latencies,
             self._health,
             self._mesh,
             self._candidates,
@@ -265,7 +265,7 @@
             retry_budget=self._retry_budget,
             dispatcher=self._dispatcher,
             directory=self._directory,
-            latencies=self._paces,
+            latencies=self._latencies,
             measures=self._measures,
             find_catalogue=lambda: self._catalogue,
             find_client=self._clients.find,
@@ -596,7 +596,7 @@
             entries = self._directory.list_all()
             known = {entry.start for entry in entries}
             self._health.keep_only(known)
-            self._paces.keep_only(known)
+            self._latencies.keep_only(known)
             self._scheduler.keep_only(known)
             self._dispatcher.keep_only(known)
             await self._clients.tidy(entries, now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -58,7 +58,7 @@
 
     def __init__(self) -> None:
         """Start without any answers."""
-        self._paces: dict[ids.RunnerStart, LatencyEstimate] = {}
+        self._latencies: dict[ids.RunnerStart, LatencyEstimate] = {}
         self._services: dict[ids.Pool, set[ids.RunnerStart]] = {}
 
     def note_first(
@@ -96,7 +96,7 @@
         self, service: ids.Pool, runner: ids.RunnerStart
     ) -> LatencyEstimate:
         """Return a runner's speed, or that of the middle one."""
-        latency = self._paces.get(runner)
+        latency = self._latencies.get(runner)
         if latency is not None and latency.answers > 0:
             return latency
         return self.find_usual(service)
@@ -104,9 +104,9 @@
     def find_usual(self, service: ids.Pool) -> LatencyEstimate:
         """Return the speed of the middle runner of a service."""
         known = [
-            self._paces[runner]
+            self._latencies[runner]
             for runner in self._services.get(service, ())
-            if self._paces[runner].answers > 0
+            if self._latencies[runner].answers > 0
         ]
         if not known:
             return LatencyEstimate()
@@ -120,8 +120,8 @@
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
         """Forget runners that are gone."""
-        for runner in set(self._paces) - runners:
-            del self._paces[runner]
+        for runner in set(self._latencies) - runners:
+            del self._latencies[runner]
         for members in self._services.values():
             members &= runners
 
@@ -129,7 +129,7 @@
         self, service: ids.Pool, runner: ids.RunnerStart
     ) -> LatencyEstimate:
         self._services.setdefault(service, set()).add(runner)
-        return self._paces.setdefault(runner, LatencyEstimate())
+        return self._latencies.setdefault(runner, LatencyEstimate())
 
 
 def _blend(old: float, newest: float) -> float:
