--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -351,7 +351,7 @@
             yield guard
             return
         found = self._parts.latencies.find(self._asked.service, entry.start)
-        first = found.find_first(self._asked.head.prompt_tokens)
+        first = found.predict_first_event(self._asked.head.prompt_tokens)
         guard.extend(
             silence.find_first_patience(self._asked.route.objective_s, first)
         )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -45,7 +45,7 @@
     """Return the ticket of a request that is about to wait."""
     route, head = asked.route, asked.head
     usual = shared.latencies.find_usual(asked.service)
-    first = usual.find_first(head.prompt_tokens)
+    first = usual.predict_first_event(head.prompt_tokens)
     began = shared.habits.find_beginning(
         route.name, asked.given_s, asked.arrived_at
     )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -43,13 +43,13 @@
     event_s: float = FIRST_WRITE
     answers: int = 0
 
-    def find_first(self, prompt_tokens: int) -> float:
+    def predict_first_event(self, prompt_tokens: int) -> float:
         """Return the expected seconds to the first event."""
         return self.base_s + self.prompt_token_s * prompt_tokens
 
     def find_whole(self, prompt_tokens: int, events: float) -> float:
         """Return the expected seconds to the end of the answer."""
-        return self.find_first(prompt_tokens) + self.event_s * events
+        return self.predict_first_event(prompt_tokens) + self.event_s * events
 
 
 @ty.final
