--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -47,7 +47,7 @@
         """Return the expected seconds to the first event."""
         return self.base_s + self.prompt_token_s * prompt_tokens
 
-    def find_whole(self, prompt_tokens: int, events: float) -> float:
+    def predict_answer(self, prompt_tokens: int, events: float) -> float:
         """Return the expected seconds to the end of the answer."""
         return self.predict_first_event(prompt_tokens) + self.event_s * events
 
