--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -44,7 +44,7 @@
 ) -> waiting.Ticket:
     """Return the ticket of a request that is about to wait."""
     route, head = asked.route, asked.head
-    usual = shared.latencies.find_usual(asked.service)
+    usual = shared.latencies.find_median(asked.service)
     first = usual.predict_first_event(head.prompt_tokens)
     began = shared.habits.find_beginning(
         route.name, asked.given_s, asked.arrived_at
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -99,9 +99,9 @@
         latency = self._latencies.get(runner)
         if latency is not None and latency.answers > 0:
             return latency
-        return self.find_usual(service)
+        return self.find_median(service)
 
-    def find_usual(self, service: ids.Pool) -> LatencyEstimate:
+    def find_median(self, service: ids.Pool) -> LatencyEstimate:
         """Return the speed of the middle runner of a service."""
         known = [
             self._latencies[runner]
