--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -61,7 +61,7 @@
         self._latencies: dict[ids.RunnerStart, LatencyEstimate] = {}
         self._services: dict[ids.Pool, set[ids.RunnerStart]] = {}
 
-    def note_first(
+    def note_first_event(
         self,
         service: ids.Pool,
         runner: ids.RunnerStart,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -90,7 +90,7 @@
     fitness: health.Health,
     now: float,
 ) -> None:
-    latencies.note_first(service, start, seen.amount, seen.seconds)
+    latencies.note_first_event(service, start, seen.amount, seen.seconds)
 
 
 @_applies(Kind.REST)
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -213,10 +213,10 @@
 
     def test_faster_runner_is_taken_first(self) -> None:
         for _ in range(5):
-            self.latencies.note_first(
+            self.latencies.note_first_event(
                 gatewayparts.POOL, gatewayparts.make_start('r1'), 100, 0.5
             )
-            self.latencies.note_first(
+            self.latencies.note_first_event(
                 gatewayparts.POOL, gatewayparts.make_start('r2'), 100, 0.05
             )
         grant = self.enter(0.0).decision
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -234,7 +234,7 @@
     def test_late_answers_teach_nothing(self) -> None:
         # Answers that the earlier start had sent arrive after its end.
         self.runners.update(make_entry(LATE))
-        self.latencies.note_first(gatewayparts.POOL, EARLIER, 0, 9.0)
+        self.latencies.note_first_event(gatewayparts.POOL, EARLIER, 0, 9.0)
         for _ in range(4):
             self.health.note_failure(EARLIER, 0.0)
         self.assertEqual(set(), self.health.list_avoided([LATER, LATER], 0.1))
@@ -274,7 +274,7 @@
         )
         reborn = gatewayparts.make_start('b', 2)
         for start, seconds in ((quick, 0.05), (slow, 0.9), (reborn, 0.9)):
-            latencies.note_first(gatewayparts.POOL, start, 0, seconds)
+            latencies.note_first_event(gatewayparts.POOL, start, 0, seconds)
         found.note_part('p', slow, 0.0)
         self.assertEqual(slow, self.choose(found))
         runners.update(gatewayparts.make_entry('b', birth=2))
