--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -79,7 +79,7 @@
             latency.prompt_token_s, rest / prompt_tokens
         )
 
-    def note_rest(
+    def note_later_events(
         self,
         service: ids.Pool,
         runner: ids.RunnerStart,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -102,7 +102,7 @@
     fitness: health.Health,
     now: float,
 ) -> None:
-    latencies.note_rest(service, start, seen.amount, seen.seconds)
+    latencies.note_later_events(service, start, seen.amount, seen.seconds)
 
 
 @_applies(Kind.SUCCESS)
