--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -21,7 +21,7 @@
 # prompt, for each prompt token, and for each event. They are what
 # a model engine of the present generation takes, and only order of
 # magnitude matters: two answers replace them.
-FIRST_START = 0.05
+DEFAULT_BASE_S = 0.05
 FIRST_READ = 1.5e-5
 FIRST_WRITE = 0.02
 # Answers of fewer events say little about the time between two.
@@ -36,7 +36,7 @@
     """Speed of one runner."""
 
     # Seconds to the answer or the first event, beyond reading the prompt.
-    base_s: float = FIRST_START
+    base_s: float = DEFAULT_BASE_S
     # Seconds for each prompt token read.
     prompt_token_s: float = FIRST_READ
     # Seconds for each event of the answer.
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -240,7 +240,7 @@
         self.assertEqual(set(), self.health.list_avoided([LATER, LATER], 0.1))
         self.latencies.keep_only({LATER})
         found = self.latencies.find(gatewayparts.POOL, LATER)
-        self.assertEqual(latency.FIRST_START, found.base_s)
+        self.assertEqual(latency.DEFAULT_BASE_S, found.base_s)
 
     def test_stated_loads_are_dropped(self) -> None:
         # Each restart left an entry behind for as long as the process ran.
