--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -22,7 +22,7 @@
 # a model engine of the present generation takes, and only order of
 # magnitude matters: two answers replace them.
 DEFAULT_BASE_S = 0.05
-FIRST_READ = 1.5e-5
+DEFAULT_PROMPT_TOKEN_S = 1.5e-5
 FIRST_WRITE = 0.02
 # Answers of fewer events say little about the time between two.
 FEW_EVENTS = 5
@@ -38,7 +38,7 @@
     # Seconds to the answer or the first event, beyond reading the prompt.
     base_s: float = DEFAULT_BASE_S
     # Seconds for each prompt token read.
-    prompt_token_s: float = FIRST_READ
+    prompt_token_s: float = DEFAULT_PROMPT_TOKEN_S
     # Seconds for each event of the answer.
     event_s: float = FIRST_WRITE
     answers: int = 0
