--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -23,7 +23,7 @@
 # magnitude matters: two answers replace them.
 DEFAULT_BASE_S = 0.05
 DEFAULT_PROMPT_TOKEN_S = 1.5e-5
-FIRST_WRITE = 0.02
+DEFAULT_EVENT_S = 0.02
 # Answers of fewer events say little about the time between two.
 FEW_EVENTS = 5
 # Seconds that a request of a plain service takes, before any answer.
@@ -40,7 +40,7 @@
     # Seconds for each prompt token read.
     prompt_token_s: float = DEFAULT_PROMPT_TOKEN_S
     # Seconds for each event of the answer.
-    event_s: float = FIRST_WRITE
+    event_s: float = DEFAULT_EVENT_S
     answers: int = 0
 
     def predict_first_event(self, prompt_tokens: int) -> float:
