--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -27,7 +27,7 @@
 # Answers of fewer events say little about the time between two.
 FEW_EVENTS = 5
 # Seconds that a request of a plain service takes, before any answer.
-FIRST_WORK = 0.1
+DEFAULT_REQUEST_S = 0.1
 
 
 @ty.final
