--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -25,7 +25,7 @@
 DEFAULT_PROMPT_TOKEN_S = 1.5e-5
 DEFAULT_EVENT_S = 0.02
 # Answers of fewer events say little about the time between two.
-FEW_EVENTS = 5
+MIN_EVENTS = 5
 # Seconds that a request of a plain service takes, before any answer.
 DEFAULT_REQUEST_S = 0.1
 
@@ -87,7 +87,7 @@
         seconds: float,
     ) -> None:
         """Learn from the time from the first event to the last."""
-        if events < FEW_EVENTS:
+        if events < MIN_EVENTS:
             return
         latency = self._open(service, runner)
         latency.event_s = _blend(latency.event_s, seconds / (events - 1))
