--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -72,10 +72,10 @@
         latency = self._open(service, runner)
         latency.answers += 1
         if prompt_tokens < 500:
-            latency.base_s = _blend(latency.base_s, seconds)
+            latency.base_s = _update_average(latency.base_s, seconds)
             return
         rest = max(0.0, seconds - latency.base_s)
-        latency.prompt_token_s = _blend(
+        latency.prompt_token_s = _update_average(
             latency.prompt_token_s, rest / prompt_tokens
         )
 
@@ -90,7 +90,9 @@
         if events < MIN_EVENTS:
             return
         latency = self._open(service, runner)
-        latency.event_s = _blend(latency.event_s, seconds / (events - 1))
+        latency.event_s = _update_average(
+            latency.event_s, seconds / (events - 1)
+        )
 
     def find(
         self, service: ids.Pool, runner: ids.RunnerStart
@@ -132,5 +134,5 @@
         return self._latencies.setdefault(runner, LatencyEstimate())
 
 
-def _blend(old: float, newest: float) -> float:
+def _update_average(old: float, newest: float) -> float:
     return old + (newest - old) * NEWEST_WEIGHT
