--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -26,7 +26,7 @@
 
 # How long after its return the store may still miss a runner that lives, in
 # seconds; the platform promises about two.
-LAPSE = 2.2
+LAPSE_WINDOW_S = 2.2
 # Seconds by which a runner is dropped before its drain time ends, so that
 # what was sent to it just before arrives in time.
 DRAIN_MARGIN = 0.5
@@ -184,7 +184,10 @@
         return gone is not None and ids.has_run_before(start, gone.start)
 
     def _may_come_back(self, removed_at: float, now: float) -> bool:
-        if self._return_at is not None and now - self._return_at < LAPSE:
+        if (
+            self._return_at is not None
+            and now - self._return_at < LAPSE_WINDOW_S
+        ):
             # No host was served, so no runner could renew or leave.
             return True
         # The second bound holds if only this host was turned away: the
@@ -194,4 +197,4 @@
     def _is_outage(self, now: float) -> bool:
         if self._outage_at is None:
             return False
-        return now - self._outage_at < LAPSE
+        return now - self._outage_at < LAPSE_WINDOW_S
