--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -29,7 +29,7 @@
 LAPSE_WINDOW_S = 2.2
 # Seconds by which a runner is dropped before its drain time ends, so that
 # what was sent to it just before arrives in time.
-DRAIN_MARGIN = 0.5
+DRAIN_MARGIN_S = 0.5
 # Seconds for which the birth of a runner that is gone is remembered: longer
 # than the few seconds that the store may take to carry out a write of an
 # earlier start.
@@ -85,7 +85,7 @@
 
     def set_drain_time(self, drain_s: float) -> None:
         """Take the operators' bound, in seconds."""
-        self._keep_s = max(0.0, drain_s - DRAIN_MARGIN)
+        self._keep_s = max(0.0, drain_s - DRAIN_MARGIN_S)
 
     def note_outage(self, now: float) -> None:
         """Say that the store was not reached just now."""
