--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -33,7 +33,7 @@
 # Seconds for which the birth of a runner that is gone is remembered: longer
 # than the few seconds that the store may take to carry out a write of an
 # earlier start.
-BIRTH_MEMORY = 15.0
+BIRTH_RETENTION_S = 15.0
 
 
 class News(enum.Enum):
@@ -144,7 +144,7 @@
             if not self._may_come_back(place.removed_at, now):
                 self._drop(runner, now)
         for runner, gone in list(self._gone.items()):
-            if now - gone.at > BIRTH_MEMORY:
+            if now - gone.at > BIRTH_RETENTION_S:
                 del self._gone[runner]
 
     def find(self, start: ids.RunnerStart) -> dialect.RunnerEntry | None:
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -102,7 +102,7 @@
         # been gone for long.
         self.runners.update(make_entry(LATE))
         self.runners.remove(RUNNER, 10.0)
-        self.runners.expire(10.1 + directory.BIRTH_MEMORY)
+        self.runners.expire(10.1 + directory.BIRTH_RETENTION_S)
         self.runners.update(make_entry(EARLY))
         self.assertEqual([EARLIER], self.list_open())
 
