--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -430,9 +430,9 @@
             birth = ids.read_birth(entry.start)
             state = 'draining' if entry.is_draining else 'open'
             news = self._directory.update(entry)
-            if news is directory.News.START:
+            if news is directory.UpdateResult.START:
                 self._end_earlier(entry.start)
-            elif news is directory.News.OUTDATED:
+            elif news is directory.UpdateResult.OUTDATED:
                 state = 'outdated'
         self._log_runner(runner, state, birth, record.offset)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -22,7 +22,7 @@
 from apricotlanding import ids
 from apricotlandingd.gateway import dialect
 
-__all__ = ['Directory', 'News']
+__all__ = ['Directory', 'UpdateResult']
 
 # How long after its return the store may still miss a runner that lives, in
 # seconds; the platform promises about two.
@@ -36,7 +36,7 @@
 BIRTH_RETENTION_S = 15.0
 
 
-class News(enum.Enum):
+class UpdateResult(enum.Enum):
     """What a registration says of the runner's start."""
 
     # It is the one that was known.
@@ -96,7 +96,7 @@
         self.note_outage(now)
         self._return_at = now
 
-    def update(self, entry: dialect.RunnerEntry) -> News:
+    def update(self, entry: dialect.RunnerEntry) -> UpdateResult:
         """Take a registration or its change.
 
         One that states no birth is taken to be of the start that is known.
@@ -107,12 +107,12 @@
             if place is not None:
                 entry = dataclasses.replace(entry, start=place.entry.start)
         elif self._is_outdated(entry.start):
-            return News.OUTDATED
+            return UpdateResult.OUTDATED
         is_same = place is not None and place.entry.start == entry.start
         self._places[runner] = _Place(entry)
         self._gone.pop(runner, None)
         self.changes += 1
-        return News.SAME if is_same else News.START
+        return UpdateResult.SAME if is_same else UpdateResult.START
 
     def remove(self, runner: ids.Runner, now: float) -> None:
         """Take the end of a registration."""
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -68,13 +68,13 @@
 
     def test_later_birth_replaces_the_start(self) -> None:
         news = self.runners.update(make_entry(LATE))
-        self.assertIs(directory.News.START, news)
+        self.assertIs(directory.UpdateResult.START, news)
         self.assertIsNone(self.runners.find(EARLIER))
         self.assertEqual([LATER], self.list_open())
 
     def test_same_birth_changes_the_entry(self) -> None:
         news = self.runners.update(make_entry(EARLY, is_draining=True))
-        self.assertIs(directory.News.SAME, news)
+        self.assertIs(directory.UpdateResult.SAME, news)
         self.assertEqual([], self.list_open())
 
     def test_earlier_birth_is_outdated(self) -> None:
@@ -83,7 +83,7 @@
         # registration of the later one.
         self.runners.update(make_entry(LATE))
         news = self.runners.update(make_entry(EARLY, is_draining=True))
-        self.assertIs(directory.News.OUTDATED, news)
+        self.assertIs(directory.UpdateResult.OUTDATED, news)
         self.assertEqual([LATER], self.list_open())
 
     def test_earlier_birth_does_not_bring_a_runner_back(self) -> None:
@@ -110,7 +110,7 @@
         self.runners.note_outage(9.9)
         self.runners.remove(RUNNER, 10.0)
         news = self.runners.update(make_entry(EARLY))
-        self.assertIs(directory.News.SAME, news)
+        self.assertIs(directory.UpdateResult.SAME, news)
         self.runners.expire(20.0)
         self.assertEqual([EARLIER], self.list_open())
 
@@ -127,7 +127,7 @@
 
     def test_entry_without_birth_is_of_the_known_start(self) -> None:
         news = self.runners.update(make_entry(None, is_draining=True))
-        self.assertIs(directory.News.SAME, news)
+        self.assertIs(directory.UpdateResult.SAME, news)
         self.assertIsNotNone(self.runners.find(EARLIER))
         self.assertEqual([], self.list_open())
 
