--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -49,7 +49,7 @@
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class _Place:
+class _Registration:
     entry: dialect.RunnerEntry
     # When the registration went; None while it stands.
     removed_at: float | None = None
@@ -76,7 +76,7 @@
         self._keep_s = 0.0
         self.set_drain_time(drain_s)
         # The latest start of each runner.
-        self._places: dict[ids.Runner, _Place] = {}
+        self._places: dict[ids.Runner, _Registration] = {}
         self._gone: dict[ids.Runner, _Gone] = {}
         self._outage_at: float | None = None
         self._return_at: float | None = None
@@ -109,7 +109,7 @@
         elif self._is_outdated(entry.start):
             return UpdateResult.OUTDATED
         is_same = place is not None and place.entry.start == entry.start
-        self._places[runner] = _Place(entry)
+        self._places[runner] = _Registration(entry)
         self._gone.pop(runner, None)
         self.changes += 1
         return UpdateResult.SAME if is_same else UpdateResult.START
