--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -76,7 +76,7 @@
         self._keep_s = 0.0
         self.set_drain_time(drain_s)
         # The latest start of each runner.
-        self._places: dict[ids.Runner, _Registration] = {}
+        self._registrations: dict[ids.Runner, _Registration] = {}
         self._gone: dict[ids.Runner, _Gone] = {}
         self._outage_at: float | None = None
         self._return_at: float | None = None
@@ -102,21 +102,21 @@
         One that states no birth is taken to be of the start that is known.
         """
         runner = ids.find_runner(entry.start)
-        place = self._places.get(runner)
+        place = self._registrations.get(runner)
         if ids.read_birth(entry.start) is None:
             if place is not None:
                 entry = dataclasses.replace(entry, start=place.entry.start)
         elif self._is_outdated(entry.start):
             return UpdateResult.OUTDATED
         is_same = place is not None and place.entry.start == entry.start
-        self._places[runner] = _Registration(entry)
+        self._registrations[runner] = _Registration(entry)
         self._gone.pop(runner, None)
         self.changes += 1
         return UpdateResult.SAME if is_same else UpdateResult.START
 
     def remove(self, runner: ids.Runner, now: float) -> None:
         """Take the end of a registration."""
-        place = self._places.get(runner)
+        place = self._registrations.get(runner)
         if place is None or place.removed_at is not None:
             return
         if self._is_outage(now) and not place.entry.is_draining:
@@ -131,14 +131,14 @@
         was written over. What runs at the runner goes on. Returns whether
         the runner was known.
         """
-        if runner not in self._places:
+        if runner not in self._registrations:
             return False
         self._drop(runner, now)
         return True
 
     def expire(self, now: float) -> None:
         """Drop runners whose registration did not come back in time."""
-        for runner, place in list(self._places.items()):
+        for runner, place in list(self._registrations.items()):
             if place.removed_at is None:
                 continue
             if not self._may_come_back(place.removed_at, now):
@@ -149,7 +149,7 @@
 
     def find(self, start: ids.RunnerStart) -> dialect.RunnerEntry | None:
         """Return a start of a runner that is still known."""
-        place = self._places.get(ids.find_runner(start))
+        place = self._registrations.get(ids.find_runner(start))
         if place is None or place.entry.start != start:
             return None
         return place.entry
@@ -158,26 +158,26 @@
         """Return the runners of a service that take new requests."""
         return [
             place.entry
-            for place in self._places.values()
+            for place in self._registrations.values()
             if place.entry.service == service and not place.entry.is_draining
         ]
 
     def list_services(self) -> set[ids.Pool]:
         """Return the services that have runners."""
-        return {place.entry.service for place in self._places.values()}
+        return {place.entry.service for place in self._registrations.values()}
 
     def list_all(self) -> list[dialect.RunnerEntry]:
         """Return all runners that are known."""
-        return [place.entry for place in self._places.values()]
+        return [place.entry for place in self._registrations.values()]
 
     def _drop(self, runner: ids.Runner, now: float) -> None:
-        place = self._places.pop(runner)
+        place = self._registrations.pop(runner)
         self._gone[runner] = _Gone(place.entry.start, now)
         self.changes += 1
 
     def _is_outdated(self, start: ids.RunnerStart) -> bool:
         runner = ids.find_runner(start)
-        place = self._places.get(runner)
+        place = self._registrations.get(runner)
         if place is not None:
             return ids.has_run_before(start, place.entry.start)
         gone = self._gone.get(runner)
