--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -57,7 +57,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Gone:
+class _Removed:
     # The last start of a runner, and when it was dropped.
     start: ids.RunnerStart
     at: float
@@ -77,7 +77,7 @@
         self.set_drain_time(drain_s)
         # The latest start of each runner.
         self._registrations: dict[ids.Runner, _Registration] = {}
-        self._gone: dict[ids.Runner, _Gone] = {}
+        self._gone: dict[ids.Runner, _Removed] = {}
         self._outage_at: float | None = None
         self._return_at: float | None = None
         # Counts the changes, for those who keep what they derive from it.
@@ -172,7 +172,7 @@
 
     def _drop(self, runner: ids.Runner, now: float) -> None:
         place = self._registrations.pop(runner)
-        self._gone[runner] = _Gone(place.entry.start, now)
+        self._gone[runner] = _Removed(place.entry.start, now)
         self.changes += 1
 
     def _is_outdated(self, start: ids.RunnerStart) -> bool:
