--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -77,7 +77,7 @@
         self.set_drain_time(drain_s)
         # The latest start of each runner.
         self._registrations: dict[ids.Runner, _Registration] = {}
-        self._gone: dict[ids.Runner, _Removed] = {}
+        self._removed: dict[ids.Runner, _Removed] = {}
         self._outage_at: float | None = None
         self._return_at: float | None = None
         # Counts the changes, for those who keep what they derive from it.
@@ -110,7 +110,7 @@
             return UpdateResult.OUTDATED
         is_same = place is not None and place.entry.start == entry.start
         self._registrations[runner] = _Registration(entry)
-        self._gone.pop(runner, None)
+        self._removed.pop(runner, None)
         self.changes += 1
         return UpdateResult.SAME if is_same else UpdateResult.START
 
@@ -143,9 +143,9 @@
                 continue
             if not self._may_come_back(place.removed_at, now):
                 self._drop(runner, now)
-        for runner, gone in list(self._gone.items()):
+        for runner, gone in list(self._removed.items()):
             if now - gone.at > BIRTH_RETENTION_S:
-                del self._gone[runner]
+                del self._removed[runner]
 
     def find(self, start: ids.RunnerStart) -> dialect.RunnerEntry | None:
         """Return a start of a runner that is still known."""
@@ -172,7 +172,7 @@
 
     def _drop(self, runner: ids.Runner, now: float) -> None:
         place = self._registrations.pop(runner)
-        self._gone[runner] = _Removed(place.entry.start, now)
+        self._removed[runner] = _Removed(place.entry.start, now)
         self.changes += 1
 
     def _is_outdated(self, start: ids.RunnerStart) -> bool:
@@ -180,7 +180,7 @@
         place = self._registrations.get(runner)
         if place is not None:
             return ids.has_run_before(start, place.entry.start)
-        gone = self._gone.get(runner)
+        gone = self._removed.get(runner)
         return gone is not None and ids.has_run_before(start, gone.start)
 
     def _may_come_back(self, removed_at: float, now: float) -> bool:
