--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
@@ -18,7 +18,7 @@
 NEWEST_WEIGHT = 0.3
 # A runner whose rate is above this, and twice that of its peers, is avoided.
 # One chance failure gives 0.3.
-AVOID_RATE = 0.45
+AVOID_FAILURE_RATIO = 0.45
 # Seconds for which a runner is avoided before one request tries it again.
 AVOID_TIME = 1.0
 # Seconds for which a runner that takes no connection gets nothing, doubled
@@ -59,7 +59,7 @@
         """Count an error, a broken answer or none."""
         record = self._find(runner)
         record.rate += (1 - record.rate) * NEWEST_WEIGHT
-        if record.rate > AVOID_RATE:
+        if record.rate > AVOID_FAILURE_RATIO:
             record.avoid_until = now + AVOID_TIME
 
     def note_unreachable(self, runner: ids.RunnerStart, now: float) -> None:
