--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
@@ -20,7 +20,7 @@
 # One chance failure gives 0.3.
 AVOID_FAILURE_RATIO = 0.45
 # Seconds for which a runner is avoided before one request tries it again.
-AVOID_TIME = 1.0
+AVOID_INTERVAL_S = 1.0
 # Seconds for which a runner that takes no connection gets nothing, doubled
 # with each failure up to the longest. A registration outlives its runner by
 # some three heartbeats; without this each request in that time tries the
@@ -60,7 +60,7 @@
         record = self._find(runner)
         record.rate += (1 - record.rate) * NEWEST_WEIGHT
         if record.rate > AVOID_FAILURE_RATIO:
-            record.avoid_until = now + AVOID_TIME
+            record.avoid_until = now + AVOID_INTERVAL_S
 
     def note_unreachable(self, runner: ids.RunnerStart, now: float) -> None:
         """Count a connection that could not be made."""
