--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
@@ -26,7 +26,7 @@
 # some three heartbeats; without this each request in that time tries the
 # runner first, because a dead one always has free places.
 UNREACHABLE_BACKOFF_S = 0.5
-LONGEST_CLOSE = 4.0
+MAX_UNREACHABLE_BACKOFF_S = 4.0
 
 
 @ty.final
@@ -66,7 +66,9 @@
         """Count a connection that could not be made."""
         record = self._find(runner)
         record.rate += (1 - record.rate) * NEWEST_WEIGHT
-        closed = min(LONGEST_CLOSE, UNREACHABLE_BACKOFF_S * 2**record.misses)
+        closed = min(
+            MAX_UNREACHABLE_BACKOFF_S, UNREACHABLE_BACKOFF_S * 2**record.misses
+        )
         record.closed_until = now + closed
         record.misses += 1
 
