--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
@@ -31,7 +31,7 @@
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class _Record:
+class _RunnerHealth:
     rate: float = 0.0
     avoid_until: float = 0.0
     closed_until: float = 0.0
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         """Start without any answers."""
-        self._records: dict[ids.RunnerStart, _Record] = {}
+        self._records: dict[ids.RunnerStart, _RunnerHealth] = {}
 
     def note_success(self, runner: ids.RunnerStart) -> None:
         """Count an answer as it should be."""
@@ -102,5 +102,5 @@
         for runner in set(self._records) - runners:
             del self._records[runner]
 
-    def _find(self, runner: ids.RunnerStart) -> _Record:
-        return self._records.setdefault(runner, _Record())
+    def _find(self, runner: ids.RunnerStart) -> _RunnerHealth:
+        return self._records.setdefault(runner, _RunnerHealth())
