--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
@@ -34,7 +34,7 @@
 class _RunnerHealth:
     rate: float = 0.0
     avoid_until: float = 0.0
-    closed_until: float = 0.0
+    backoff_until: float = 0.0
     # Connections in a row that could not be made.
     misses: int = 0
     # Another runner has its address: it will not come back.
@@ -69,7 +69,7 @@
         closed = min(
             MAX_UNREACHABLE_BACKOFF_S, UNREACHABLE_BACKOFF_S * 2**record.misses
         )
-        record.closed_until = now + closed
+        record.backoff_until = now + closed
         record.misses += 1
 
     def note_gone(self, runner: ids.RunnerStart) -> None:
@@ -81,7 +81,7 @@
         record = self._records.get(runner)
         if record is None:
             return False
-        return record.is_gone or now < record.closed_until
+        return record.is_gone or now < record.backoff_until
 
     def list_avoided(
         self, runners: list[ids.RunnerStart], now: float
