--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
@@ -36,7 +36,7 @@
     avoid_until: float = 0.0
     backoff_until: float = 0.0
     # Connections in a row that could not be made.
-    misses: int = 0
+    connect_failures: int = 0
     # Another runner has its address: it will not come back.
     is_gone: bool = False
 
@@ -53,7 +53,7 @@
         """Count an answer as it should be."""
         record = self._find(runner)
         record.rate *= 1 - NEWEST_WEIGHT
-        record.misses = 0
+        record.connect_failures = 0
 
     def note_failure(self, runner: ids.RunnerStart, now: float) -> None:
         """Count an error, a broken answer or none."""
@@ -67,10 +67,11 @@
         record = self._find(runner)
         record.rate += (1 - record.rate) * NEWEST_WEIGHT
         closed = min(
-            MAX_UNREACHABLE_BACKOFF_S, UNREACHABLE_BACKOFF_S * 2**record.misses
+            MAX_UNREACHABLE_BACKOFF_S,
+            UNREACHABLE_BACKOFF_S * 2**record.connect_failures,
         )
         record.backoff_until = now + closed
-        record.misses += 1
+        record.connect_failures += 1
 
     def note_gone(self, runner: ids.RunnerStart) -> None:
         """Say that another runner has this one's address."""
