--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -269,7 +269,7 @@
         return [
             entry
             for entry in self._list_own(service)
-            if not self._health.is_closed(entry.start, now)
+            if not self._health.is_unreachable(entry.start, now)
         ]
 
     def _list_own(self, service: ids.Pool) -> list[dialect.RunnerEntry]:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -463,7 +463,7 @@
         closed = [
             entry.start
             for entry in self._runners.list_open(ticket.service)
-            if self._health.is_closed(entry.start, now)
+            if self._health.is_unreachable(entry.start, now)
         ]
         excluded = {
             messages.digest_start(start) for start in (*ticket.tried, *closed)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
@@ -77,7 +77,7 @@
         """Say that another runner has this one's address."""
         self._find(runner).is_gone = True
 
-    def is_closed(self, runner: ids.RunnerStart, now: float) -> bool:
+    def is_unreachable(self, runner: ids.RunnerStart, now: float) -> bool:
         """Tell whether a runner should get nothing at all."""
         record = self._records.get(runner)
         if record is None:
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -416,15 +416,15 @@
         # one always has free places, and its registration outlives it.
         runner = gatewayparts.make_start('r1')
         self.health.note_unreachable(runner, 0.0)
-        self.assertTrue(self.health.is_closed(runner, 0.4))
-        self.assertFalse(self.health.is_closed(runner, 0.6))
+        self.assertTrue(self.health.is_unreachable(runner, 0.4))
+        self.assertFalse(self.health.is_unreachable(runner, 0.6))
         self.health.note_unreachable(runner, 0.6)
-        self.assertTrue(self.health.is_closed(runner, 1.5))
+        self.assertTrue(self.health.is_unreachable(runner, 1.5))
 
     def test_runner_that_was_replaced_stays_closed(self) -> None:
         self.health.note_gone(gatewayparts.make_start('r1'))
         self.assertTrue(
-            self.health.is_closed(gatewayparts.make_start('r1'), 99.0)
+            self.health.is_unreachable(gatewayparts.make_start('r1'), 99.0)
         )
 
     def test_nobody_is_avoided_if_all_fail_alike(self) -> None:
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -210,12 +210,12 @@
         # Guards against a host whose link is down taking runners from all.
         for number in range(5):
             self.report('host-2', observations.Kind.UNREACHABLE, number * 0.1)
-        self.assertFalse(self.health.is_closed(self.runner, 0.5))
+        self.assertFalse(self.health.is_unreachable(self.runner, 0.5))
 
     def test_runner_that_two_hosts_cannot_reach_is_closed(self) -> None:
         self.report('host-2', observations.Kind.UNREACHABLE, 0.0)
         self.report('host-3', observations.Kind.UNREACHABLE, 0.1)
-        self.assertTrue(self.health.is_closed(self.runner, 0.2))
+        self.assertTrue(self.health.is_unreachable(self.runner, 0.2))
 
     def test_speed_is_learned_from_all_hosts(self) -> None:
         for number in range(6):
