--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -64,13 +64,13 @@
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
-    fitness: health.Health,
+    runner_health: health.Health,
     now: float,
 ) -> None:
     """Learn from what was seen of a runner of a service."""
     applier = _appliers.get(seen.kind)
     if applier is not None:
-        applier(seen, service, start, latencies, fitness, now)
+        applier(seen, service, start, latencies, runner_health, now)
 
 
 def _applies(kind: Kind) -> collections.abc.Callable[[_Applier], _Applier]:
@@ -87,7 +87,7 @@
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
-    fitness: health.Health,
+    runner_health: health.Health,
     now: float,
 ) -> None:
     latencies.note_first_event(service, start, seen.amount, seen.seconds)
@@ -99,7 +99,7 @@
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
-    fitness: health.Health,
+    runner_health: health.Health,
     now: float,
 ) -> None:
     latencies.note_later_events(service, start, seen.amount, seen.seconds)
@@ -111,10 +111,10 @@
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
-    fitness: health.Health,
+    runner_health: health.Health,
     now: float,
 ) -> None:
-    fitness.note_success(start)
+    runner_health.note_success(start)
 
 
 @_applies(Kind.FAILURE)
@@ -123,10 +123,10 @@
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
-    fitness: health.Health,
+    runner_health: health.Health,
     now: float,
 ) -> None:
-    fitness.note_failure(start, now)
+    runner_health.note_failure(start, now)
 
 
 @_applies(Kind.UNREACHABLE)
@@ -135,10 +135,10 @@
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
-    fitness: health.Health,
+    runner_health: health.Health,
     now: float,
 ) -> None:
-    fitness.note_unreachable(start, now)
+    runner_health.note_unreachable(start, now)
 
 
 @_applies(Kind.GONE)
@@ -147,7 +147,7 @@
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
-    fitness: health.Health,
+    runner_health: health.Health,
     now: float,
 ) -> None:
-    fitness.note_gone(start)
+    runner_health.note_gone(start)
