--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -21,7 +21,7 @@
     health,
     latency,
     observations,
-    starts,
+    startindex,
 )
 
 __all__ = ['Coordinator', 'Outgoing']
@@ -133,7 +133,7 @@
         """
         self._host = host
         self._runners = runners
-        self._starts = starts.Starts(runners)
+        self._starts = startindex.Starts(runners)
         self._latencies = latencies
         self._health = fitness
         self._spread = spread
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -30,7 +30,7 @@
     health,
     latency,
     observations,
-    starts,
+    startindex,
 )
 
 __all__ = ['Dispatcher']
@@ -111,7 +111,7 @@
         self._local = local
         self._own = own
         self._runners = runners
-        self._starts = starts.Starts(runners)
+        self._starts = startindex.Starts(runners)
         self._latencies = latencies
         self._health = fitness
         self._hosts = hosts
