--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -133,7 +133,7 @@
         """
         self._host = host
         self._runners = runners
-        self._starts = startindex.Starts(runners)
+        self._starts = startindex.StartIndex(runners)
         self._latencies = latencies
         self._health = fitness
         self._spread = spread
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -111,7 +111,7 @@
         self._local = local
         self._own = own
         self._runners = runners
-        self._starts = startindex.Starts(runners)
+        self._starts = startindex.StartIndex(runners)
         self._latencies = latencies
         self._health = fitness
         self._hosts = hosts
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/startindex.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/startindex.py
@@ -7,11 +7,11 @@
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.runners import directory
 
-__all__ = ['Starts']
+__all__ = ['StartIndex']
 
 
 @ty.final
-class Starts:
+class StartIndex:
     """Index of a directory's runners, kept up with its changes."""
 
     def __init__(self, runners: directory.Directory) -> None:
