--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -67,9 +67,9 @@
     waits,
 )
 from apricotlandingd.gateway.requests import (
-    habits,
     listener,
     parts,
+    routestats,
     runnerclients,
 )
 from apricotlandingd.gateway.runners import directory, health, latency
@@ -275,7 +275,7 @@
             on_garbled=functools.partial(
                 self._foreign.report, foreigninput.Source.ANSWER
             ),
-            habits=habits.Habits(),
+            routestats=routestats.Habits(),
         )
         self._listener = listener.Listener(
             shared,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/__init__.py
@@ -3,6 +3,6 @@
 ``listener`` takes it, ``admission`` lets it in, ``exchange`` leads it to its
 final answer; ``runnerclients``, ``runnerclient`` and ``streams`` speak with
 the runner, ``silence`` tells when to leave it, ``replies`` speaks with the
-caller. ``habits`` remembers what requests of a route are like; ``parts`` is
+caller. ``routestats`` remembers what requests of a route are like; ``parts`` is
 what all requests share.
 """
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -8,12 +8,8 @@
 
 import eliot
 
-from apricotlanding import asgi
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlandingd.gateway import catalogue
-from apricotlandingd.gateway import dialect
+from apricotlanding import asgi, clocks, errors, ids
+from apricotlandingd.gateway import catalogue, dialect
 from apricotlandingd.gateway.hosts import sharedallowances
 from apricotlandingd.gateway.requests import parts
 
@@ -108,7 +104,7 @@
         self.given_s = self.route.timeout_s if deadline is None else deadline
         limit = min(self.given_s, self.route.timeout_s)
         self.limit_at = self.arrived_at + limit
-        self._parts.habits.note_given(self.route.name, self.given_s)
+        self._parts.routestats.note_given(self.route.name, self.given_s)
         self._parts.retry_budget.note_request(self.service, now)
 
     async def _take_units(self, now: float) -> errors.Problem | None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -537,7 +537,7 @@
             return
         rest = clocks.read_monotonic() - first_at
         self._note(entry, observations.Kind.REST, events, rest)
-        self._parts.habits.note_events(self._asked.route.name, events)
+        self._parts.routestats.note_events(self._asked.route.name, events)
 
     def _note(
         self,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
@@ -15,7 +15,7 @@
     sharedallowances,
 )
 from apricotlandingd.gateway.process import measures
-from apricotlandingd.gateway.requests import habits, runnerclient
+from apricotlandingd.gateway.requests import routestats, runnerclient
 from apricotlandingd.gateway.runners import directory, latency
 
 __all__ = ['Parts']
@@ -43,4 +43,4 @@
     on_change: collections.abc.Callable[[], None]
     # Called with each answer that is none, and the reason.
     on_garbled: collections.abc.Callable[[ids.Runner, str, float], None]
-    habits: habits.Habits
+    routestats: routestats.Habits
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -46,7 +46,7 @@
     route, head = asked.route, asked.head
     usual = shared.latencies.find_median(asked.service)
     first = usual.predict_first_event(head.prompt_tokens)
-    began = shared.habits.find_beginning(
+    began = shared.routestats.find_beginning(
         route.name, asked.given_s, asked.arrived_at
     )
     return waiting.Ticket(
@@ -59,7 +59,7 @@
         useful_until=_find_useful_end(asked, progress.sends) - first,
         ends_at=asked.limit_at,
         prompt_tokens=head.prompt_tokens,
-        events=shared.habits.predict_events(
+        events=shared.routestats.predict_events(
             route, head.expected_tokens, asked.event_tokens
         ),
         last_part=head.prefix[-1][0] if head.prefix else '',
