--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -275,7 +275,7 @@
             on_garbled=functools.partial(
                 self._foreign.report, foreigninput.Source.ANSWER
             ),
-            routestats=routestats.Habits(),
+            routestats=routestats.RouteStats(),
         )
         self._listener = listener.Listener(
             shared,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
@@ -43,4 +43,4 @@
     on_change: collections.abc.Callable[[], None]
     # Called with each answer that is none, and the reason.
     on_garbled: collections.abc.Callable[[ids.Runner, str, float], None]
-    routestats: routestats.Habits
+    routestats: routestats.RouteStats
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
@@ -11,7 +11,7 @@
 from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
 
-__all__ = ['Habits']
+__all__ = ['RouteStats']
 
 # A caller with less of its time left than this part of what callers of its
 # route have is one that comes back after a refusal.
@@ -23,7 +23,7 @@
 
 
 @ty.final
-class Habits:
+class RouteStats:
     """Habits of all routes."""
 
     def __init__(self) -> None:
