--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -104,7 +104,9 @@
         self.given_s = self.route.timeout_s if deadline is None else deadline
         limit = min(self.given_s, self.route.timeout_s)
         self.limit_at = self.arrived_at + limit
-        self._parts.routestats.note_given(self.route.name, self.given_s)
+        self._parts.routestats.note_caller_timeout(
+            self.route.name, self.given_s
+        )
         self._parts.retry_budget.note_request(self.service, now)
 
     async def _take_units(self, now: float) -> errors.Problem | None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
@@ -33,7 +33,7 @@
         # Mean number of events in an answer.
         self._events: dict[ids.Route, float] = {}
 
-    def note_given(self, route: ids.Route, given_s: float) -> None:
+    def note_caller_timeout(self, route: ids.Route, given_s: float) -> None:
         """Learn from the time that a caller gives."""
         self._limits[route] = max(self._limits.get(route, 0.0), given_s)
 
