--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -44,7 +44,7 @@
         # Of the configuration that the request was admitted under.
         self.version: ids.Version | None = None
         # Seconds that the caller gives, and when its time or its route's ends.
-        self.given_s = 0.0
+        self.caller_timeout_s = 0.0
         self.limit_at = 0.0
 
     def give_back(self) -> None:
@@ -101,11 +101,13 @@
 
     def _note_arrival(self, now: float) -> None:
         deadline = self.head.deadline_s
-        self.given_s = self.route.timeout_s if deadline is None else deadline
-        limit = min(self.given_s, self.route.timeout_s)
+        self.caller_timeout_s = (
+            self.route.timeout_s if deadline is None else deadline
+        )
+        limit = min(self.caller_timeout_s, self.route.timeout_s)
         self.limit_at = self.arrived_at + limit
         self._parts.routestats.note_caller_timeout(
-            self.route.name, self.given_s
+            self.route.name, self.caller_timeout_s
         )
         self._parts.retry_budget.note_request(self.service, now)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
@@ -33,18 +33,22 @@
         # Mean number of events in an answer.
         self._events: dict[ids.Route, float] = {}
 
-    def note_caller_timeout(self, route: ids.Route, given_s: float) -> None:
+    def note_caller_timeout(
+        self, route: ids.Route, caller_timeout_s: float
+    ) -> None:
         """Learn from the time that a caller gives."""
-        self._limits[route] = max(self._limits.get(route, 0.0), given_s)
+        self._limits[route] = max(
+            self._limits.get(route, 0.0), caller_timeout_s
+        )
 
     def find_beginning(
-        self, route: ids.Route, given_s: float, arrived_at: float
+        self, route: ids.Route, caller_timeout_s: float, arrived_at: float
     ) -> float:
         """Return when a caller asked for the first time."""
         usual = self._limits.get(route, 0.0)
-        if given_s >= usual * RETURN_PART:
+        if caller_timeout_s >= usual * RETURN_PART:
             return arrived_at
-        return arrived_at - (usual - given_s)
+        return arrived_at - (usual - caller_timeout_s)
 
     def note_events(self, route: ids.Route, count: int) -> None:
         """Learn from the length of an answer."""
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -47,7 +47,7 @@
     usual = shared.latencies.find_median(asked.service)
     first = usual.predict_first_event(head.prompt_tokens)
     began = shared.routestats.find_beginning(
-        route.name, asked.given_s, asked.arrived_at
+        route.name, asked.caller_timeout_s, asked.arrived_at
     )
     return waiting.Ticket(
         attempt=head.attempt,
