--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
@@ -41,7 +41,7 @@
             self._limits.get(route, 0.0), caller_timeout_s
         )
 
-    def find_beginning(
+    def estimate_first_arrival(
         self, route: ids.Route, caller_timeout_s: float, arrived_at: float
     ) -> float:
         """Return when a caller asked for the first time."""
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -46,7 +46,7 @@
     route, head = asked.route, asked.head
     usual = shared.latencies.find_median(asked.service)
     first = usual.predict_first_event(head.prompt_tokens)
-    began = shared.routestats.find_beginning(
+    began = shared.routestats.estimate_first_arrival(
         route.name, asked.caller_timeout_s, asked.arrived_at
     )
     return waiting.Ticket(
