--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
@@ -15,7 +15,7 @@
 
 # A caller with less of its time left than this part of what callers of its
 # route have is one that comes back after a refusal.
-RETURN_PART = 0.97
+RETRY_TIMEOUT_SHARE = 0.97
 # Events of an answer, before the first answer of a route has ended, and the
 # weight of the newest answer in the mean.
 FIRST_EVENTS = 50.0
@@ -46,7 +46,7 @@
     ) -> float:
         """Return when a caller asked for the first time."""
         usual = self._limits.get(route, 0.0)
-        if caller_timeout_s >= usual * RETURN_PART:
+        if caller_timeout_s >= usual * RETRY_TIMEOUT_SHARE:
             return arrived_at
         return arrived_at - (usual - caller_timeout_s)
 
