--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
@@ -18,7 +18,7 @@
 RETRY_TIMEOUT_SHARE = 0.97
 # Events of an answer, before the first answer of a route has ended, and the
 # weight of the newest answer in the mean.
-FIRST_EVENTS = 50.0
+DEFAULT_ANSWER_EVENTS = 50.0
 EVENTS_WEIGHT = 0.05
 
 
@@ -52,7 +52,7 @@
 
     def note_events(self, route: ids.Route, count: int) -> None:
         """Learn from the length of an answer."""
-        usual = self._events.get(route, FIRST_EVENTS)
+        usual = self._events.get(route, DEFAULT_ANSWER_EVENTS)
         self._events[route] = usual + (count - usual) * EVENTS_WEIGHT
 
     def predict_events(
@@ -69,5 +69,5 @@
         if not route.is_stream:
             return 0.0
         if expected_tokens is None:
-            return self._events.get(route.name, FIRST_EVENTS)
+            return self._events.get(route.name, DEFAULT_ANSWER_EVENTS)
         return expected_tokens / event_tokens
