--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
@@ -19,7 +19,7 @@
 # Events of an answer, before the first answer of a route has ended, and the
 # weight of the newest answer in the mean.
 DEFAULT_ANSWER_EVENTS = 50.0
-EVENTS_WEIGHT = 0.05
+NEWEST_WEIGHT = 0.05
 
 
 @ty.final
@@ -53,7 +53,7 @@
     def note_events(self, route: ids.Route, count: int) -> None:
         """Learn from the length of an answer."""
         usual = self._events.get(route, DEFAULT_ANSWER_EVENTS)
-        self._events[route] = usual + (count - usual) * EVENTS_WEIGHT
+        self._events[route] = usual + (count - usual) * NEWEST_WEIGHT
 
     def predict_events(
         self,
