--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         """Start without having seen a request."""
         # Longest time that callers of a route have given, seconds.
-        self._limits: dict[ids.Route, float] = {}
+        self._longest_timeouts: dict[ids.Route, float] = {}
         # Mean number of events in an answer.
         self._events: dict[ids.Route, float] = {}
 
@@ -37,15 +37,15 @@
         self, route: ids.Route, caller_timeout_s: float
     ) -> None:
         """Learn from the time that a caller gives."""
-        self._limits[route] = max(
-            self._limits.get(route, 0.0), caller_timeout_s
+        self._longest_timeouts[route] = max(
+            self._longest_timeouts.get(route, 0.0), caller_timeout_s
         )
 
     def estimate_first_arrival(
         self, route: ids.Route, caller_timeout_s: float, arrived_at: float
     ) -> float:
         """Return when a caller asked for the first time."""
-        usual = self._limits.get(route, 0.0)
+        usual = self._longest_timeouts.get(route, 0.0)
         if caller_timeout_s >= usual * RETRY_TIMEOUT_SHARE:
             return arrived_at
         return arrived_at - (usual - caller_timeout_s)
