--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
@@ -31,7 +31,7 @@
         # Longest time that callers of a route have given, seconds.
         self._longest_timeouts: dict[ids.Route, float] = {}
         # Mean number of events in an answer.
-        self._events: dict[ids.Route, float] = {}
+        self._mean_events: dict[ids.Route, float] = {}
 
     def note_caller_timeout(
         self, route: ids.Route, caller_timeout_s: float
@@ -52,8 +52,8 @@
 
     def note_events(self, route: ids.Route, count: int) -> None:
         """Learn from the length of an answer."""
-        usual = self._events.get(route, DEFAULT_ANSWER_EVENTS)
-        self._events[route] = usual + (count - usual) * NEWEST_WEIGHT
+        usual = self._mean_events.get(route, DEFAULT_ANSWER_EVENTS)
+        self._mean_events[route] = usual + (count - usual) * NEWEST_WEIGHT
 
     def predict_events(
         self,
@@ -69,5 +69,5 @@
         if not route.is_stream:
             return 0.0
         if expected_tokens is None:
-            return self._events.get(route.name, DEFAULT_ANSWER_EVENTS)
+            return self._mean_events.get(route.name, DEFAULT_ANSWER_EVENTS)
         return expected_tokens / event_tokens
