--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -13,13 +13,13 @@
 from apricotlandingd.gateway.hosts import sharedallowances
 from apricotlandingd.gateway.requests import parts
 
-__all__ = ['SOON', 'Admission']
+__all__ = ['RETRY_AFTER_S', 'Admission']
 
 # Seconds after which a host that has just started knows the others.
 HOSTS_SOON = 0.2
 # Seconds after which callers whose request met no configuration or no
 # runner should come back.
-SOON = 0.5
+RETRY_AFTER_S = 0.5
 
 
 @ty.final
@@ -73,7 +73,9 @@
         self.head = head
         config = self._parts.find_catalogue()
         if config is None:
-            return errors.make_problem(errors.Kind.NO_CONFIGURATION, SOON)
+            return errors.make_problem(
+                errors.Kind.NO_CONFIGURATION, RETRY_AFTER_S
+            )
         self.version = config.version
         path = self.target.partition('?')[0]
         route = config.find_route(head.hostname, path)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -157,7 +157,9 @@
             await self._fail(errors.make_problem(errors.Kind.TIMED_OUT))
         else:
             await self._refuse(
-                errors.make_problem(errors.Kind.NO_PLACE, admission.SOON)
+                errors.make_problem(
+                    errors.Kind.NO_PLACE, admission.RETRY_AFTER_S
+                )
             )
 
     async def _serve(self) -> None:
@@ -176,7 +178,7 @@
             if not self._may_send_again(end, clocks.read_monotonic()):
                 break
         problem = errors.make_problem(
-            errors.Kind.NOT_TAKEN, admission.SOON, detail=self._detail
+            errors.Kind.NOT_TAKEN, admission.RETRY_AFTER_S, detail=self._detail
         )
         await self._give_up(problem)
 
