--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -16,7 +16,7 @@
 __all__ = ['RETRY_AFTER_S', 'Admission']
 
 # Seconds after which a host that has just started knows the others.
-HOSTS_SOON = 0.2
+HOSTS_RETRY_AFTER_S = 0.2
 # Seconds after which callers whose request met no configuration or no
 # runner should come back.
 RETRY_AFTER_S = 0.5
@@ -123,7 +123,9 @@
         allowances = self._parts.allowances
         if holder.units_per_s > 0 and not allowances.knows_hosts(now):
             # Not "over the allowance": nobody knows that yet.
-            return errors.make_problem(errors.Kind.NO_HOSTS, HOSTS_SOON)
+            return errors.make_problem(
+                errors.Kind.NO_HOSTS, HOSTS_RETRY_AFTER_S
+            )
         cost = allowances.buckets.find_cost(holder, tokens)
         question = self._parts.shared_allowances.ask(holder, cost, now)
         try:
