--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -45,7 +45,7 @@
         self.version: ids.Version | None = None
         # Seconds that the caller gives, and when its time or its route's ends.
         self.caller_timeout_s = 0.0
-        self.limit_at = 0.0
+        self.deadline_at = 0.0
 
     def give_back(self) -> None:
         """Return what was taken from the allowance: nothing has run."""
@@ -107,7 +107,7 @@
             self.route.timeout_s if deadline is None else deadline
         )
         limit = min(self.caller_timeout_s, self.route.timeout_s)
-        self.limit_at = self.arrived_at + limit
+        self.deadline_at = self.arrived_at + limit
         self._parts.routestats.note_caller_timeout(
             self.route.name, self.caller_timeout_s
         )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -148,7 +148,7 @@
                 return
 
     async def _serve_in_time(self) -> None:
-        left = self._asked.limit_at - clocks.read_monotonic()
+        left = self._asked.deadline_at - clocks.read_monotonic()
         with anyio.move_on_after(left + LIMIT_SLACK) as limit:
             await self._serve()
         if not limit.cancelled_caught:
@@ -269,7 +269,7 @@
     async def _send_to(
         self, entry: dialect.RunnerEntry, began_at: float
     ) -> _End:
-        left = self._asked.limit_at - began_at
+        left = self._asked.deadline_at - began_at
         if left <= 0:
             self._detail = 'no time is left'
             return _End.NOT_RUN
@@ -326,7 +326,7 @@
 
     def _note_bad(self, entry: dialect.RunnerEntry, is_reached: bool) -> None:
         now = clocks.read_monotonic()
-        if is_reached and now >= self._asked.limit_at:
+        if is_reached and now >= self._asked.deadline_at:
             # The runner stopped at the deadline that it was given.
             return
         if is_reached:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -57,7 +57,7 @@
         arrived_at=now,
         on_time_by=began + route.objective_s - first,
         useful_until=_find_useful_end(asked, progress.sends) - first,
-        ends_at=asked.limit_at,
+        ends_at=asked.deadline_at,
         prompt_tokens=head.prompt_tokens,
         events=shared.routestats.predict_events(
             route, head.expected_tokens, asked.event_tokens
@@ -76,9 +76,9 @@
 def _find_useful_end(asked: admission.Admission, sends: int) -> float:
     if sends:
         # It was offered in time; now any answer is better than none.
-        return asked.limit_at
+        return asked.deadline_at
     # Told at once, a caller can come back when there is room. One that is held
     # beyond its objective has lost that, and the time as well. The same holds
     # for one that has come back.
     patience = asked.route.objective_s * PATIENCE_OBJECTIVES
-    return min(asked.limit_at, asked.arrived_at + patience)
+    return min(asked.deadline_at, asked.arrived_at + patience)
