--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -41,7 +41,7 @@
 
 # Seconds past a request's limit in which the runner's own answer about the
 # timeout may still arrive.
-LIMIT_SLACK = 0.1
+DEADLINE_SLACK_S = 0.1
 # Largest answer that is held back until it is whole, so that a broken one
 # can be had from another runner; larger ones are passed on as they come.
 HELD_BYTES = 256 * 1024
@@ -149,7 +149,7 @@
 
     async def _serve_in_time(self) -> None:
         left = self._asked.deadline_at - clocks.read_monotonic()
-        with anyio.move_on_after(left + LIMIT_SLACK) as limit:
+        with anyio.move_on_after(left + DEADLINE_SLACK_S) as limit:
             await self._serve()
         if not limit.cancelled_caught:
             return
