--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -44,7 +44,7 @@
 DEADLINE_SLACK_S = 0.1
 # Largest answer that is held back until it is whole, so that a broken one
 # can be had from another runner; larger ones are passed on as they come.
-HELD_BYTES = 256 * 1024
+MAX_HELD_BYTES = 256 * 1024
 FAILED_STATUS = 500
 
 
@@ -446,7 +446,7 @@
         async for part in answer.iterate():
             pieces.append(part)
             size += len(part)
-            if size > HELD_BYTES:
+            if size > MAX_HELD_BYTES:
                 return await self._pass_on(head, pieces, answer)
         now = clocks.read_monotonic()
         body = b''.join(pieces)
