--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -45,7 +45,7 @@
 # Largest answer that is held back until it is whole, so that a broken one
 # can be had from another runner; larger ones are passed on as they come.
 MAX_HELD_BYTES = 256 * 1024
-FAILED_STATUS = 500
+MIN_FAILURE_STATUS = 500
 
 
 class _End(enum.Enum):
@@ -450,7 +450,7 @@
                 return await self._pass_on(head, pieces, answer)
         now = clocks.read_monotonic()
         body = b''.join(pieces)
-        if head.status >= FAILED_STATUS:
+        if head.status >= MIN_FAILURE_STATUS:
             self._fallback = (head, body)
             self._detail = f'status {head.status}'
             self._note(entry, observations.Kind.FAILURE)
