--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -71,7 +71,7 @@
         self._scope = scope
         self._receive = receive
         self._reply = replies.Reply(send, shared.spoken, shared.is_stopping)
-        self._asked = admission.Admission(shared, scope)
+        self._admission = admission.Admission(shared, scope)
         # Runners that bytes of this request went to.
         self._sends = 0
         # The same, with those that were found at another one's address: they
@@ -114,7 +114,7 @@
         self._work.cancel()
 
     async def _answer(self) -> None:
-        problem = await self._asked.admit(
+        problem = await self._admission.admit(
             self._scope['headers'], self._receive
         )
         if problem is not None:
@@ -148,7 +148,7 @@
                 return
 
     async def _serve_in_time(self) -> None:
-        left = self._asked.deadline_at - clocks.read_monotonic()
+        left = self._admission.deadline_at - clocks.read_monotonic()
         with anyio.move_on_after(left + DEADLINE_SLACK_S) as limit:
             await self._serve()
         if not limit.cancelled_caught:
@@ -183,9 +183,9 @@
         await self._give_up(problem)
 
     def _may_send_again(self, end: _End, now: float) -> bool:
-        if end is _End.FAILED and not self._asked.route.is_repeatable():
+        if end is _End.FAILED and not self._admission.route.is_repeatable():
             return False
-        if self._sends >= self._asked.route.max_sends:
+        if self._sends >= self._admission.route.max_sends:
             return False
         if self._arrivals == 0:
             # Nothing has reached a runner: no retry.
@@ -214,7 +214,7 @@
         now = clocks.read_monotonic()
         ticket = tickets.make_ticket(
             self._parts,
-            self._asked,
+            self._admission,
             now,
             tickets.Progress(
                 is_begun=self._reply.is_begun,
@@ -263,13 +263,13 @@
 
     def _release(self, grant: waiting.Grant) -> None:
         now = clocks.read_monotonic()
-        self._parts.dispatcher.release(self._asked.service, grant, now)
+        self._parts.dispatcher.release(self._admission.service, grant, now)
         self._parts.on_change()
 
     async def _send_to(
         self, entry: dialect.RunnerEntry, began_at: float
     ) -> _End:
-        left = self._asked.deadline_at - began_at
+        left = self._admission.deadline_at - began_at
         if left <= 0:
             self._detail = 'no time is left'
             return _End.NOT_RUN
@@ -306,27 +306,27 @@
     def _make_call(
         self, entry: dialect.RunnerEntry, left: float
     ) -> runnerclient.Call:
-        last_event = self._asked.head.last_event
+        last_event = self._admission.head.last_event
         if self._reader is not None:
             last_event = self._reader.last_event
-        organisation = self._asked.organisation
+        organisation = self._admission.organisation
         return runnerclient.Call(
-            method=self._asked.method,
-            target=self._asked.target,
+            method=self._admission.method,
+            target=self._admission.target,
             headers=self._parts.spoken.write_request(
-                self._asked.head,
+                self._admission.head,
                 ids.find_runner(entry.start),
                 None if organisation is None else organisation.name,
                 left,
                 last_event,
             ),
-            body=self._asked.body,
-            is_repeatable=self._asked.route.is_repeatable(),
+            body=self._admission.body,
+            is_repeatable=self._admission.route.is_repeatable(),
         )
 
     def _note_bad(self, entry: dialect.RunnerEntry, is_reached: bool) -> None:
         now = clocks.read_monotonic()
-        if is_reached and now >= self._asked.deadline_at:
+        if is_reached and now >= self._admission.deadline_at:
             # The runner stopped at the deadline that it was given.
             return
         if is_reached:
@@ -336,7 +336,7 @@
         self._parts.measures.count('runner_failures_total')
         eliot.log_message(
             'gateway:runner_failed',
-            attempt=self._asked.head.attempt,
+            attempt=self._admission.head.attempt,
             runner=ids.find_runner(entry.start),
             is_reached=is_reached,
             detail=self._detail,
@@ -352,10 +352,14 @@
         if not self._can_leave():
             yield guard
             return
-        found = self._parts.latencies.find(self._asked.service, entry.start)
-        first = found.predict_first_event(self._asked.head.prompt_tokens)
+        found = self._parts.latencies.find(
+            self._admission.service, entry.start
+        )
+        first = found.predict_first_event(self._admission.head.prompt_tokens)
         guard.extend(
-            silence.find_first_patience(self._asked.route.objective_s, first)
+            silence.find_first_patience(
+                self._admission.route.objective_s, first
+            )
         )
         async with taskgroups.open_group() as group:
             group.start_soon(self._watch_silence, guard)
@@ -373,7 +377,7 @@
                 continue
             now = clocks.read_monotonic()
             has_other = self._parts.dispatcher.has_place(
-                self._asked.service, self._tried, now
+                self._admission.service, self._tried, now
             )
             if has_other and self._take_retry(now):
                 self._has_retry = True
@@ -387,13 +391,13 @@
             self._has_retry = False
             return True
         return self._parts.retry_budget.take(
-            self._asked.service, self._parts.count_hosts(), now
+            self._admission.service, self._parts.count_hosts(), now
         )
 
     def _can_leave(self) -> bool:
         return (
-            self._asked.route.is_repeatable()
-            and self._sends < self._asked.route.max_sends
+            self._admission.route.is_repeatable()
+            and self._sends < self._admission.route.max_sends
         )
 
     # Answers.
@@ -412,7 +416,7 @@
             self._parts.dispatcher.note_load(
                 entry.start, head.load, clocks.read_monotonic()
             )
-        if head.attempt and head.attempt != self._asked.head.attempt:
+        if head.attempt and head.attempt != self._admission.head.attempt:
             # A late answer to another request on this connection.
             raise webclient.Broken('the answer names another attempt')
         if head.is_not_run:
@@ -432,7 +436,7 @@
         return await self._hold(entry, head, answer, began_at)
 
     def _is_event_stream(self, head: dialect.AnswerHead) -> bool:
-        return self._asked.route.is_stream and 200 <= head.status < 300
+        return self._admission.route.is_stream and 200 <= head.status < 300
 
     async def _hold(
         self,
@@ -487,7 +491,7 @@
             raise webclient.Broken(f'status {head.status}')
         reader = self._reader
         if reader is None:
-            reader = streams.EventReader(self._asked.head.last_event)
+            reader = streams.EventReader(self._admission.head.last_event)
             self._reader = reader
         reader.drop_partial()
         before = reader.count
@@ -501,7 +505,7 @@
                 first_at = now
                 self._note_first(entry, now, now - began_at)
             if self._can_leave():
-                gap_s = self._asked.route.gap_objective_s
+                gap_s = self._admission.route.gap_objective_s
                 guard.extend(silence.find_gap_patience(gap_s))
             if not self._reply.is_begun:
                 await self._reply.begin(head)
@@ -519,11 +523,11 @@
     ) -> None:
         if self._first_at is None:
             self._first_at = now
-        prefix = self._asked.head.prefix
+        prefix = self._admission.head.prefix
         self._note(
             entry,
             observations.Kind.FIRST,
-            self._asked.head.prompt_tokens,
+            self._admission.head.prompt_tokens,
             seconds,
             prefix[-1][0] if prefix else '',
         )
@@ -539,7 +543,7 @@
             return
         rest = clocks.read_monotonic() - first_at
         self._note(entry, observations.Kind.REST, events, rest)
-        self._parts.routestats.note_events(self._asked.route.name, events)
+        self._parts.routestats.note_events(self._admission.route.name, events)
 
     def _note(
         self,
@@ -550,7 +554,7 @@
         part: str = '',
     ) -> None:
         self._parts.dispatcher.note(
-            self._asked.service,
+            self._admission.service,
             entry.start,
             observations.Observation(kind, amount, seconds, part),
             clocks.read_monotonic(),
@@ -560,19 +564,19 @@
 
     async def _fail(self, problem: errors.Problem) -> None:
         self._detail = self._detail or problem.text
-        await self._reply.fail(self._asked.head.attempt, problem)
+        await self._reply.fail(self._admission.head.attempt, problem)
 
     async def _refuse(self, problem: errors.Problem) -> None:
-        self._asked.give_back()
+        self._admission.give_back()
         self._detail = self._detail or problem.text
-        await self._reply.write_problem(self._asked.head.attempt, problem)
+        await self._reply.write_problem(self._admission.head.attempt, problem)
 
     def _finish(self, now: float) -> None:
-        head = self._asked.head
-        took = now - self._asked.arrived_at
+        head = self._admission.head
+        took = now - self._admission.arrived_at
         first = None
         if self._first_at is not None:
-            first = round(self._first_at - self._asked.arrived_at, 4)
+            first = round(self._first_at - self._admission.arrived_at, 4)
         runner = None
         if self._runner is not None:
             runner = ids.find_runner(self._runner)
@@ -584,14 +588,14 @@
         eliot.log_message(
             'gateway:request',
             attempt=head.attempt,
-            target=self._asked.target,
+            target=self._admission.target,
             organisation=None
-            if self._asked.organisation is None
-            else self._asked.organisation.name,
+            if self._admission.organisation is None
+            else self._admission.organisation.name,
             runner=runner,
             sends=self._sends,
-            version=self._asked.version,
-            service=self._asked.service,
+            version=self._admission.version,
+            service=self._admission.service,
             tokens=[head.prompt_tokens, head.expected_tokens],
             given_s=head.deadline_s,
             waited_s=round(self._waited_s, 4),
