--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -38,47 +38,47 @@
 
 def make_ticket(
     shared: parts.Parts,
-    asked: admission.Admission,
+    admitted: admission.Admission,
     now: float,
     progress: Progress,
 ) -> waiting.Ticket:
     """Return the ticket of a request that is about to wait."""
-    route, head = asked.route, asked.head
-    usual = shared.latencies.find_median(asked.service)
+    route, head = admitted.route, admitted.head
+    usual = shared.latencies.find_median(admitted.service)
     first = usual.predict_first_event(head.prompt_tokens)
     began = shared.routestats.estimate_first_arrival(
-        route.name, asked.caller_timeout_s, asked.arrived_at
+        route.name, admitted.caller_timeout_s, admitted.arrived_at
     )
     return waiting.Ticket(
         attempt=head.attempt,
-        service=asked.service,
-        tier=BEGUN_TIER if progress.is_begun else _find_tier(asked),
+        service=admitted.service,
+        tier=BEGUN_TIER if progress.is_begun else _find_tier(admitted),
         route_tier=route.tier,
         arrived_at=now,
         on_time_by=began + route.objective_s - first,
-        useful_until=_find_useful_end(asked, progress.sends) - first,
-        ends_at=asked.deadline_at,
+        useful_until=_find_useful_end(admitted, progress.sends) - first,
+        ends_at=admitted.deadline_at,
         prompt_tokens=head.prompt_tokens,
         events=shared.routestats.predict_events(
-            route, head.expected_tokens, asked.event_tokens
+            route, head.expected_tokens, admitted.event_tokens
         ),
         last_part=head.prefix[-1][0] if head.prefix else '',
         tried=progress.tried,
     )
 
 
-def _find_tier(asked: admission.Admission) -> ids.Tier:
-    if asked.organisation is None or asked.organisation.tier is None:
-        return asked.route.tier
-    return asked.organisation.tier
+def _find_tier(admitted: admission.Admission) -> ids.Tier:
+    if admitted.organisation is None or admitted.organisation.tier is None:
+        return admitted.route.tier
+    return admitted.organisation.tier
 
 
-def _find_useful_end(asked: admission.Admission, sends: int) -> float:
+def _find_useful_end(admitted: admission.Admission, sends: int) -> float:
     if sends:
         # It was offered in time; now any answer is better than none.
-        return asked.deadline_at
+        return admitted.deadline_at
     # Told at once, a caller can come back when there is room. One that is held
     # beyond its objective has lost that, and the time as well. The same holds
     # for one that has come back.
-    patience = asked.route.objective_s * PATIENCE_OBJECTIVES
-    return min(asked.deadline_at, asked.arrived_at + patience)
+    patience = admitted.route.objective_s * PATIENCE_OBJECTIVES
+    return min(admitted.deadline_at, admitted.arrived_at + patience)
