--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -39,7 +39,7 @@
         self.service = ids.Pool('')
         self.organisation: catalogue.Organisation | None = None
         # What was asked of the organisation's allowance, until it is returned.
-        self._question: sharedallowances.Question | None = None
+        self._allowance_request: sharedallowances.Question | None = None
         self.event_tokens = 1.0
         # Of the configuration that the request was admitted under.
         self.version: ids.Version | None = None
@@ -49,7 +49,7 @@
 
     def give_back(self) -> None:
         """Return what was taken from the allowance: nothing has run."""
-        question, self._question = self._question, None
+        question, self._allowance_request = self._allowance_request, None
         if question is not None:
             self._parts.shared_allowances.give_back(
                 question, clocks.read_monotonic()
@@ -137,7 +137,7 @@
             )
             raise
         if question.wait_s is None:
-            self._question = question
+            self._allowance_request = question
             return None
         eliot.log_message(
             'gateway:over_allowance',
