--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -48,7 +48,7 @@
 MIN_FAILURE_STATUS = 500
 
 
-class _End(enum.Enum):
+class _SendResult(enum.Enum):
     # How one send to a runner ended.
     DONE = 'done'
     NOT_RUN = 'not run'
@@ -173,7 +173,7 @@
                 )
                 return
             end = await self._try(decision)
-            if end is _End.DONE:
+            if end is _SendResult.DONE:
                 return
             if not self._may_send_again(end, clocks.read_monotonic()):
                 break
@@ -182,8 +182,11 @@
         )
         await self._give_up(problem)
 
-    def _may_send_again(self, end: _End, now: float) -> bool:
-        if end is _End.FAILED and not self._admission.route.is_repeatable():
+    def _may_send_again(self, end: _SendResult, now: float) -> bool:
+        if (
+            end is _SendResult.FAILED
+            and not self._admission.route.is_repeatable()
+        ):
             return False
         if self._sends >= self._admission.route.max_sends:
             return False
@@ -242,7 +245,7 @@
 
     # Sending.
 
-    async def _try(self, grant: waiting.Grant) -> _End:
+    async def _try(self, grant: waiting.Grant) -> _SendResult:
         began_at = clocks.read_monotonic()
         runner = grant.runner
         self._runner = runner
@@ -252,9 +255,9 @@
         try:
             if entry is None:
                 self._detail = 'the runner has left'
-                return _End.NOT_RUN
+                return _SendResult.NOT_RUN
             end = await self._send_to(entry, began_at)
-            if end is _End.DONE:
+            if end is _SendResult.DONE:
                 held = clocks.read_monotonic() - began_at
                 self._note(entry, observations.Kind.HOLD, seconds=held)
             return end
@@ -268,11 +271,11 @@
 
     async def _send_to(
         self, entry: dialect.RunnerEntry, began_at: float
-    ) -> _End:
+    ) -> _SendResult:
         left = self._admission.deadline_at - began_at
         if left <= 0:
             self._detail = 'no time is left'
-            return _End.NOT_RUN
+            return _SendResult.NOT_RUN
         client = self._parts.find_client(entry)
         call = self._make_call(entry, left)
         had_run = self._may_have_run
@@ -293,7 +296,7 @@
             self._may_have_run = had_run
             self._detail = str(error)
             self._note_bad(entry, is_reached=False)
-            return _End.NOT_RUN
+            return _SendResult.NOT_RUN
         except (webclient.Broken, streams.OutOfOrder, silence.Silent) as error:
             self._detail = repr(error)
             if isinstance(error, (webclient.Garbled, streams.OutOfOrder)):
@@ -301,7 +304,7 @@
                 runner = ids.find_runner(entry.start)
                 self._parts.on_garbled(runner, str(error), now)
             self._note_bad(entry, is_reached=True)
-            return _End.FAILED
+            return _SendResult.FAILED
 
     def _make_call(
         self, entry: dialect.RunnerEntry, left: float
@@ -409,7 +412,7 @@
         guard: silence.Guard,
         began_at: float,
         had_run: bool,
-    ) -> _End:
+    ) -> _SendResult:
         head = self._parts.spoken.read_answer(answer.status, answer.headers)
         answer.idle_s = head.idle_s
         if head.load is not None:
@@ -428,7 +431,7 @@
                 self._sends -= 1
                 self._note(entry, observations.Kind.GONE)
             await _read_rest(answer)
-            return _End.NOT_RUN
+            return _SendResult.NOT_RUN
         if not head.is_sealed:
             raise webclient.Broken(f'status {head.status} without a mark')
         if self._reply.is_begun or self._is_event_stream(head):
@@ -444,7 +447,7 @@
         head: dialect.AnswerHead,
         answer: runnerclient.Answer,
         began_at: float,
-    ) -> _End:
+    ) -> _SendResult:
         pieces: list[bytes] = []
         size = 0
         async for part in answer.iterate():
@@ -458,25 +461,25 @@
             self._fallback = (head, body)
             self._detail = f'status {head.status}'
             self._note(entry, observations.Kind.FAILURE)
-            return _End.FAILED
+            return _SendResult.FAILED
         self._note(entry, observations.Kind.SUCCESS)
         self._first_at = self._first_at or now
         self._note(entry, observations.Kind.FIRST, seconds=now - began_at)
         await self._reply.deliver(head, body)
-        return _End.DONE
+        return _SendResult.DONE
 
     async def _pass_on(
         self,
         head: dialect.AnswerHead,
         pieces: list[bytes],
         answer: runnerclient.Answer,
-    ) -> _End:
+    ) -> _SendResult:
         await self._reply.begin(head)
         await self._reply.pass_part(b''.join(pieces))
         async for part in answer.iterate():
             await self._reply.pass_part(part)
         await self._reply.finish(head)
-        return _End.DONE
+        return _SendResult.DONE
 
     async def _relay(
         self,
@@ -485,7 +488,7 @@
         answer: runnerclient.Answer,
         guard: silence.Guard,
         began_at: float,
-    ) -> _End:
+    ) -> _SendResult:
         if not 200 <= head.status < 300:
             # The stream was to go on here, and this runner fails.
             raise webclient.Broken(f'status {head.status}')
@@ -516,7 +519,7 @@
             await self._reply.begin(head)
         await self._reply.finish(head)
         self._note_end(entry, reader.count - before, first_at)
-        return _End.DONE
+        return _SendResult.DONE
 
     def _note_first(
         self, entry: dialect.RunnerEntry, now: float, seconds: float
