--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -172,7 +172,7 @@
                     )
                 )
                 return
-            end = await self._try(decision)
+            end = await self._send_once(decision)
             if end is _SendResult.DONE:
                 return
             if not self._may_send_again(end, clocks.read_monotonic()):
@@ -245,7 +245,7 @@
 
     # Sending.
 
-    async def _try(self, grant: waiting.Grant) -> _SendResult:
+    async def _send_once(self, grant: waiting.Grant) -> _SendResult:
         began_at = clocks.read_monotonic()
         runner = grant.runner
         self._runner = runner
