--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -436,12 +436,12 @@
             raise webclient.Broken(f'status {head.status} without a mark')
         if self._reply.is_begun or self._is_event_stream(head):
             return await self._relay(entry, head, answer, guard, began_at)
-        return await self._hold(entry, head, answer, began_at)
+        return await self._buffer_answer(entry, head, answer, began_at)
 
     def _is_event_stream(self, head: dialect.AnswerHead) -> bool:
         return self._admission.route.is_stream and 200 <= head.status < 300
 
-    async def _hold(
+    async def _buffer_answer(
         self,
         entry: dialect.RunnerEntry,
         head: dialect.AnswerHead,
