--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -454,7 +454,7 @@
             pieces.append(part)
             size += len(part)
             if size > MAX_HELD_BYTES:
-                return await self._pass_on(head, pieces, answer)
+                return await self._forward_rest(head, pieces, answer)
         now = clocks.read_monotonic()
         body = b''.join(pieces)
         if head.status >= MIN_FAILURE_STATUS:
@@ -468,7 +468,7 @@
         await self._reply.deliver(head, body)
         return _SendResult.DONE
 
-    async def _pass_on(
+    async def _forward_rest(
         self,
         head: dialect.AnswerHead,
         pieces: list[bytes],
