--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -435,7 +435,9 @@
         if not head.is_sealed:
             raise webclient.Broken(f'status {head.status} without a mark')
         if self._reply.is_begun or self._is_event_stream(head):
-            return await self._relay(entry, head, answer, guard, began_at)
+            return await self._relay_stream(
+                entry, head, answer, guard, began_at
+            )
         return await self._buffer_answer(entry, head, answer, began_at)
 
     def _is_event_stream(self, head: dialect.AnswerHead) -> bool:
@@ -481,7 +483,7 @@
         await self._reply.finish(head)
         return _SendResult.DONE
 
-    async def _relay(
+    async def _relay_stream(
         self,
         entry: dialect.RunnerEntry,
         head: dialect.AnswerHead,
