--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -295,7 +295,7 @@
             self._arrivals -= 1
             self._may_have_run = had_run
             self._detail = str(error)
-            self._note_bad(entry, is_reached=False)
+            self._note_failure(entry, is_reached=False)
             return _SendResult.NOT_RUN
         except (webclient.Broken, streams.OutOfOrder, silence.Silent) as error:
             self._detail = repr(error)
@@ -303,7 +303,7 @@
                 now = clocks.read_monotonic()
                 runner = ids.find_runner(entry.start)
                 self._parts.on_garbled(runner, str(error), now)
-            self._note_bad(entry, is_reached=True)
+            self._note_failure(entry, is_reached=True)
             return _SendResult.FAILED
 
     def _make_call(
@@ -327,7 +327,9 @@
             is_repeatable=self._admission.route.is_repeatable(),
         )
 
-    def _note_bad(self, entry: dialect.RunnerEntry, is_reached: bool) -> None:
+    def _note_failure(
+        self, entry: dialect.RunnerEntry, is_reached: bool
+    ) -> None:
         now = clocks.read_monotonic()
         if is_reached and now >= self._admission.deadline_at:
             # The runner stopped at the deadline that it was given.
