--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -432,7 +432,7 @@
                 # and the registration that led here is out of date.
                 self._sends -= 1
                 self._note(entry, observations.Kind.GONE)
-            await _read_rest(answer)
+            await _discard_body(answer)
             return _SendResult.NOT_RUN
         if not head.is_sealed:
             raise webclient.Broken(f'status {head.status} without a mark')
@@ -613,6 +613,6 @@
         )
 
 
-async def _read_rest(answer: runnerclient.Answer) -> None:
+async def _discard_body(answer: runnerclient.Answer) -> None:
     async for _ in answer.iterate():
         continue
