--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -76,7 +76,7 @@
         self._sends = 0
         # The same, with those that were found at another one's address: they
         # are no sends, but count against the budget of retries.
-        self._arrivals = 0
+        self._deliveries = 0
         self._may_have_run = False
         self._has_retry = False
         self._tried: set[ids.RunnerStart] = set()
@@ -190,7 +190,7 @@
             return False
         if self._sends >= self._admission.route.max_sends:
             return False
-        if self._arrivals == 0:
+        if self._deliveries == 0:
             # Nothing has reached a runner: no retry.
             return True
         return self._take_retry(now)
@@ -283,7 +283,7 @@
         # the answer must not find "not run".
         self._may_have_run = True
         self._sends += 1
-        self._arrivals += 1
+        self._deliveries += 1
         try:
             async with self._guard_silence(entry) as guard:
                 async with client.open(call) as answer:
@@ -292,7 +292,7 @@
                     )
         except webclient.NotSent as error:
             self._sends -= 1
-            self._arrivals -= 1
+            self._deliveries -= 1
             self._may_have_run = had_run
             self._detail = str(error)
             self._note_failure(entry, is_reached=False)
