--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -107,7 +107,7 @@
             self._reply.outcome = 'stopped'
             raise
         finally:
-            self._finish(clocks.read_monotonic())
+            self._log_result(clocks.read_monotonic())
 
     def end(self) -> None:
         """Give the request up, because the process is about to end."""
@@ -578,7 +578,7 @@
         self._detail = self._detail or problem.text
         await self._reply.write_problem(self._admission.head.attempt, problem)
 
-    def _finish(self, now: float) -> None:
+    def _log_result(self, now: float) -> None:
         head = self._admission.head
         took = now - self._admission.arrived_at
         first = None
