--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -136,7 +136,7 @@
     async def _serve_until_gone(self) -> None:
         async with taskgroups.open_group() as group:
             group.start_soon(self._watch_caller, group.cancel_scope)
-            await self._serve_in_time()
+            await self._serve_until_deadline()
 
     async def _watch_caller(self, scope: anyio.CancelScope) -> None:
         # A caller that leaves must not keep a runner at work: leaving the
@@ -147,7 +147,7 @@
                 scope.cancel()
                 return
 
-    async def _serve_in_time(self) -> None:
+    async def _serve_until_deadline(self) -> None:
         left = self._admission.deadline_at - clocks.read_monotonic()
         with anyio.move_on_after(left + DEADLINE_SLACK_S) as limit:
             await self._serve()
