--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -120,7 +120,7 @@
         if problem is not None:
             await self._refuse(problem)
             return
-        await self._serve_until_gone()
+        await self._serve_while_connected()
 
     async def _end_with_host(self) -> None:
         # Left to the end of the process, the caller would get an error of
@@ -133,7 +133,7 @@
 
     # Serving.
 
-    async def _serve_until_gone(self) -> None:
+    async def _serve_while_connected(self) -> None:
         async with taskgroups.open_group() as group:
             group.start_soon(self._watch_caller, group.cancel_scope)
             await self._serve_until_deadline()
