--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -97,7 +97,7 @@
             with self._work:
                 await self._answer()
             if self._work.cancelled_caught:
-                await self._end_with_host()
+                await self._answer_host_stop()
         except asgi.Disconnected:
             # The caller left before its request had arrived.
             return
@@ -122,7 +122,7 @@
             return
         await self._serve_while_connected()
 
-    async def _end_with_host(self) -> None:
+    async def _answer_host_stop(self) -> None:
         # Left to the end of the process, the caller would get an error of
         # the HTTP server, which says nothing of what became of its request.
         if self._may_have_run:
