--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -278,7 +278,7 @@
             return _SendResult.NOT_RUN
         client = self._parts.find_client(entry)
         call = self._make_call(entry, left)
-        had_run = self._may_have_run
+        may_have_run_before = self._may_have_run
         # Set before the first byte leaves: an exception between here and
         # the answer must not find "not run".
         self._may_have_run = True
@@ -288,12 +288,12 @@
             async with self._guard_silence(entry) as guard:
                 async with client.open(call) as answer:
                     return await self._take_answer(
-                        entry, answer, guard, began_at, had_run
+                        entry, answer, guard, began_at, may_have_run_before
                     )
         except webclient.NotSent as error:
             self._sends -= 1
             self._deliveries -= 1
-            self._may_have_run = had_run
+            self._may_have_run = may_have_run_before
             self._detail = str(error)
             self._note_failure(entry, is_reached=False)
             return _SendResult.NOT_RUN
@@ -413,7 +413,7 @@
         answer: runnerclient.Answer,
         guard: silence.Guard,
         began_at: float,
-        had_run: bool,
+        may_have_run_before: bool,
     ) -> _SendResult:
         head = self._parts.spoken.read_answer(answer.status, answer.headers)
         answer.idle_s = head.idle_s
@@ -425,7 +425,7 @@
             # A late answer to another request on this connection.
             raise webclient.Broken('the answer names another attempt')
         if head.is_not_run:
-            self._may_have_run = had_run
+            self._may_have_run = may_have_run_before
             self._detail = f'status {head.status}'
             if head.is_other_runner:
                 # The address belongs to another runner now: this is no send,
