--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/__init__.py
@@ -2,7 +2,7 @@
 
 ``listener`` takes it, ``admission`` lets it in, ``exchange`` leads it to its
 final answer; ``runnerclients``, ``runnerclient`` and ``streams`` speak with
-the runner, ``silence`` tells when to leave it, ``replies`` speaks with the
+the runner, ``inactivity`` tells when to leave it, ``replies`` speaks with the
 caller. ``routestats`` remembers what requests of a route are like; ``parts`` is
 what all requests share.
 """
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -28,10 +28,10 @@
 from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway.requests import (
     admission,
+    inactivity,
     parts,
     replies,
     runnerclient,
-    silence,
     streams,
     tickets,
 )
@@ -297,7 +297,11 @@
             self._detail = str(error)
             self._note_failure(entry, is_reached=False)
             return _SendResult.NOT_RUN
-        except (webclient.Broken, streams.OutOfOrder, silence.Silent) as error:
+        except (
+            webclient.Broken,
+            streams.OutOfOrder,
+            inactivity.Silent,
+        ) as error:
             self._detail = repr(error)
             if isinstance(error, (webclient.Garbled, streams.OutOfOrder)):
                 now = clocks.read_monotonic()
@@ -352,8 +356,8 @@
     @contextlib.asynccontextmanager
     async def _guard_silence(
         self, entry: dialect.RunnerEntry
-    ) -> collections.abc.AsyncIterator[silence.Guard]:
-        guard = silence.Guard()
+    ) -> collections.abc.AsyncIterator[inactivity.Guard]:
+        guard = inactivity.Guard()
         if not self._can_leave():
             yield guard
             return
@@ -362,7 +366,7 @@
         )
         first = found.predict_first_event(self._admission.head.prompt_tokens)
         guard.extend(
-            silence.find_first_patience(
+            inactivity.find_first_patience(
                 self._admission.route.objective_s, first
             )
         )
@@ -371,9 +375,9 @@
             with guard.scope:
                 yield guard
         if guard.scope.cancelled_caught:
-            raise silence.Silent('the runner fell silent')
+            raise inactivity.Silent('the runner fell silent')
 
-    async def _watch_silence(self, guard: silence.Guard) -> None:
+    async def _watch_silence(self, guard: inactivity.Guard) -> None:
         # A silent runner may still answer. It is left only if another one
         # may be asked: else a late answer would be thrown away for nothing.
         while True:
@@ -388,7 +392,7 @@
                 self._has_retry = True
                 guard.scope.cancel()
                 return
-            guard.extend(silence.SHORTEST)
+            guard.extend(inactivity.SHORTEST)
 
     def _take_retry(self, now: float) -> bool:
         if self._has_retry:
@@ -411,7 +415,7 @@
         self,
         entry: dialect.RunnerEntry,
         answer: runnerclient.Answer,
-        guard: silence.Guard,
+        guard: inactivity.Guard,
         began_at: float,
         may_have_run_before: bool,
     ) -> _SendResult:
@@ -490,7 +494,7 @@
         entry: dialect.RunnerEntry,
         head: dialect.AnswerHead,
         answer: runnerclient.Answer,
-        guard: silence.Guard,
+        guard: inactivity.Guard,
         began_at: float,
     ) -> _SendResult:
         if not 200 <= head.status < 300:
@@ -513,7 +517,7 @@
                 self._note_first(entry, now, now - began_at)
             if self._can_leave():
                 gap_s = self._admission.route.gap_objective_s
-                guard.extend(silence.find_gap_patience(gap_s))
+                guard.extend(inactivity.find_gap_patience(gap_s))
             if not self._reply.is_begun:
                 await self._reply.begin(head)
             await self._reply.pass_part(whole)
