--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -356,8 +356,8 @@
     @contextlib.asynccontextmanager
     async def _guard_silence(
         self, entry: dialect.RunnerEntry
-    ) -> collections.abc.AsyncIterator[inactivity.Guard]:
-        guard = inactivity.Guard()
+    ) -> collections.abc.AsyncIterator[inactivity.Timeout]:
+        guard = inactivity.Timeout()
         if not self._can_leave():
             yield guard
             return
@@ -377,7 +377,7 @@
         if guard.scope.cancelled_caught:
             raise inactivity.Silent('the runner fell silent')
 
-    async def _watch_silence(self, guard: inactivity.Guard) -> None:
+    async def _watch_silence(self, guard: inactivity.Timeout) -> None:
         # A silent runner may still answer. It is left only if another one
         # may be asked: else a late answer would be thrown away for nothing.
         while True:
@@ -415,7 +415,7 @@
         self,
         entry: dialect.RunnerEntry,
         answer: runnerclient.Answer,
-        guard: inactivity.Guard,
+        guard: inactivity.Timeout,
         began_at: float,
         may_have_run_before: bool,
     ) -> _SendResult:
@@ -494,7 +494,7 @@
         entry: dialect.RunnerEntry,
         head: dialect.AnswerHead,
         answer: runnerclient.Answer,
-        guard: inactivity.Guard,
+        guard: inactivity.Timeout,
         began_at: float,
     ) -> _SendResult:
         if not 200 <= head.status < 300:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
@@ -11,7 +11,7 @@
 
 __all__ = [
     'SHORTEST',
-    'Guard',
+    'Timeout',
     'Silent',
     'find_first_patience',
     'find_gap_patience',
@@ -36,7 +36,7 @@
 
 
 @ty.final
-class Guard:
+class Timeout:
     """Ends a call to a runner that falls silent."""
 
     def __init__(self) -> None:
