--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -392,7 +392,7 @@
                 self._has_retry = True
                 guard.scope.cancel()
                 return
-            guard.extend(inactivity.SHORTEST)
+            guard.extend(inactivity.MIN_FIRST_TIMEOUT_S)
 
     def _take_retry(self, now: float) -> bool:
         if self._has_retry:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
@@ -10,7 +10,7 @@
 import anyio
 
 __all__ = [
-    'SHORTEST',
+    'MIN_FIRST_TIMEOUT_S',
     'Timeout',
     'Silent',
     'find_first_patience',
@@ -20,7 +20,7 @@
 # A repeatable request leaves a runner that has not begun to answer after
 # this many times the expected time, and not before this many seconds.
 FACTOR = 4.0
-SHORTEST = 0.6
+MIN_FIRST_TIMEOUT_S = 0.6
 # Nor before this many times the objective: the engines' batches are busiest
 # when all first events are slow, and leaving then only adds to the load.
 OBJECTIVES = 1.5
@@ -52,7 +52,9 @@
 
 def find_first_patience(objective_s: float, expected_s: float) -> float:
     """Return the seconds that a runner has for the first of its answer."""
-    return max(SHORTEST, OBJECTIVES * objective_s, FACTOR * expected_s)
+    return max(
+        MIN_FIRST_TIMEOUT_S, OBJECTIVES * objective_s, FACTOR * expected_s
+    )
 
 
 def find_gap_patience(gap_objective_s: float) -> float:
