--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
@@ -19,7 +19,7 @@
 
 # A repeatable request leaves a runner that has not begun to answer after
 # this many times the expected time, and not before this many seconds.
-FACTOR = 4.0
+EXPECTED_RATIO = 4.0
 MIN_FIRST_TIMEOUT_S = 0.6
 # Nor before this many times the objective: the engines' batches are busiest
 # when all first events are slow, and leaving then only adds to the load.
@@ -53,7 +53,9 @@
 def find_first_patience(objective_s: float, expected_s: float) -> float:
     """Return the seconds that a runner has for the first of its answer."""
     return max(
-        MIN_FIRST_TIMEOUT_S, OBJECTIVES * objective_s, FACTOR * expected_s
+        MIN_FIRST_TIMEOUT_S,
+        OBJECTIVES * objective_s,
+        EXPECTED_RATIO * expected_s,
     )
 
 
