--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
@@ -23,7 +23,7 @@
 MIN_FIRST_TIMEOUT_S = 0.6
 # Nor before this many times the objective: the engines' batches are busiest
 # when all first events are slow, and leaving then only adds to the load.
-OBJECTIVES = 1.5
+OBJECTIVE_RATIO = 1.5
 # A stream leaves a runner after this many times the pause that callers want,
 # and not before this many seconds.
 GAP_FACTOR = 3.0
@@ -54,7 +54,7 @@
     """Return the seconds that a runner has for the first of its answer."""
     return max(
         MIN_FIRST_TIMEOUT_S,
-        OBJECTIVES * objective_s,
+        OBJECTIVE_RATIO * objective_s,
         EXPECTED_RATIO * expected_s,
     )
 
