--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
@@ -26,7 +26,7 @@
 OBJECTIVE_RATIO = 1.5
 # A stream leaves a runner after this many times the pause that callers want,
 # and not before this many seconds.
-GAP_FACTOR = 3.0
+GAP_OBJECTIVE_RATIO = 3.0
 SHORTEST_GAP = 0.8
 
 
@@ -61,4 +61,4 @@
 
 def find_gap_patience(gap_objective_s: float) -> float:
     """Return the seconds that a runner has for the next event."""
-    return max(SHORTEST_GAP, GAP_FACTOR * gap_objective_s)
+    return max(SHORTEST_GAP, GAP_OBJECTIVE_RATIO * gap_objective_s)
