--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
@@ -27,7 +27,7 @@
 # A stream leaves a runner after this many times the pause that callers want,
 # and not before this many seconds.
 GAP_OBJECTIVE_RATIO = 3.0
-SHORTEST_GAP = 0.8
+MIN_GAP_TIMEOUT_S = 0.8
 
 
 @ty.final
@@ -61,4 +61,4 @@
 
 def find_gap_patience(gap_objective_s: float) -> float:
     """Return the seconds that a runner has for the next event."""
-    return max(SHORTEST_GAP, GAP_OBJECTIVE_RATIO * gap_objective_s)
+    return max(MIN_GAP_TIMEOUT_S, GAP_OBJECTIVE_RATIO * gap_objective_s)
