--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -366,7 +366,7 @@
         )
         first = found.predict_first_event(self._admission.head.prompt_tokens)
         guard.extend(
-            inactivity.find_first_patience(
+            inactivity.find_first_timeout(
                 self._admission.route.objective_s, first
             )
         )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
@@ -13,7 +13,7 @@
     'MIN_FIRST_TIMEOUT_S',
     'Timeout',
     'Silent',
-    'find_first_patience',
+    'find_first_timeout',
     'find_gap_patience',
 ]
 
@@ -50,7 +50,7 @@
         self.ends_at = anyio.current_time() + seconds
 
 
-def find_first_patience(objective_s: float, expected_s: float) -> float:
+def find_first_timeout(objective_s: float, expected_s: float) -> float:
     """Return the seconds that a runner has for the first of its answer."""
     return max(
         MIN_FIRST_TIMEOUT_S,
