--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -517,7 +517,7 @@
                 self._note_first(entry, now, now - began_at)
             if self._can_leave():
                 gap_s = self._admission.route.gap_objective_s
-                guard.extend(inactivity.find_gap_patience(gap_s))
+                guard.extend(inactivity.find_gap_timeout(gap_s))
             if not self._reply.is_begun:
                 await self._reply.begin(head)
             await self._reply.pass_part(whole)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/inactivity.py
@@ -14,7 +14,7 @@
     'Timeout',
     'Silent',
     'find_first_timeout',
-    'find_gap_patience',
+    'find_gap_timeout',
 ]
 
 # A repeatable request leaves a runner that has not begun to answer after
@@ -59,6 +59,6 @@
     )
 
 
-def find_gap_patience(gap_objective_s: float) -> float:
+def find_gap_timeout(gap_objective_s: float) -> float:
     """Return the seconds that a runner has for the next event."""
     return max(MIN_GAP_TIMEOUT_S, GAP_OBJECTIVE_RATIO * gap_objective_s)
