--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -285,7 +285,7 @@
         self._sends += 1
         self._deliveries += 1
         try:
-            async with self._guard_silence(entry) as guard:
+            async with self._limit_inactivity(entry) as guard:
                 async with client.open(call) as answer:
                     return await self._take_answer(
                         entry, answer, guard, began_at, may_have_run_before
@@ -354,7 +354,7 @@
     # Silence.
 
     @contextlib.asynccontextmanager
-    async def _guard_silence(
+    async def _limit_inactivity(
         self, entry: dialect.RunnerEntry
     ) -> collections.abc.AsyncIterator[inactivity.Timeout]:
         guard = inactivity.Timeout()
