--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -371,13 +371,13 @@
             )
         )
         async with taskgroups.open_group() as group:
-            group.start_soon(self._watch_silence, guard)
+            group.start_soon(self._watch_inactivity, guard)
             with guard.scope:
                 yield guard
         if guard.scope.cancelled_caught:
             raise inactivity.Silent('the runner fell silent')
 
-    async def _watch_silence(self, guard: inactivity.Timeout) -> None:
+    async def _watch_inactivity(self, guard: inactivity.Timeout) -> None:
         # A silent runner may still answer. It is left only if another one
         # may be asked: else a late answer would be thrown away for nothing.
         while True:
