--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -358,7 +358,7 @@
         self, entry: dialect.RunnerEntry
     ) -> collections.abc.AsyncIterator[inactivity.Timeout]:
         guard = inactivity.Timeout()
-        if not self._can_leave():
+        if not self._may_abandon():
             yield guard
             return
         found = self._parts.latencies.find(
@@ -403,7 +403,7 @@
             self._admission.service, self._parts.count_hosts(), now
         )
 
-    def _can_leave(self) -> bool:
+    def _may_abandon(self) -> bool:
         return (
             self._admission.route.is_repeatable()
             and self._sends < self._admission.route.max_sends
@@ -515,7 +515,7 @@
             if first_at is None:
                 first_at = now
                 self._note_first(entry, now, now - began_at)
-            if self._can_leave():
+            if self._may_abandon():
                 gap_s = self._admission.route.gap_objective_s
                 guard.extend(inactivity.find_gap_timeout(gap_s))
             if not self._reply.is_begun:
