--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -285,10 +285,10 @@
         self._sends += 1
         self._deliveries += 1
         try:
-            async with self._limit_inactivity(entry) as guard:
+            async with self._limit_inactivity(entry) as timeout:
                 async with client.open(call) as answer:
                     return await self._take_answer(
-                        entry, answer, guard, began_at, may_have_run_before
+                        entry, answer, timeout, began_at, may_have_run_before
                     )
         except webclient.NotSent as error:
             self._sends -= 1
@@ -357,32 +357,32 @@
     async def _limit_inactivity(
         self, entry: dialect.RunnerEntry
     ) -> collections.abc.AsyncIterator[inactivity.Timeout]:
-        guard = inactivity.Timeout()
+        timeout = inactivity.Timeout()
         if not self._may_abandon():
-            yield guard
+            yield timeout
             return
         found = self._parts.latencies.find(
             self._admission.service, entry.start
         )
         first = found.predict_first_event(self._admission.head.prompt_tokens)
-        guard.extend(
+        timeout.extend(
             inactivity.find_first_timeout(
                 self._admission.route.objective_s, first
             )
         )
         async with taskgroups.open_group() as group:
-            group.start_soon(self._watch_inactivity, guard)
-            with guard.scope:
-                yield guard
-        if guard.scope.cancelled_caught:
+            group.start_soon(self._watch_inactivity, timeout)
+            with timeout.scope:
+                yield timeout
+        if timeout.scope.cancelled_caught:
             raise inactivity.Silent('the runner fell silent')
 
-    async def _watch_inactivity(self, guard: inactivity.Timeout) -> None:
+    async def _watch_inactivity(self, timeout: inactivity.Timeout) -> None:
         # A silent runner may still answer. It is left only if another one
         # may be asked: else a late answer would be thrown away for nothing.
         while True:
-            await anyio.sleep_until(guard.ends_at)
-            if anyio.current_time() < guard.ends_at:
+            await anyio.sleep_until(timeout.ends_at)
+            if anyio.current_time() < timeout.ends_at:
                 continue
             now = clocks.read_monotonic()
             has_other = self._parts.dispatcher.has_place(
@@ -390,9 +390,9 @@
             )
             if has_other and self._take_retry(now):
                 self._has_retry = True
-                guard.scope.cancel()
+                timeout.scope.cancel()
                 return
-            guard.extend(inactivity.MIN_FIRST_TIMEOUT_S)
+            timeout.extend(inactivity.MIN_FIRST_TIMEOUT_S)
 
     def _take_retry(self, now: float) -> bool:
         if self._has_retry:
@@ -415,7 +415,7 @@
         self,
         entry: dialect.RunnerEntry,
         answer: runnerclient.Answer,
-        guard: inactivity.Timeout,
+        timeout: inactivity.Timeout,
         began_at: float,
         may_have_run_before: bool,
     ) -> _SendResult:
@@ -442,7 +442,7 @@
             raise webclient.Broken(f'status {head.status} without a mark')
         if self._reply.is_begun or self._is_event_stream(head):
             return await self._relay_stream(
-                entry, head, answer, guard, began_at
+                entry, head, answer, timeout, began_at
             )
         return await self._buffer_answer(entry, head, answer, began_at)
 
@@ -494,7 +494,7 @@
         entry: dialect.RunnerEntry,
         head: dialect.AnswerHead,
         answer: runnerclient.Answer,
-        guard: inactivity.Timeout,
+        timeout: inactivity.Timeout,
         began_at: float,
     ) -> _SendResult:
         if not 200 <= head.status < 300:
@@ -517,7 +517,7 @@
                 self._note_first(entry, now, now - began_at)
             if self._may_abandon():
                 gap_s = self._admission.route.gap_objective_s
-                guard.extend(inactivity.find_gap_timeout(gap_s))
+                timeout.extend(inactivity.find_gap_timeout(gap_s))
             if not self._reply.is_begun:
                 await self._reply.begin(head)
             await self._reply.pass_part(whole)
