--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
@@ -13,7 +13,7 @@
 # Longest event in bytes. A stream without a mark between events would else be
 # kept until the host is killed for its memory, with all its requests. An event
 # is some tokens, a few hundred bytes.
-EVENT_LIMIT: ty.Final = 256 * 1024
+MAX_EVENT_BYTES: ty.Final = 256 * 1024
 # Longest id of an event. It goes to the next runner in a header.
 ID_LENGTH: ty.Final = 255
 # Most digits of an id that is compared as a number; counting from one up, no
@@ -52,8 +52,8 @@
             for mark in _SEPARATORS
         )
         whole, partial = data[:end], data[end:]
-        if len(partial) > EVENT_LIMIT:
-            raise OutOfOrder(f'an event of more than {EVENT_LIMIT} bytes')
+        if len(partial) > MAX_EVENT_BYTES:
+            raise OutOfOrder(f'an event of more than {MAX_EVENT_BYTES} bytes')
         # Nothing is kept before all of it has been looked at. Of what is
         # refused the caller gets no byte, so the place to go on from must not
         # move either: it would miss the events before the bad one.
