--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
@@ -15,7 +15,7 @@
 # is some tokens, a few hundred bytes.
 MAX_EVENT_BYTES: ty.Final = 256 * 1024
 # Longest id of an event. It goes to the next runner in a header.
-ID_LENGTH: ty.Final = 255
+MAX_ID_LENGTH: ty.Final = 255
 # Most digits of an id that is compared as a number; counting from one up, no
 # stream comes near.
 ID_DIGITS: ty.Final = 18
@@ -68,7 +68,7 @@
 
 def _follow(last: str, data: bytes) -> str:
     event = data.decode('latin-1')
-    if len(event) > ID_LENGTH or not event.isprintable():
+    if len(event) > MAX_ID_LENGTH or not event.isprintable():
         raise OutOfOrder(f'event id {event[:ID_DIGITS]!r} cannot be asked for')
     if not last.isdecimal() or not event.isdecimal():
         return event
