--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
@@ -18,7 +18,7 @@
 MAX_ID_LENGTH: ty.Final = 255
 # Most digits of an id that is compared as a number; counting from one up, no
 # stream comes near.
-ID_DIGITS: ty.Final = 18
+MAX_ID_DIGITS: ty.Final = 18
 
 
 class OutOfOrder(Exception):
@@ -69,13 +69,15 @@
 def _follow(last: str, data: bytes) -> str:
     event = data.decode('latin-1')
     if len(event) > MAX_ID_LENGTH or not event.isprintable():
-        raise OutOfOrder(f'event id {event[:ID_DIGITS]!r} cannot be asked for')
+        raise OutOfOrder(
+            f'event id {event[:MAX_ID_DIGITS]!r} cannot be asked for'
+        )
     if not last.isdecimal() or not event.isdecimal():
         return event
-    if len(event) > ID_DIGITS:
+    if len(event) > MAX_ID_DIGITS:
         raise OutOfOrder(f'event id of {len(event)} digits')
     # Ids count from one up; a gap or a repeat means that the runner went on
     # from another place than was asked for.
-    if len(last) <= ID_DIGITS and int(event) <= int(last):
+    if len(last) <= MAX_ID_DIGITS and int(event) <= int(last):
         raise OutOfOrder(f'event {event} after {last}')
     return event
