--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
@@ -60,13 +60,13 @@
         last, count = self.last_event, self.count
         for line in whole.splitlines():
             if line[:3].lower() == b'id:':
-                last = _follow(last, line[3:].strip())
+                last = _check_next_id(last, line[3:].strip())
                 count += 1
         self.last_event, self.count, self._partial = last, count, partial
         return whole
 
 
-def _follow(last: str, data: bytes) -> str:
+def _check_next_id(last: str, data: bytes) -> str:
     event = data.decode('latin-1')
     if len(event) > MAX_ID_LENGTH or not event.isprintable():
         raise OutOfOrder(
