--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -198,7 +198,7 @@
     async def _give_up(self, problem: errors.Problem) -> None:
         # The last word when no runner answers: the failure that a runner
         # answered, "may have run", or the problem, which says "not run".
-        if self._fallback is not None and not self._reply.is_begun:
+        if self._fallback is not None and not self._reply.has_begun:
             head, body = self._fallback
             await self._reply.deliver(head, body)
             return
@@ -220,7 +220,7 @@
             self._admission,
             now,
             tickets.Progress(
-                is_begun=self._reply.is_begun,
+                has_begun=self._reply.has_begun,
                 sends=self._sends,
                 tried=self._tried,
             ),
@@ -440,7 +440,7 @@
             return _SendResult.NOT_RUN
         if not head.is_sealed:
             raise webclient.Broken(f'status {head.status} without a mark')
-        if self._reply.is_begun or self._is_event_stream(head):
+        if self._reply.has_begun or self._is_event_stream(head):
             return await self._relay_stream(
                 entry, head, answer, timeout, began_at
             )
@@ -518,12 +518,12 @@
             if self._may_abandon():
                 gap_s = self._admission.route.gap_objective_s
                 timeout.extend(inactivity.find_gap_timeout(gap_s))
-            if not self._reply.is_begun:
+            if not self._reply.has_begun:
                 await self._reply.begin(head)
             await self._reply.pass_part(whole)
         if reader.has_partial():
             raise webclient.Broken('the stream ends within an event')
-        if not self._reply.is_begun:
+        if not self._reply.has_begun:
             await self._reply.begin(head)
         await self._reply.finish(head)
         self._note_end(entry, reader.count - before, first_at)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -8,8 +8,7 @@
 import collections.abc
 import typing as ty
 
-from apricotlanding import asgi
-from apricotlanding import errors
+from apricotlanding import asgi, errors
 from apricotlandingd.gateway import dialect
 
 __all__ = ['Reply']
@@ -29,7 +28,7 @@
         self._send = send
         self._spoken = spoken
         self._is_stopping = is_stopping
-        self.is_begun = False
+        self.has_begun = False
         # What became of the request, for the log.
         self.outcome = 'gone'
 
@@ -37,7 +36,7 @@
         self, head: dialect.AnswerHead, length: int | None = None
     ) -> None:
         """Send a runner's status and headers."""
-        self.is_begun = True
+        self.has_begun = True
         headers = [*head.passed, *self._list_closing()]
         if length is not None:
             headers.append((b'content-length', str(length).encode()))
@@ -60,7 +59,7 @@
 
     async def fail(self, attempt: str, problem: errors.Problem) -> None:
         """End with an error of ours, or cut what has begun."""
-        if self.is_begun:
+        if self.has_begun:
             self.outcome = f'cut {problem.code}'
             return
         await self.write_problem(attempt, problem)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/tickets.py
@@ -29,7 +29,7 @@
     """How far a request has come."""
 
     # Its caller has the first part of the answer.
-    is_begun: bool
+    has_begun: bool
     # Runners that bytes of it went to.
     sends: int
     # Runners that were tried.
@@ -52,7 +52,7 @@
     return waiting.Ticket(
         attempt=head.attempt,
         service=admitted.service,
-        tier=BEGUN_TIER if progress.is_begun else _find_tier(admitted),
+        tier=BEGUN_TIER if progress.has_begun else _find_tier(admitted),
         route_tier=route.tier,
         arrived_at=now,
         on_time_by=began + route.objective_s - first,
