--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -483,9 +483,9 @@
         answer: runnerclient.Answer,
     ) -> _SendResult:
         await self._reply.begin(head)
-        await self._reply.pass_part(b''.join(pieces))
+        await self._reply.forward_part(b''.join(pieces))
         async for part in answer.iterate():
-            await self._reply.pass_part(part)
+            await self._reply.forward_part(part)
         await self._reply.finish(head)
         return _SendResult.DONE
 
@@ -520,7 +520,7 @@
                 timeout.extend(inactivity.find_gap_timeout(gap_s))
             if not self._reply.has_begun:
                 await self._reply.begin(head)
-            await self._reply.pass_part(whole)
+            await self._reply.forward_part(whole)
         if reader.has_partial():
             raise webclient.Broken('the stream ends within an event')
         if not self._reply.has_begun:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -42,7 +42,7 @@
             headers.append((b'content-length', str(length).encode()))
         await asgi.start_answer(self._send, head.status, headers)
 
-    async def pass_part(self, data: bytes) -> None:
+    async def forward_part(self, data: bytes) -> None:
         """Send a part of a runner's body."""
         await asgi.send_part(self._send, data)
 
