--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -37,7 +37,7 @@
     ) -> None:
         """Send a runner's status and headers."""
         self.has_begun = True
-        headers = [*head.passed, *self._list_closing()]
+        headers = [*head.passed, *self._list_close_headers()]
         if length is not None:
             headers.append((b'content-length', str(length).encode()))
         await asgi.start_answer(self._send, head.status, headers)
@@ -74,12 +74,12 @@
             *self._spoken.write_refusal(attempt, problem.retry_after_s),
             (b'content-type', b'text/plain; charset=utf-8'),
             (b'content-length', str(len(body)).encode()),
-            *self._list_closing(),
+            *self._list_close_headers(),
         ]
         await asgi.start_answer(self._send, problem.status, headers)
         await asgi.send_part(self._send, body, is_last=True)
 
-    def _list_closing(self) -> dialect.HeaderList:
+    def _list_close_headers(self) -> dialect.HeaderList:
         # Tells the caller to open its next connection elsewhere.
         if self._is_stopping():
             return [(b'connection', b'close')]
