--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -30,10 +30,10 @@
     admission,
     inactivity,
     parts,
+    queueentries,
     replies,
     runnerclient,
     streams,
-    tickets,
 )
 from apricotlandingd.gateway.runners import observations
 
@@ -215,11 +215,11 @@
 
     async def _wait_for_place(self) -> waiting.Grant | waiting.Refusal:
         now = clocks.read_monotonic()
-        ticket = tickets.make_ticket(
+        ticket = queueentries.make_ticket(
             self._parts,
             self._admission,
             now,
-            tickets.Progress(
+            queueentries.Progress(
                 has_begun=self._reply.has_begun,
                 sends=self._sends,
                 tried=self._tried,
