--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -215,7 +215,7 @@
 
     async def _wait_for_place(self) -> waiting.Grant | waiting.Refusal:
         now = clocks.read_monotonic()
-        ticket = queueentries.make_ticket(
+        ticket = queueentries.make_queue_entry(
             self._parts,
             self._admission,
             now,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -12,7 +12,7 @@
 from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway.requests import admission, parts
 
-__all__ = ['Progress', 'make_ticket']
+__all__ = ['Progress', 'make_queue_entry']
 
 # Objectives for which a request may wait. What waits for longer is late for
 # its caller and in the way of those that are not.
@@ -36,7 +36,7 @@
     tried: set[ids.RunnerStart]
 
 
-def make_ticket(
+def make_queue_entry(
     shared: parts.Parts,
     admitted: admission.Admission,
     now: float,
