--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -215,7 +215,7 @@
 
     async def _wait_for_place(self) -> waiting.Grant | waiting.Refusal:
         now = clocks.read_monotonic()
-        ticket = queueentries.make_queue_entry(
+        queue_entry = queueentries.make_queue_entry(
             self._parts,
             self._admission,
             now,
@@ -225,23 +225,23 @@
                 tried=self._tried,
             ),
         )
-        self._parts.dispatcher.enter(ticket, now)
-        if ticket.decision is None:
+        self._parts.dispatcher.enter(queue_entry, now)
+        if queue_entry.decision is None:
             self._parts.on_change()
         try:
-            await ticket.decided.wait()
+            await queue_entry.decided.wait()
         except BaseException:
             # The caller left, or its time is over.
-            decision = ticket.decision
+            decision = queue_entry.decision
             if isinstance(decision, waiting.Grant):
                 self._release(decision)
             raise
         finally:
             decided_at = clocks.read_monotonic()
-            self._parts.dispatcher.leave(ticket, decided_at)
+            self._parts.dispatcher.leave(queue_entry, decided_at)
             self._waited_s += decided_at - now
-        assert ticket.decision is not None
-        return ticket.decision
+        assert queue_entry.decision is not None
+        return queue_entry.decision
 
     # Sending.
 
