--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -16,7 +16,7 @@
 
 # Objectives for which a request may wait. What waits for longer is late for
 # its caller and in the way of those that are not.
-PATIENCE_OBJECTIVES = 1.0
+MAX_WAIT_OBJECTIVE_RATIO = 1.0
 
 # Tier of a request whose answer has begun: before all others, since half of
 # the answer is with the caller already.
@@ -80,5 +80,5 @@
     # Told at once, a caller can come back when there is room. One that is held
     # beyond its objective has lost that, and the time as well. The same holds
     # for one that has come back.
-    patience = admitted.route.objective_s * PATIENCE_OBJECTIVES
+    patience = admitted.route.objective_s * MAX_WAIT_OBJECTIVE_RATIO
     return min(admitted.deadline_at, admitted.arrived_at + patience)
