--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -20,7 +20,7 @@
 
 # Tier of a request whose answer has begun: before all others, since half of
 # the answer is with the caller already.
-BEGUN_TIER = ids.Tier(-1)
+RESUME_TIER = ids.Tier(-1)
 
 
 @ty.final
@@ -52,7 +52,7 @@
     return waiting.Ticket(
         attempt=head.attempt,
         service=admitted.service,
-        tier=BEGUN_TIER if progress.has_begun else _find_tier(admitted),
+        tier=RESUME_TIER if progress.has_begun else _find_tier(admitted),
         route_tier=route.tier,
         arrived_at=now,
         on_time_by=began + route.objective_s - first,
