--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -56,7 +56,7 @@
         route_tier=route.tier,
         arrived_at=now,
         on_time_by=began + route.objective_s - first,
-        useful_until=_find_useful_end(admitted, progress.sends) - first,
+        useful_until=_find_useful_until(admitted, progress.sends) - first,
         ends_at=admitted.deadline_at,
         prompt_tokens=head.prompt_tokens,
         events=shared.routestats.predict_events(
@@ -73,7 +73,7 @@
     return admitted.organisation.tier
 
 
-def _find_useful_end(admitted: admission.Admission, sends: int) -> float:
+def _find_useful_until(admitted: admission.Admission, sends: int) -> float:
     if sends:
         # It was offered in time; now any answer is better than none.
         return admitted.deadline_at
