--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -23,18 +23,14 @@
 import anyio.abc
 import h11
 
-from apricotlanding import addresses
-from apricotlanding import clocks
-from apricotlanding import sockets
-from apricotlanding import taskgroups
-from apricotlanding import webclient
+from apricotlanding import addresses, clocks, sockets, taskgroups, webclient
 from apricotlandingd.gateway import dialect
 
 __all__ = ['Answer', 'Call', 'RunnerClient']
 
 # Seconds to connect; runners are milliseconds away, and a dark one does not
 # refuse.
-CONNECT_TIMEOUT = 0.5
+CONNECT_TIMEOUT_S = 0.5
 READ_SIZE = 65536
 # Bytes of head and body that surely fit into the buffers of both sides. A
 # larger body is sent while the answer is read, because a runner may answer
@@ -205,7 +201,7 @@
     async def _connect(self) -> '_Connection':
         self.connects += 1
         try:
-            with anyio.fail_after(CONNECT_TIMEOUT):
+            with anyio.fail_after(CONNECT_TIMEOUT_S):
                 stream = await anyio.connect_tcp(
                     self._address.host, self._address.port
                 )
