--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -31,7 +31,7 @@
 # Seconds to connect; runners are milliseconds away, and a dark one does not
 # refuse.
 CONNECT_TIMEOUT_S = 0.5
-READ_SIZE = 65536
+READ_BYTES = 65536
 # Bytes of head and body that surely fit into the buffers of both sides. A
 # larger body is sent while the answer is read, because a runner may answer
 # before it has read the whole body and then stop reading.
@@ -315,7 +315,7 @@
 
     async def _read_bytes(self) -> bytes:
         try:
-            return await self._stream.receive(READ_SIZE)
+            return await self._stream.receive(READ_BYTES)
         except anyio.EndOfStream:
             self._is_ended = True
             return b''
