--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -35,7 +35,7 @@
 # Bytes of head and body that surely fit into the buffers of both sides. A
 # larger body is sent while the answer is read, because a runner may answer
 # before it has read the whole body and then stop reading.
-SMALL_BODY = 4096
+SMALL_BODY_BYTES = 4096
 # Seconds that an idle connection is kept if the runner names no time, and
 # the part of the time it names: its clock starts before ours.
 DEFAULT_IDLE = 4.0
@@ -272,7 +272,7 @@
         parts.append(self._http.send(h11.EndOfMessage()))
         data = b''.join(part for part in parts if part)
         self._is_sent = False
-        if len(call.body) <= SMALL_BODY:
+        if len(call.body) <= SMALL_BODY_BYTES:
             await self._send_bytes(data)
             return
         group.start_soon(self._send_bytes, data)
