--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -38,7 +38,7 @@
 SMALL_BODY_BYTES = 4096
 # Seconds that an idle connection is kept if the runner names no time, and
 # the part of the time it names: its clock starts before ours.
-DEFAULT_IDLE = 4.0
+DEFAULT_IDLE_TIMEOUT_S = 4.0
 IDLE_PART = 0.7
 # Seconds of idleness up to which a connection serves a request that may not
 # be repeated. Runners drop idle connections now and then; a request that is
@@ -222,7 +222,9 @@
             return
         if not connection.start_next():
             return
-        idle = DEFAULT_IDLE if answer.idle_s is None else answer.idle_s
+        idle = (
+            DEFAULT_IDLE_TIMEOUT_S if answer.idle_s is None else answer.idle_s
+        )
         connection.idle_at = clocks.read_monotonic()
         connection.expires_at = connection.idle_at + idle * IDLE_PART
         connection.is_kept = True
