--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -39,7 +39,7 @@
 # Seconds that an idle connection is kept if the runner names no time, and
 # the part of the time it names: its clock starts before ours.
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-IDLE_PART = 0.7
+IDLE_TIMEOUT_SHARE = 0.7
 # Seconds of idleness up to which a connection serves a request that may not
 # be repeated. Runners drop idle connections now and then; a request that is
 # then lost may have run, and cannot be sent again.
@@ -226,7 +226,7 @@
             DEFAULT_IDLE_TIMEOUT_S if answer.idle_s is None else answer.idle_s
         )
         connection.idle_at = clocks.read_monotonic()
-        connection.expires_at = connection.idle_at + idle * IDLE_PART
+        connection.expires_at = connection.idle_at + idle * IDLE_TIMEOUT_SHARE
         connection.is_kept = True
         self._idle.append(connection)
 
