--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -43,7 +43,7 @@
 # Seconds of idleness up to which a connection serves a request that may not
 # be repeated. Runners drop idle connections now and then; a request that is
 # then lost may have run, and cannot be sent again.
-FRESH_IDLE = 1.0
+MAX_UNREPEATABLE_IDLE_S = 1.0
 # Statuses have five classes (RFC 9110, 15).
 LAST_STATUS = 599
 # Not allowed in the value of a header (RFC 9110, 5.5), but for the tab.
@@ -191,7 +191,10 @@
         # The newest first: it is the least likely to be closed by now.
         for place in range(len(self._idle) - 1, -1, -1):
             connection = self._idle[place]
-            if not is_repeatable and now - connection.idle_at > FRESH_IDLE:
+            if (
+                not is_repeatable
+                and now - connection.idle_at > MAX_UNREPEATABLE_IDLE_S
+            ):
                 continue
             del self._idle[place]
             connection.is_kept = False
