--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -45,7 +45,7 @@
 # then lost may have run, and cannot be sent again.
 MAX_UNREPEATABLE_IDLE_S = 1.0
 # Statuses have five classes (RFC 9110, 15).
-LAST_STATUS = 599
+MAX_STATUS = 599
 # Not allowed in the value of a header (RFC 9110, 5.5), but for the tab.
 _CONTROL = re.compile(rb'[\x00-\x08\x0a-\x1f\x7f]')
 
@@ -348,7 +348,7 @@
     # The parser is lenient where the server that writes the answer to the
     # caller is not. Found out there, it would be too late to ask another
     # runner, or to say anything.
-    if response.status_code > LAST_STATUS:
+    if response.status_code > MAX_STATUS:
         raise webclient.Garbled(f'status {response.status_code}')
     for name, value in response.headers:
         if _CONTROL.search(value):
