--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -132,7 +132,7 @@
         finally:
             self._used.discard(connection)
             self._put_back(connection, answer)
-            if not connection.is_kept:
+            if not connection.is_idle:
                 with anyio.CancelScope(shield=True):
                     await connection.close()
 
@@ -197,7 +197,7 @@
             ):
                 continue
             del self._idle[place]
-            connection.is_kept = False
+            connection.is_idle = False
             return connection
         return None
 
@@ -230,7 +230,7 @@
         )
         connection.idle_at = clocks.read_monotonic()
         connection.expires_at = connection.idle_at + idle * IDLE_TIMEOUT_SHARE
-        connection.is_kept = True
+        connection.is_idle = True
         self._idle.append(connection)
 
 
@@ -246,7 +246,7 @@
         self._is_sent = False
         # The runner has closed its side.
         self._is_ended = False
-        self.is_kept = False
+        self.is_idle = False
         self.idle_at = 0.0
         self.expires_at = 0.0
 
