--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -106,7 +106,7 @@
         self._address = address
         self._idle: list[_Connection] = []
         # Those with a request on them.
-        self._used: set[_Connection] = set()
+        self._busy: set[_Connection] = set()
         # Takes no requests any more, and keeps no connections: nobody looks
         # at those of a runner that is gone, and each would hold a descriptor
         # for as long as the process runs.
@@ -122,7 +122,7 @@
         connection, which tells the runner to stop.
         """
         connection = await self._take_connection(call.is_repeatable)
-        self._used.add(connection)
+        self._busy.add(connection)
         answer: Answer | None = None
         try:
             async with taskgroups.open_group() as group:
@@ -130,7 +130,7 @@
                 answer = Answer(connection, await connection.read_head())
                 yield answer
         finally:
-            self._used.discard(connection)
+            self._busy.discard(connection)
             self._put_back(connection, answer)
             if not connection.is_idle:
                 with anyio.CancelScope(shield=True):
@@ -138,7 +138,7 @@
 
     def is_used(self) -> bool:
         """Tell whether a request is on its way."""
-        return bool(self._used)
+        return bool(self._busy)
 
     def stop(self) -> None:
         """Take no more requests."""
@@ -146,7 +146,7 @@
 
     def count_made_since(self, wall_s: float) -> int:
         """Count requests on connections made at or after this Unix time."""
-        return sum(item.made_at >= wall_s for item in self._used)
+        return sum(item.made_at >= wall_s for item in self._busy)
 
     async def close_made_before(self, wall_s: float) -> int:
         """Break off what is on connections made before this Unix time.
@@ -155,7 +155,7 @@
         ahead leaves connections alone that could be closed, and their
         requests end by their silence or their time limit.
         """
-        early = [item for item in self._used if item.made_at < wall_s]
+        early = [item for item in self._busy if item.made_at < wall_s]
         for connection in early:
             await connection.close()
         return len(early)
