--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -136,7 +136,7 @@
                 with anyio.CancelScope(shield=True):
                     await connection.close()
 
-    def is_used(self) -> bool:
+    def is_busy(self) -> bool:
         """Tell whether a request is on its way."""
         return bool(self._busy)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -21,8 +21,7 @@
 import anyio
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.requests import runnerclient
 
@@ -115,7 +114,7 @@
             await leaving.client.close()
         # Kept while they are used: the end of the start may yet be told.
         self._leaving = [
-            leaving for leaving in self._leaving if leaving.client.is_used()
+            leaving for leaving in self._leaving if leaving.client.is_busy()
         ]
 
     async def close(self) -> None:
