--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -131,7 +131,7 @@
                 yield answer
         finally:
             self._busy.discard(connection)
-            self._put_back(connection, answer)
+            self._return_to_pool(connection, answer)
             if not connection.is_idle:
                 with anyio.CancelScope(shield=True):
                     await connection.close()
@@ -218,7 +218,7 @@
             raise webclient.NotSent('the runner has left')
         return _Connection(stream, clocks.read_wall())
 
-    def _put_back(
+    def _return_to_pool(
         self, connection: '_Connection', answer: Answer | None
     ) -> None:
         if answer is None or not answer.is_complete or self._is_stopped:
