--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -181,7 +181,7 @@
             connection = self._pop_idle(is_repeatable, now)
             if connection is None:
                 return await self._connect()
-            if connection.is_usable(now):
+            if connection.is_reusable(now):
                 return connection
             await connection.close()
 
@@ -253,7 +253,7 @@
     def is_expired(self, now: float) -> bool:
         return now >= self.expires_at
 
-    def is_usable(self, now: float) -> bool:
+    def is_reusable(self, now: float) -> bool:
         # Readable while idle: closed by the runner, or bytes of a late
         # answer, which would be taken for that of the next request.
         if self.is_expired(now):
