--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -223,7 +223,7 @@
     ) -> None:
         if answer is None or not answer.is_complete or self._is_stopped:
             return
-        if not connection.start_next():
+        if not connection.prepare_next():
             return
         idle = (
             DEFAULT_IDLE_TIMEOUT_S if answer.idle_s is None else answer.idle_s
@@ -325,7 +325,7 @@
             self._is_ended = True
             return b''
 
-    def start_next(self) -> bool:
+    def prepare_next(self) -> bool:
         # Bytes behind the answer belong to no request.
         if not self._is_sent or self._http.trailing_data[0]:
             return False
