--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -33,7 +33,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Leaving:
+class _Retired:
     """A client that gets no more requests, and may have some on the way."""
 
     start: ids.RunnerStart
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         """Start without connections."""
         self._clients: dict[_Endpoint, runnerclient.RunnerClient] = {}
-        self._leaving: list[_Leaving] = []
+        self._leaving: list[_Retired] = []
         # Connections that were made by clients that were let go.
         self._past_connects = 0
         # Starts that ended earlier ones, whose connections are to be closed.
@@ -127,7 +127,7 @@
         client = self._clients.pop(endpoint)
         client.stop()
         self._past_connects += client.connects
-        self._leaving.append(_Leaving(endpoint[0], client))
+        self._leaving.append(_Retired(endpoint[0], client))
 
     async def _close_earlier(self, later: ids.RunnerStart) -> None:
         birth = ids.read_birth(later)
