--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         """Start without connections."""
         self._clients: dict[_Endpoint, runnerclient.RunnerClient] = {}
-        self._leaving: list[_Retired] = []
+        self._retired: list[_Retired] = []
         # Connections that were made by clients that were let go.
         self._past_connects = 0
         # Starts that ended earlier ones, whose connections are to be closed.
@@ -84,7 +84,7 @@
             if ids.has_run_before(endpoint[0], later):
                 self._let_go(endpoint)
         kept: dict[ids.RunnerStart, int] = {}
-        for leaving in self._leaving:
+        for leaving in self._retired:
             if not ids.has_run_before(leaving.start, later):
                 continue
             count = leaving.client.count_made_since(birth / 1000)
@@ -110,11 +110,11 @@
             await client.close_expired(now)
             if endpoint not in known and endpoint in self._clients:
                 self._let_go(endpoint)
-        for leaving in self._leaving:
+        for leaving in self._retired:
             await leaving.client.close()
         # Kept while they are used: the end of the start may yet be told.
-        self._leaving = [
-            leaving for leaving in self._leaving if leaving.client.is_busy()
+        self._retired = [
+            leaving for leaving in self._retired if leaving.client.is_busy()
         ]
 
     async def close(self) -> None:
@@ -127,13 +127,13 @@
         client = self._clients.pop(endpoint)
         client.stop()
         self._past_connects += client.connects
-        self._leaving.append(_Retired(endpoint[0], client))
+        self._retired.append(_Retired(endpoint[0], client))
 
     async def _close_earlier(self, later: ids.RunnerStart) -> None:
         birth = ids.read_birth(later)
         if birth is None:
             return
-        for leaving in list(self._leaving):
+        for leaving in list(self._retired):
             if not ids.has_run_before(leaving.start, later):
                 continue
             await leaving.client.close()
