--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -84,11 +84,11 @@
             if ids.has_run_before(endpoint[0], later):
                 self._let_go(endpoint)
         kept: dict[ids.RunnerStart, int] = {}
-        for leaving in self._retired:
-            if not ids.has_run_before(leaving.start, later):
+        for retired in self._retired:
+            if not ids.has_run_before(retired.start, later):
                 continue
-            count = leaving.client.count_made_since(birth / 1000)
-            kept[leaving.start] = kept.get(leaving.start, 0) + count
+            count = retired.client.count_made_since(birth / 1000)
+            kept[retired.start] = kept.get(retired.start, 0) + count
         self._later.append(later)
         self._has_later.set()
         return kept
@@ -110,11 +110,11 @@
             await client.close_expired(now)
             if endpoint not in known and endpoint in self._clients:
                 self._let_go(endpoint)
-        for leaving in self._retired:
-            await leaving.client.close()
+        for retired in self._retired:
+            await retired.client.close()
         # Kept while they are used: the end of the start may yet be told.
         self._retired = [
-            leaving for leaving in self._retired if leaving.client.is_busy()
+            retired for retired in self._retired if retired.client.is_busy()
         ]
 
     async def close(self) -> None:
@@ -133,15 +133,15 @@
         birth = ids.read_birth(later)
         if birth is None:
             return
-        for leaving in list(self._retired):
-            if not ids.has_run_before(leaving.start, later):
+        for retired in list(self._retired):
+            if not ids.has_run_before(retired.start, later):
                 continue
-            await leaving.client.close()
-            cut = await leaving.client.close_made_before(birth / 1000)
+            await retired.client.close()
+            cut = await retired.client.close_made_before(birth / 1000)
             eliot.log_message(
                 'gateway:runner_restarted',
                 runner=ids.find_runner(later),
                 born=birth,
-                born_before=ids.read_birth(leaving.start),
+                born_before=ids.read_birth(retired.start),
                 cut_requests=cut,
             )
