--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -82,7 +82,7 @@
             return {}
         for endpoint in list(self._clients):
             if ids.has_run_before(endpoint[0], later):
-                self._let_go(endpoint)
+                self._retire(endpoint)
         kept: dict[ids.RunnerStart, int] = {}
         for retired in self._retired:
             if not ids.has_run_before(retired.start, later):
@@ -109,7 +109,7 @@
         for endpoint, client in list(self._clients.items()):
             await client.close_expired(now)
             if endpoint not in known and endpoint in self._clients:
-                self._let_go(endpoint)
+                self._retire(endpoint)
         for retired in self._retired:
             await retired.client.close()
         # Kept while they are used: the end of the start may yet be told.
@@ -123,7 +123,7 @@
         for client in list(self._clients.values()):
             await client.close()
 
-    def _let_go(self, endpoint: _Endpoint) -> None:
+    def _retire(self, endpoint: _Endpoint) -> None:
         client = self._clients.pop(endpoint)
         client.stop()
         self._past_connects += client.connects
