--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -49,7 +49,7 @@
         self._clients: dict[_Endpoint, runnerclient.RunnerClient] = {}
         self._retired: list[_Retired] = []
         # Connections that were made by clients that were let go.
-        self._past_connects = 0
+        self._retired_connects = 0
         # Starts that ended earlier ones, whose connections are to be closed.
         self._later: list[ids.RunnerStart] = []
         self._has_later = anyio.Event()
@@ -65,7 +65,7 @@
 
     def count_connects(self) -> float:
         """Return the connections made to runners since the start."""
-        return self._past_connects + sum(
+        return self._retired_connects + sum(
             client.connects for client in self._clients.values()
         )
 
@@ -126,7 +126,7 @@
     def _retire(self, endpoint: _Endpoint) -> None:
         client = self._clients.pop(endpoint)
         client.stop()
-        self._past_connects += client.connects
+        self._retired_connects += client.connects
         self._retired.append(_Retired(endpoint[0], client))
 
     async def _close_earlier(self, later: ids.RunnerStart) -> None:
