--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -51,7 +51,7 @@
         # Connections that were made by clients that were let go.
         self._retired_connects = 0
         # Starts that ended earlier ones, whose connections are to be closed.
-        self._later: list[ids.RunnerStart] = []
+        self._new_starts: list[ids.RunnerStart] = []
         self._has_later = anyio.Event()
 
     def find(self, entry: dialect.RunnerEntry) -> runnerclient.RunnerClient:
@@ -89,7 +89,7 @@
                 continue
             count = retired.client.count_made_since(birth / 1000)
             kept[retired.start] = kept.get(retired.start, 0) + count
-        self._later.append(later)
+        self._new_starts.append(later)
         self._has_later.set()
         return kept
 
@@ -98,8 +98,8 @@
         while True:
             await self._has_later.wait()
             self._has_later = anyio.Event()
-            while self._later:
-                await self._close_earlier(self._later.pop())
+            while self._new_starts:
+                await self._close_earlier(self._new_starts.pop())
 
     async def tidy(
         self, entries: list[dialect.RunnerEntry], now: float
