--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -52,7 +52,7 @@
         self._retired_connects = 0
         # Starts that ended earlier ones, whose connections are to be closed.
         self._new_starts: list[ids.RunnerStart] = []
-        self._has_later = anyio.Event()
+        self._has_new_starts = anyio.Event()
 
     def find(self, entry: dialect.RunnerEntry) -> runnerclient.RunnerClient:
         """Return the client for a registered start."""
@@ -90,14 +90,14 @@
             count = retired.client.count_made_since(birth / 1000)
             kept[retired.start] = kept.get(retired.start, 0) + count
         self._new_starts.append(later)
-        self._has_later.set()
+        self._has_new_starts.set()
         return kept
 
     async def run(self) -> None:
         """Close connections of starts that end, for as long as it runs."""
         while True:
-            await self._has_later.wait()
-            self._has_later = anyio.Event()
+            await self._has_new_starts.wait()
+            self._has_new_starts = anyio.Event()
             while self._new_starts:
                 await self._close_earlier(self._new_starts.pop())
 
