--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -462,7 +462,7 @@
         )
 
     def _end_earlier(self, later: ids.RunnerStart) -> None:
-        for start, count in self._clients.end_earlier(later).items():
+        for start, count in self._clients.retire_earlier(later).items():
             self._scheduler.places.hand_over(start, later, count)
 
     def _find_readers(self) -> freshness.Readers:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -4,7 +4,7 @@
 Connections of the earlier start then lead to a process that is gone, and
 nothing may come on them for as long as a request lasts: the reset that a
 crash sends is lost where the path was cut. So a later start ends them
-(``end_earlier``), and requests on them end as with any connection that
+(``retire_earlier``), and requests on them end as with any connection that
 breaks.
 
 Not all connections that were opened in the name of the earlier start belong
@@ -69,7 +69,7 @@
             client.connects for client in self._clients.values()
         )
 
-    def end_earlier(
+    def retire_earlier(
         self, later: ids.RunnerStart
     ) -> dict[ids.RunnerStart, int]:
         """Say that a start of a runner has ended all earlier ones.
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -371,7 +371,7 @@
         # A request got its place just before the runner was known to have
         # started again, and connects just after: the new process at the old
         # address would run it under the name of the earlier start.
-        self.clients.end_earlier(LATER)
+        self.clients.retire_earlier(LATER)
         error = self.assertRaises(
             webclient.NotSent, anyio.run, self.send, self.earlier
         )
@@ -380,10 +380,10 @@
     def test_same_start_and_other_runners_go_on(self) -> None:
         other = gatewayparts.make_entry('r2', birth=EARLY)
         client = self.clients.find(other)
-        self.clients.end_earlier(EARLIER)
-        self.clients.end_earlier(gatewayparts.make_start('r1'))
+        self.clients.retire_earlier(EARLIER)
+        self.clients.retire_earlier(gatewayparts.make_start('r1'))
         self.assertIs(self.earlier, self.clients.find(make_entry(EARLY)))
-        self.clients.end_earlier(LATER)
+        self.clients.retire_earlier(LATER)
         self.assertIs(client, self.clients.find(other))
 
     def test_start_that_comes_back_can_be_used(self) -> None:
@@ -397,7 +397,7 @@
         # The metric falls with each runner that leaves, which readers take
         # for a restart of this process.
         self.earlier.connects = 3
-        self.clients.end_earlier(LATER)
+        self.clients.retire_earlier(LATER)
         anyio.run(self.clients.tidy, [], 1.0)
         self.assertEqual(3, self.clients.count_connects())
 
