--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -599,7 +599,7 @@
             self._latencies.keep_only(known)
             self._scheduler.keep_only(known)
             self._dispatcher.keep_only(known)
-            await self._clients.tidy(entries, now)
+            await self._clients.prune(entries, now)
 
     # Stopping.
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -101,7 +101,7 @@
             while self._new_starts:
                 await self._close_earlier(self._new_starts.pop())
 
-    async def tidy(
+    async def prune(
         self, entries: list[dialect.RunnerEntry], now: float
     ) -> None:
         """Close idle connections, and let go of runners that are gone."""
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -390,7 +390,7 @@
         # A runner gets no request any more: its registration went for a
         # moment and came back, and the client that was let go meanwhile
         # takes none.
-        anyio.run(self.clients.tidy, [], 1.0)
+        anyio.run(self.clients.prune, [], 1.0)
         self.assertIsNot(self.earlier, self.clients.find(make_entry(EARLY)))
 
     def test_connections_are_counted_for_good(self) -> None:
@@ -398,7 +398,7 @@
         # for a restart of this process.
         self.earlier.connects = 3
         self.clients.retire_earlier(LATER)
-        anyio.run(self.clients.tidy, [], 1.0)
+        anyio.run(self.clients.prune, [], 1.0)
         self.assertEqual(3, self.clients.count_connects())
 
 
