--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -68,9 +68,9 @@
 )
 from apricotlandingd.gateway.requests import (
     listener,
-    parts,
     routestats,
     runnerclients,
+    sharedstate,
 )
 from apricotlandingd.gateway.runners import directory, health, latency
 
@@ -258,7 +258,7 @@
         )
         self._mesh.make_state = states.make_state
         self._mesh.make_change = states.make_change
-        shared = parts.Parts(
+        shared = sharedstate.Parts(
             spoken=self._dialect,
             allowances=self._allowances,
             shared_allowances=self._shared_allowances,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -11,7 +11,7 @@
 from apricotlanding import asgi, clocks, errors, ids
 from apricotlandingd.gateway import catalogue, dialect
 from apricotlandingd.gateway.hosts import sharedallowances
-from apricotlandingd.gateway.requests import parts
+from apricotlandingd.gateway.requests import sharedstate
 
 __all__ = ['RETRY_AFTER_S', 'Admission']
 
@@ -26,7 +26,7 @@
 class Admission:
     """One request as its caller sent it."""
 
-    def __init__(self, shared: parts.Parts, scope: asgi.Scope) -> None:
+    def __init__(self, shared: sharedstate.Parts, scope: asgi.Scope) -> None:
         """Take the request line; ``admit`` reads the rest."""
         self._parts = shared
         self.arrived_at = clocks.read_monotonic()
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -29,10 +29,10 @@
 from apricotlandingd.gateway.requests import (
     admission,
     inactivity,
-    parts,
     queueentries,
     replies,
     runnerclient,
+    sharedstate,
     streams,
 )
 from apricotlandingd.gateway.runners import observations
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        shared: parts.Parts,
+        shared: sharedstate.Parts,
         scope: asgi.Scope,
         receive: asgi.Receive,
         send: asgi.Send,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
@@ -10,11 +10,9 @@
 
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import asgi
+from apricotlanding import addresses, asgi
 from apricotlandingd.gateway.process import measures
-from apricotlandingd.gateway.requests import exchange
-from apricotlandingd.gateway.requests import parts
+from apricotlandingd.gateway.requests import exchange, sharedstate
 
 __all__ = ['Listener']
 
@@ -25,7 +23,7 @@
 
     def __init__(
         self,
-        shared: parts.Parts,
+        shared: sharedstate.Parts,
         readiness: addresses.Address,
         metrics: addresses.Address,
         is_ready: collections.abc.Callable[[], bool],
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -10,7 +10,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.requests import admission, parts
+from apricotlandingd.gateway.requests import admission, sharedstate
 
 __all__ = ['Progress', 'make_queue_entry']
 
@@ -37,7 +37,7 @@
 
 
 def make_queue_entry(
-    shared: parts.Parts,
+    shared: sharedstate.Parts,
     admitted: admission.Admission,
     now: float,
     progress: Progress,
