--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -258,7 +258,7 @@
         )
         self._mesh.make_state = states.make_state
         self._mesh.make_change = states.make_change
-        shared = sharedstate.Parts(
+        shared = sharedstate.SharedState(
             spoken=self._dialect,
             allowances=self._allowances,
             shared_allowances=self._shared_allowances,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -26,7 +26,9 @@
 class Admission:
     """One request as its caller sent it."""
 
-    def __init__(self, shared: sharedstate.Parts, scope: asgi.Scope) -> None:
+    def __init__(
+        self, shared: sharedstate.SharedState, scope: asgi.Scope
+    ) -> None:
         """Take the request line; ``admit`` reads the rest."""
         self._parts = shared
         self.arrived_at = clocks.read_monotonic()
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        shared: sharedstate.Parts,
+        shared: sharedstate.SharedState,
         scope: asgi.Scope,
         receive: asgi.Receive,
         send: asgi.Send,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        shared: sharedstate.Parts,
+        shared: sharedstate.SharedState,
         readiness: addresses.Address,
         metrics: addresses.Address,
         is_ready: collections.abc.Callable[[], bool],
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -37,7 +37,7 @@
 
 
 def make_queue_entry(
-    shared: sharedstate.Parts,
+    shared: sharedstate.SharedState,
     admitted: admission.Admission,
     now: float,
     progress: Progress,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/sharedstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/sharedstate.py
@@ -18,12 +18,12 @@
 from apricotlandingd.gateway.requests import routestats, runnerclient
 from apricotlandingd.gateway.runners import directory, latency
 
-__all__ = ['Parts']
+__all__ = ['SharedState']
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class Parts:
+class SharedState:
     """What all requests of a gateway share."""
 
     spoken: dialect.Dialect
