--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -30,7 +30,7 @@
         self, shared: sharedstate.SharedState, scope: asgi.Scope
     ) -> None:
         """Take the request line; ``admit`` reads the rest."""
-        self._parts = shared
+        self._shared = shared
         self.arrived_at = clocks.read_monotonic()
         self.method: str = scope['method']
         self.target = _find_target(scope)
@@ -53,7 +53,7 @@
         """Return what was taken from the allowance: nothing has run."""
         question, self._allowance_request = self._allowance_request, None
         if question is not None:
-            self._parts.shared_allowances.give_back(
+            self._shared.shared_allowances.give_back(
                 question, clocks.read_monotonic()
             )
 
@@ -65,7 +65,7 @@
         Raises asgi.Disconnected if the caller leaves before it has arrived.
         """
         try:
-            head = self._parts.spoken.read_request(
+            head = self._shared.spoken.read_request(
                 self.method, self.target, headers
             )
         except dialect.Unreadable as error:
@@ -73,7 +73,7 @@
         if head is None:
             return errors.make_problem(errors.Kind.NO_ATTEMPT)
         self.head = head
-        config = self._parts.find_catalogue()
+        config = self._shared.find_catalogue()
         if config is None:
             return errors.make_problem(
                 errors.Kind.NO_CONFIGURATION, RETRY_AFTER_S
@@ -110,10 +110,10 @@
         )
         limit = min(self.caller_timeout_s, self.route.timeout_s)
         self.deadline_at = self.arrived_at + limit
-        self._parts.routestats.note_caller_timeout(
+        self._shared.routestats.note_caller_timeout(
             self.route.name, self.caller_timeout_s
         )
-        self._parts.retry_budget.note_request(self.service, now)
+        self._shared.retry_budget.note_request(self.service, now)
 
     async def _take_units(self, now: float) -> errors.Problem | None:
         holder = self.organisation
@@ -122,19 +122,19 @@
         tokens = None
         if self.head.has_tokens:
             tokens = self.head.prompt_tokens + self.head.output_tokens
-        allowances = self._parts.allowances
+        allowances = self._shared.allowances
         if holder.units_per_s > 0 and not allowances.knows_hosts(now):
             # Not "over the allowance": nobody knows that yet.
             return errors.make_problem(
                 errors.Kind.NO_HOSTS, HOSTS_RETRY_AFTER_S
             )
         cost = allowances.buckets.find_cost(holder, tokens)
-        question = self._parts.shared_allowances.ask(holder, cost, now)
+        question = self._shared.shared_allowances.ask(holder, cost, now)
         try:
             await question.answered.wait()
         except BaseException:
             # The caller has left.
-            self._parts.shared_allowances.give_back(
+            self._shared.shared_allowances.give_back(
                 question, clocks.read_monotonic()
             )
             raise
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -67,7 +67,7 @@
         send: asgi.Send,
     ) -> None:
         """Take an ASGI request."""
-        self._parts = shared
+        self._shared = shared
         self._scope = scope
         self._receive = receive
         self._reply = replies.Reply(send, shared.spoken, shared.is_stopping)
@@ -216,7 +216,7 @@
     async def _wait_for_place(self) -> waiting.Grant | waiting.Refusal:
         now = clocks.read_monotonic()
         queue_entry = queueentries.make_queue_entry(
-            self._parts,
+            self._shared,
             self._admission,
             now,
             queueentries.Progress(
@@ -225,9 +225,9 @@
                 tried=self._tried,
             ),
         )
-        self._parts.dispatcher.enter(queue_entry, now)
+        self._shared.dispatcher.enter(queue_entry, now)
         if queue_entry.decision is None:
-            self._parts.on_change()
+            self._shared.on_change()
         try:
             await queue_entry.decided.wait()
         except BaseException:
@@ -238,7 +238,7 @@
             raise
         finally:
             decided_at = clocks.read_monotonic()
-            self._parts.dispatcher.leave(queue_entry, decided_at)
+            self._shared.dispatcher.leave(queue_entry, decided_at)
             self._waited_s += decided_at - now
         assert queue_entry.decision is not None
         return queue_entry.decision
@@ -250,8 +250,8 @@
         runner = grant.runner
         self._runner = runner
         self._tried.add(runner)
-        entry = self._parts.directory.find(runner)
-        self._parts.on_change()
+        entry = self._shared.directory.find(runner)
+        self._shared.on_change()
         try:
             if entry is None:
                 self._detail = 'the runner has left'
@@ -266,8 +266,8 @@
 
     def _release(self, grant: waiting.Grant) -> None:
         now = clocks.read_monotonic()
-        self._parts.dispatcher.release(self._admission.service, grant, now)
-        self._parts.on_change()
+        self._shared.dispatcher.release(self._admission.service, grant, now)
+        self._shared.on_change()
 
     async def _send_to(
         self, entry: dialect.RunnerEntry, began_at: float
@@ -276,7 +276,7 @@
         if left <= 0:
             self._detail = 'no time is left'
             return _SendResult.NOT_RUN
-        client = self._parts.find_client(entry)
+        client = self._shared.find_client(entry)
         call = self._make_call(entry, left)
         may_have_run_before = self._may_have_run
         # Set before the first byte leaves: an exception between here and
@@ -306,7 +306,7 @@
             if isinstance(error, (webclient.Garbled, streams.OutOfOrder)):
                 now = clocks.read_monotonic()
                 runner = ids.find_runner(entry.start)
-                self._parts.on_garbled(runner, str(error), now)
+                self._shared.on_garbled(runner, str(error), now)
             self._note_failure(entry, is_reached=True)
             return _SendResult.FAILED
 
@@ -320,7 +320,7 @@
         return runnerclient.Call(
             method=self._admission.method,
             target=self._admission.target,
-            headers=self._parts.spoken.write_request(
+            headers=self._shared.spoken.write_request(
                 self._admission.head,
                 ids.find_runner(entry.start),
                 None if organisation is None else organisation.name,
@@ -342,7 +342,7 @@
             self._note(entry, observations.Kind.FAILURE)
         else:
             self._note(entry, observations.Kind.UNREACHABLE)
-        self._parts.measures.count('runner_failures_total')
+        self._shared.measures.count('runner_failures_total')
         eliot.log_message(
             'gateway:runner_failed',
             attempt=self._admission.head.attempt,
@@ -361,7 +361,7 @@
         if not self._may_abandon():
             yield timeout
             return
-        found = self._parts.latencies.find(
+        found = self._shared.latencies.find(
             self._admission.service, entry.start
         )
         first = found.predict_first_event(self._admission.head.prompt_tokens)
@@ -385,7 +385,7 @@
             if anyio.current_time() < timeout.ends_at:
                 continue
             now = clocks.read_monotonic()
-            has_other = self._parts.dispatcher.has_place(
+            has_other = self._shared.dispatcher.has_place(
                 self._admission.service, self._tried, now
             )
             if has_other and self._take_retry(now):
@@ -399,8 +399,8 @@
             # Taken when the runner was left for its silence.
             self._has_retry = False
             return True
-        return self._parts.retry_budget.take(
-            self._admission.service, self._parts.count_hosts(), now
+        return self._shared.retry_budget.take(
+            self._admission.service, self._shared.count_hosts(), now
         )
 
     def _may_abandon(self) -> bool:
@@ -419,10 +419,10 @@
         began_at: float,
         may_have_run_before: bool,
     ) -> _SendResult:
-        head = self._parts.spoken.read_answer(answer.status, answer.headers)
+        head = self._shared.spoken.read_answer(answer.status, answer.headers)
         answer.idle_s = head.idle_s
         if head.load is not None:
-            self._parts.dispatcher.note_load(
+            self._shared.dispatcher.note_load(
                 entry.start, head.load, clocks.read_monotonic()
             )
         if head.attempt and head.attempt != self._admission.head.attempt:
@@ -554,7 +554,7 @@
             return
         rest = clocks.read_monotonic() - first_at
         self._note(entry, observations.Kind.REST, events, rest)
-        self._parts.routestats.note_events(self._admission.route.name, events)
+        self._shared.routestats.note_events(self._admission.route.name, events)
 
     def _note(
         self,
@@ -564,7 +564,7 @@
         seconds: float = 0.0,
         part: str = '',
     ) -> None:
-        self._parts.dispatcher.note(
+        self._shared.dispatcher.note(
             self._admission.service,
             entry.start,
             observations.Observation(kind, amount, seconds, part),
@@ -592,10 +592,10 @@
         if self._runner is not None:
             runner = ids.find_runner(self._runner)
         kind = self._reply.outcome.partition(' ')[0]
-        self._parts.measures.count('requests_total', outcome=kind)
-        self._parts.measures.time('request_seconds', took, outcome=kind)
+        self._shared.measures.count('requests_total', outcome=kind)
+        self._shared.measures.time('request_seconds', took, outcome=kind)
         if first is not None:
-            self._parts.measures.time('first_event_seconds', first)
+            self._shared.measures.time('first_event_seconds', first)
         eliot.log_message(
             'gateway:request',
             attempt=head.attempt,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
@@ -30,7 +30,7 @@
         found: measures.Measures,
     ) -> None:
         """Serve callers on every address that is not one of these two."""
-        self._parts = shared
+        self._shared = shared
         self._readiness_port = readiness.port
         self._metrics_port = metrics.port
         self._is_ready = is_ready
@@ -52,7 +52,7 @@
         if port == self._metrics_port:
             await _send_text(send, 200, self._measures.render())
             return
-        found = exchange.Exchange(self._parts, scope, receive, send)
+        found = exchange.Exchange(self._shared, scope, receive, send)
         self._open.add(found)
         try:
             await found.run()
