--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -272,7 +272,7 @@
             count_hosts=self._mesh.count_hosts,
             is_stopping=lambda: self._is_stopping,
             on_change=self._tell_change,
-            on_garbled=functools.partial(
+            on_malformed_answer=functools.partial(
                 self._foreign.report, foreigninput.Source.ANSWER
             ),
             routestats=routestats.RouteStats(),
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -306,7 +306,7 @@
             if isinstance(error, (webclient.Garbled, streams.OutOfOrder)):
                 now = clocks.read_monotonic()
                 runner = ids.find_runner(entry.start)
-                self._shared.on_garbled(runner, str(error), now)
+                self._shared.on_malformed_answer(runner, str(error), now)
             self._note_failure(entry, is_reached=True)
             return _SendResult.FAILED
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/sharedstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/sharedstate.py
@@ -42,5 +42,7 @@
     is_stopping: collections.abc.Callable[[], bool]
     on_change: collections.abc.Callable[[], None]
     # Called with each answer that is none, and the reason.
-    on_garbled: collections.abc.Callable[[ids.Runner, str, float], None]
+    on_malformed_answer: collections.abc.Callable[
+        [ids.Runner, str, float], None
+    ]
     routestats: routestats.RouteStats
