--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -103,7 +103,7 @@
     def __init__(
         self,
         config: settings.GatewaySettings,
-        spoken: dialect.Dialect,
+        http_dialect: dialect.Dialect,
         store: dialect.Store,
         reload: collections.abc.Callable[[], settings.GatewaySettings],
         read_stamp: collections.abc.Callable[[], int],
@@ -115,7 +115,7 @@
         cannot be bound.
         """
         self._settings = config
-        self._dialect = spoken
+        self._dialect = http_dialect
         self._store = store
         self._reload = reload
         self._read_stamp = read_stamp
@@ -259,7 +259,7 @@
         self._mesh.make_state = states.make_state
         self._mesh.make_change = states.make_change
         shared = sharedstate.SharedState(
-            spoken=self._dialect,
+            http_dialect=self._dialect,
             allowances=self._allowances,
             shared_allowances=self._shared_allowances,
             retry_budget=self._retry_budget,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -65,7 +65,7 @@
         Raises asgi.Disconnected if the caller leaves before it has arrived.
         """
         try:
-            head = self._shared.spoken.read_request(
+            head = self._shared.http_dialect.read_request(
                 self.method, self.target, headers
             )
         except dialect.Unreadable as error:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -70,7 +70,9 @@
         self._shared = shared
         self._scope = scope
         self._receive = receive
-        self._reply = replies.Reply(send, shared.spoken, shared.is_stopping)
+        self._reply = replies.Reply(
+            send, shared.http_dialect, shared.is_stopping
+        )
         self._admission = admission.Admission(shared, scope)
         # Runners that bytes of this request went to.
         self._sends = 0
@@ -320,7 +322,7 @@
         return runnerclient.Call(
             method=self._admission.method,
             target=self._admission.target,
-            headers=self._shared.spoken.write_request(
+            headers=self._shared.http_dialect.write_request(
                 self._admission.head,
                 ids.find_runner(entry.start),
                 None if organisation is None else organisation.name,
@@ -419,7 +421,9 @@
         began_at: float,
         may_have_run_before: bool,
     ) -> _SendResult:
-        head = self._shared.spoken.read_answer(answer.status, answer.headers)
+        head = self._shared.http_dialect.read_answer(
+            answer.status, answer.headers
+        )
         answer.idle_s = head.idle_s
         if head.load is not None:
             self._shared.dispatcher.note_load(
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -21,12 +21,12 @@
     def __init__(
         self,
         send: asgi.Send,
-        spoken: dialect.Dialect,
+        http_dialect: dialect.Dialect,
         is_stopping: collections.abc.Callable[[], bool],
     ) -> None:
         """Prepare; nothing is sent yet."""
         self._send = send
-        self._spoken = spoken
+        self._spoken = http_dialect
         self._is_stopping = is_stopping
         self.has_begun = False
         # What became of the request, for the log.
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/sharedstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/sharedstate.py
@@ -26,7 +26,7 @@
 class SharedState:
     """What all requests of a gateway share."""
 
-    spoken: dialect.Dialect
+    http_dialect: dialect.Dialect
     allowances: allowances.Allowances
     shared_allowances: sharedallowances.SharedAllowances
     retry_budget: retrybudget.RetryBudget
