--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -60,7 +60,7 @@
 
 
 def apply(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
@@ -68,9 +68,9 @@
     now: float,
 ) -> None:
     """Learn from what was seen of a runner of a service."""
-    applier = _appliers.get(seen.kind)
+    applier = _appliers.get(observation.kind)
     if applier is not None:
-        applier(seen, service, start, latencies, runner_health, now)
+        applier(observation, service, start, latencies, runner_health, now)
 
 
 def _applies(kind: Kind) -> collections.abc.Callable[[_Applier], _Applier]:
@@ -83,31 +83,35 @@
 
 @_applies(Kind.FIRST)
 def _apply_first(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
     runner_health: health.Health,
     now: float,
 ) -> None:
-    latencies.note_first_event(service, start, seen.amount, seen.seconds)
+    latencies.note_first_event(
+        service, start, observation.amount, observation.seconds
+    )
 
 
 @_applies(Kind.REST)
 def _apply_rest(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
     runner_health: health.Health,
     now: float,
 ) -> None:
-    latencies.note_later_events(service, start, seen.amount, seen.seconds)
+    latencies.note_later_events(
+        service, start, observation.amount, observation.seconds
+    )
 
 
 @_applies(Kind.SUCCESS)
 def _apply_success(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
@@ -119,7 +123,7 @@
 
 @_applies(Kind.FAILURE)
 def _apply_failure(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
@@ -131,7 +135,7 @@
 
 @_applies(Kind.UNREACHABLE)
 def _apply_unreachable(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
@@ -143,7 +147,7 @@
 
 @_applies(Kind.GONE)
 def _apply_gone(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
     latencies: latency.LatencyEstimates,
