--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -73,7 +73,9 @@
         applier(observation, service, start, latencies, runner_health, now)
 
 
-def _applies(kind: Kind) -> collections.abc.Callable[[_Applier], _Applier]:
+def _register_applier(
+    kind: Kind,
+) -> collections.abc.Callable[[_Applier], _Applier]:
     def file_applier(applier: _Applier) -> _Applier:
         _appliers[kind] = applier
         return applier
@@ -81,7 +83,7 @@
     return file_applier
 
 
-@_applies(Kind.FIRST)
+@_register_applier(Kind.FIRST)
 def _apply_first(
     observation: Observation,
     service: ids.Pool,
@@ -95,7 +97,7 @@
     )
 
 
-@_applies(Kind.REST)
+@_register_applier(Kind.REST)
 def _apply_rest(
     observation: Observation,
     service: ids.Pool,
@@ -109,7 +111,7 @@
     )
 
 
-@_applies(Kind.SUCCESS)
+@_register_applier(Kind.SUCCESS)
 def _apply_success(
     observation: Observation,
     service: ids.Pool,
@@ -121,7 +123,7 @@
     runner_health.note_success(start)
 
 
-@_applies(Kind.FAILURE)
+@_register_applier(Kind.FAILURE)
 def _apply_failure(
     observation: Observation,
     service: ids.Pool,
@@ -133,7 +135,7 @@
     runner_health.note_failure(start, now)
 
 
-@_applies(Kind.UNREACHABLE)
+@_register_applier(Kind.UNREACHABLE)
 def _apply_unreachable(
     observation: Observation,
     service: ids.Pool,
@@ -145,7 +147,7 @@
     runner_health.note_unreachable(start, now)
 
 
-@_applies(Kind.GONE)
+@_register_applier(Kind.GONE)
 def _apply_gone(
     observation: Observation,
     service: ids.Pool,
