--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -76,11 +76,11 @@
 def _register_applier(
     kind: Kind,
 ) -> collections.abc.Callable[[_Applier], _Applier]:
-    def file_applier(applier: _Applier) -> _Applier:
+    def register(applier: _Applier) -> _Applier:
         _appliers[kind] = applier
         return applier
 
-    return file_applier
+    return register
 
 
 @_register_applier(Kind.FIRST)
