--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -102,13 +102,18 @@
         One that states no birth is taken to be of the start that is known.
         """
         runner = ids.find_runner(entry.start)
-        place = self._registrations.get(runner)
+        registration = self._registrations.get(runner)
         if ids.read_birth(entry.start) is None:
-            if place is not None:
-                entry = dataclasses.replace(entry, start=place.entry.start)
+            if registration is not None:
+                entry = dataclasses.replace(
+                    entry, start=registration.entry.start
+                )
         elif self._is_outdated(entry.start):
             return UpdateResult.OUTDATED
-        is_same = place is not None and place.entry.start == entry.start
+        is_same = (
+            registration is not None
+            and registration.entry.start == entry.start
+        )
         self._registrations[runner] = _Registration(entry)
         self._removed.pop(runner, None)
         self.changes += 1
@@ -116,11 +121,11 @@
 
     def remove(self, runner: ids.Runner, now: float) -> None:
         """Take the end of a registration."""
-        place = self._registrations.get(runner)
-        if place is None or place.removed_at is not None:
+        registration = self._registrations.get(runner)
+        if registration is None or registration.removed_at is not None:
             return
-        if self._is_outage(now) and not place.entry.is_draining:
-            place.removed_at = now
+        if self._is_outage(now) and not registration.entry.is_draining:
+            registration.removed_at = now
             return
         self._drop(runner, now)
 
@@ -138,10 +143,10 @@
 
     def expire(self, now: float) -> None:
         """Drop runners whose registration did not come back in time."""
-        for runner, place in list(self._registrations.items()):
-            if place.removed_at is None:
+        for runner, registration in list(self._registrations.items()):
+            if registration.removed_at is None:
                 continue
-            if not self._may_come_back(place.removed_at, now):
+            if not self._may_come_back(registration.removed_at, now):
                 self._drop(runner, now)
         for runner, gone in list(self._removed.items()):
             if now - gone.at > BIRTH_RETENTION_S:
@@ -149,37 +154,43 @@
 
     def find(self, start: ids.RunnerStart) -> dialect.RunnerEntry | None:
         """Return a start of a runner that is still known."""
-        place = self._registrations.get(ids.find_runner(start))
-        if place is None or place.entry.start != start:
+        registration = self._registrations.get(ids.find_runner(start))
+        if registration is None or registration.entry.start != start:
             return None
-        return place.entry
+        return registration.entry
 
     def list_open(self, service: ids.Pool) -> list[dialect.RunnerEntry]:
         """Return the runners of a service that take new requests."""
         return [
-            place.entry
-            for place in self._registrations.values()
-            if place.entry.service == service and not place.entry.is_draining
+            registration.entry
+            for registration in self._registrations.values()
+            if registration.entry.service == service
+            and not registration.entry.is_draining
         ]
 
     def list_services(self) -> set[ids.Pool]:
         """Return the services that have runners."""
-        return {place.entry.service for place in self._registrations.values()}
+        return {
+            registration.entry.service
+            for registration in self._registrations.values()
+        }
 
     def list_all(self) -> list[dialect.RunnerEntry]:
         """Return all runners that are known."""
-        return [place.entry for place in self._registrations.values()]
+        return [
+            registration.entry for registration in self._registrations.values()
+        ]
 
     def _drop(self, runner: ids.Runner, now: float) -> None:
-        place = self._registrations.pop(runner)
-        self._removed[runner] = _Removed(place.entry.start, now)
+        registration = self._registrations.pop(runner)
+        self._removed[runner] = _Removed(registration.entry.start, now)
         self.changes += 1
 
     def _is_outdated(self, start: ids.RunnerStart) -> bool:
         runner = ids.find_runner(start)
-        place = self._registrations.get(runner)
-        if place is not None:
-            return ids.has_run_before(start, place.entry.start)
+        registration = self._registrations.get(runner)
+        if registration is not None:
+            return ids.has_run_before(start, registration.entry.start)
         gone = self._removed.get(runner)
         return gone is not None and ids.has_run_before(start, gone.start)
 
