--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -148,8 +148,8 @@
                 continue
             if not self._may_come_back(registration.removed_at, now):
                 self._drop(runner, now)
-        for runner, gone in list(self._removed.items()):
-            if now - gone.at > BIRTH_RETENTION_S:
+        for runner, removed in list(self._removed.items()):
+            if now - removed.at > BIRTH_RETENTION_S:
                 del self._removed[runner]
 
     def find(self, start: ids.RunnerStart) -> dialect.RunnerEntry | None:
@@ -191,8 +191,8 @@
         registration = self._registrations.get(runner)
         if registration is not None:
             return ids.has_run_before(start, registration.entry.start)
-        gone = self._removed.get(runner)
-        return gone is not None and ids.has_run_before(start, gone.start)
+        removed = self._removed.get(runner)
+        return removed is not None and ids.has_run_before(start, removed.start)
 
     def _may_come_back(self, removed_at: float, now: float) -> bool:
         if (
