--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
@@ -66,11 +66,11 @@
         """Count a connection that could not be made."""
         record = self._find(runner)
         record.rate += (1 - record.rate) * NEWEST_WEIGHT
-        closed = min(
+        backoff_s = min(
             MAX_UNREACHABLE_BACKOFF_S,
             UNREACHABLE_BACKOFF_S * 2**record.connect_failures,
         )
-        record.backoff_until = now + closed
+        record.backoff_until = now + backoff_s
         record.connect_failures += 1
 
     def note_gone(self, runner: ids.RunnerStart) -> None:
