--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -150,8 +150,8 @@
                 return
 
     async def _serve_until_deadline(self) -> None:
-        left = self._admission.deadline_at - clocks.read_monotonic()
-        with anyio.move_on_after(left + DEADLINE_SLACK_S) as limit:
+        remaining_s = self._admission.deadline_at - clocks.read_monotonic()
+        with anyio.move_on_after(remaining_s + DEADLINE_SLACK_S) as limit:
             await self._serve()
         if not limit.cancelled_caught:
             return
@@ -274,12 +274,12 @@
     async def _send_to(
         self, entry: dialect.RunnerEntry, began_at: float
     ) -> _SendResult:
-        left = self._admission.deadline_at - began_at
-        if left <= 0:
+        remaining_s = self._admission.deadline_at - began_at
+        if remaining_s <= 0:
             self._detail = 'no time is left'
             return _SendResult.NOT_RUN
         client = self._shared.find_client(entry)
-        call = self._make_call(entry, left)
+        call = self._make_call(entry, remaining_s)
         may_have_run_before = self._may_have_run
         # Set before the first byte leaves: an exception between here and
         # the answer must not find "not run".
@@ -313,7 +313,7 @@
             return _SendResult.FAILED
 
     def _make_call(
-        self, entry: dialect.RunnerEntry, left: float
+        self, entry: dialect.RunnerEntry, remaining_s: float
     ) -> runnerclient.Call:
         last_event = self._admission.head.last_event
         if self._reader is not None:
@@ -326,7 +326,7 @@
                 self._admission.head,
                 ids.find_runner(entry.start),
                 None if organisation is None else organisation.name,
-                left,
+                remaining_s,
                 last_event,
             ),
             body=self._admission.body,
