--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -363,10 +363,12 @@
         if not self._may_abandon():
             yield timeout
             return
-        found = self._shared.latencies.find(
+        estimate = self._shared.latencies.find(
             self._admission.service, entry.start
         )
-        first = found.predict_first_event(self._admission.head.prompt_tokens)
+        first = estimate.predict_first_event(
+            self._admission.head.prompt_tokens
+        )
         timeout.extend(
             inactivity.find_first_timeout(
                 self._admission.route.objective_s, first
