--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -44,8 +44,8 @@
 ) -> waiting.Ticket:
     """Return the ticket of a request that is about to wait."""
     route, head = admitted.route, admitted.head
-    usual = shared.latencies.find_median(admitted.service)
-    first = usual.predict_first_event(head.prompt_tokens)
+    median = shared.latencies.find_median(admitted.service)
+    first = median.predict_first_event(head.prompt_tokens)
     began = shared.routestats.estimate_first_arrival(
         route.name, admitted.caller_timeout_s, admitted.arrived_at
     )
