--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -46,7 +46,7 @@
     route, head = admitted.route, admitted.head
     median = shared.latencies.find_median(admitted.service)
     first = median.predict_first_event(head.prompt_tokens)
-    began = shared.routestats.estimate_first_arrival(
+    first_arrived_at = shared.routestats.estimate_first_arrival(
         route.name, admitted.caller_timeout_s, admitted.arrived_at
     )
     return waiting.Ticket(
@@ -55,7 +55,7 @@
         tier=RESUME_TIER if progress.has_begun else _find_tier(admitted),
         route_tier=route.tier,
         arrived_at=now,
-        on_time_by=began + route.objective_s - first,
+        on_time_by=first_arrived_at + route.objective_s - first,
         useful_until=_find_useful_until(admitted, progress.sends) - first,
         ends_at=admitted.deadline_at,
         prompt_tokens=head.prompt_tokens,
