--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -45,7 +45,7 @@
     """Return the ticket of a request that is about to wait."""
     route, head = admitted.route, admitted.head
     median = shared.latencies.find_median(admitted.service)
-    first = median.predict_first_event(head.prompt_tokens)
+    first_event_s = median.predict_first_event(head.prompt_tokens)
     first_arrived_at = shared.routestats.estimate_first_arrival(
         route.name, admitted.caller_timeout_s, admitted.arrived_at
     )
@@ -55,8 +55,9 @@
         tier=RESUME_TIER if progress.has_begun else _find_tier(admitted),
         route_tier=route.tier,
         arrived_at=now,
-        on_time_by=first_arrived_at + route.objective_s - first,
-        useful_until=_find_useful_until(admitted, progress.sends) - first,
+        on_time_by=first_arrived_at + route.objective_s - first_event_s,
+        useful_until=_find_useful_until(admitted, progress.sends)
+        - first_event_s,
         ends_at=admitted.deadline_at,
         prompt_tokens=head.prompt_tokens,
         events=shared.routestats.predict_events(
