--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -81,5 +81,5 @@
     # Told at once, a caller can come back when there is room. One that is held
     # beyond its objective has lost that, and the time as well. The same holds
     # for one that has come back.
-    patience = admitted.route.objective_s * MAX_WAIT_OBJECTIVE_RATIO
-    return min(admitted.deadline_at, admitted.arrived_at + patience)
+    max_wait_s = admitted.route.objective_s * MAX_WAIT_OBJECTIVE_RATIO
+    return min(admitted.deadline_at, admitted.arrived_at + max_wait_s)
