--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -18,8 +18,8 @@
 
 RUNNER = ids.Runner('r1')
 # Unix milliseconds: two starts of the runner.
-EARLY, LATE = 1000, 2000
-EARLIER = gatewayparts.make_start('r1', EARLY)
+EARLY_MS, LATE = 1000, 2000
+EARLIER = gatewayparts.make_start('r1', EARLY_MS)
 LATER = gatewayparts.make_start('r1', LATE)
 
 
@@ -44,7 +44,7 @@
         self.assertFalse(ids.has_run_before(LATER, LATER))
 
     def test_other_runners_are_not_ended(self) -> None:
-        other = gatewayparts.make_start('r2', EARLY)
+        other = gatewayparts.make_start('r2', EARLY_MS)
         self.assertFalse(ids.has_run_before(other, LATER))
 
     def test_start_without_birth_ends_none(self) -> None:
@@ -59,7 +59,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.runners = directory.Directory(2.0)
-        self.runners.update(make_entry(EARLY))
+        self.runners.update(make_entry(EARLY_MS))
 
     def list_open(self) -> list[ids.RunnerStart]:
         return [
@@ -73,7 +73,7 @@
         self.assertEqual([LATER], self.list_open())
 
     def test_same_birth_changes_the_entry(self) -> None:
-        news = self.runners.update(make_entry(EARLY, is_draining=True))
+        news = self.runners.update(make_entry(EARLY_MS, is_draining=True))
         self.assertIs(directory.UpdateResult.SAME, news)
         self.assertEqual([], self.list_open())
 
@@ -82,7 +82,7 @@
         # word of its earlier start, that it drains, was written after the
         # registration of the later one.
         self.runners.update(make_entry(LATE))
-        news = self.runners.update(make_entry(EARLY, is_draining=True))
+        news = self.runners.update(make_entry(EARLY_MS, is_draining=True))
         self.assertIs(directory.UpdateResult.OUTDATED, news)
         self.assertEqual([LATER], self.list_open())
 
@@ -93,7 +93,7 @@
         self.runners.update(make_entry(LATE))
         self.runners.remove(RUNNER, 10.0)
         self.runners.expire(16.0)
-        self.runners.update(make_entry(EARLY))
+        self.runners.update(make_entry(EARLY_MS))
         self.assertEqual([], self.list_open())
 
     def test_runner_with_an_earlier_clock_is_taken_in_the_end(self) -> None:
@@ -103,13 +103,13 @@
         self.runners.update(make_entry(LATE))
         self.runners.remove(RUNNER, 10.0)
         self.runners.expire(10.1 + directory.BIRTH_RETENTION_S)
-        self.runners.update(make_entry(EARLY))
+        self.runners.update(make_entry(EARLY_MS))
         self.assertEqual([EARLIER], self.list_open())
 
     def test_lapse_and_return_of_the_same_start(self) -> None:
         self.runners.note_outage(9.9)
         self.runners.remove(RUNNER, 10.0)
-        news = self.runners.update(make_entry(EARLY))
+        news = self.runners.update(make_entry(EARLY_MS))
         self.assertIs(directory.UpdateResult.SAME, news)
         self.runners.expire(20.0)
         self.assertEqual([EARLIER], self.list_open())
@@ -121,7 +121,7 @@
         self.runners.update(make_entry(LATE))
         self.runners.note_outage(9.9)
         self.runners.remove(RUNNER, 10.0)
-        self.runners.update(make_entry(EARLY))
+        self.runners.update(make_entry(EARLY_MS))
         self.runners.expire(13.0)
         self.assertEqual([], self.list_open())
 
@@ -139,7 +139,7 @@
         super().setUp()
         self.spread = random.Random(7)
         self.runners = directory.Directory(2.0)
-        self.runners.update(make_entry(EARLY))
+        self.runners.update(make_entry(EARLY_MS))
         self.others = mesh.Mesh(
             ids.Host('host-a'),
             addresses.Address('127.0.0.1', 1),
@@ -305,7 +305,7 @@
             ids.read_birth(start): count
             for start, count in self.places.running.items()
         }
-        wanted = {EARLY: expected.get('early'), LATE: expected.get('late')}
+        wanted = {EARLY_MS: expected.get('early'), LATE: expected.get('late')}
         self.assertEqual(
             {birth: count for birth, count in wanted.items() if count}, found
         )
@@ -349,7 +349,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.clients = runnerclients.RunnerClients()
-        self.earlier = self.clients.find(make_entry(EARLY))
+        self.earlier = self.clients.find(make_entry(EARLY_MS))
 
     async def send(self, client: runnerclient.RunnerClient) -> None:
         call = runnerclient.Call('GET', '/', [(b'host', b'a')], b'', False)
@@ -357,13 +357,13 @@
             return
 
     def test_each_start_has_a_client_of_its_own(self) -> None:
-        self.assertIs(self.earlier, self.clients.find(make_entry(EARLY)))
+        self.assertIs(self.earlier, self.clients.find(make_entry(EARLY_MS)))
         self.assertIsNot(self.earlier, self.clients.find(make_entry(LATE)))
 
     def test_client_goes_to_the_registered_address(self) -> None:
         # Requests go on to an address that the registration named before.
         moved = dataclasses.replace(
-            make_entry(EARLY), address=addresses.Address('127.0.0.1', 2)
+            make_entry(EARLY_MS), address=addresses.Address('127.0.0.1', 2)
         )
         self.assertIsNot(self.earlier, self.clients.find(moved))
 
@@ -378,11 +378,11 @@
         self.assertIn('left', str(error))
 
     def test_same_start_and_other_runners_go_on(self) -> None:
-        other = gatewayparts.make_entry('r2', birth=EARLY)
+        other = gatewayparts.make_entry('r2', birth=EARLY_MS)
         client = self.clients.find(other)
         self.clients.retire_earlier(EARLIER)
         self.clients.retire_earlier(gatewayparts.make_start('r1'))
-        self.assertIs(self.earlier, self.clients.find(make_entry(EARLY)))
+        self.assertIs(self.earlier, self.clients.find(make_entry(EARLY_MS)))
         self.clients.retire_earlier(LATER)
         self.assertIs(client, self.clients.find(other))
 
@@ -391,7 +391,7 @@
         # moment and came back, and the client that was let go meanwhile
         # takes none.
         anyio.run(self.clients.prune, [], 1.0)
-        self.assertIsNot(self.earlier, self.clients.find(make_entry(EARLY)))
+        self.assertIsNot(self.earlier, self.clients.find(make_entry(EARLY_MS)))
 
     def test_connections_are_counted_for_good(self) -> None:
         # The metric falls with each runner that leaves, which readers take
@@ -419,7 +419,7 @@
         return registrations.decode_runner('r1', json.dumps(plain).encode())
 
     def test_birth_is_part_of_the_identity(self) -> None:
-        self.assertEqual(EARLIER, self.decode(born=EARLY).start)
+        self.assertEqual(EARLIER, self.decode(born=EARLY_MS).start)
 
     def test_runner_without_birth_has_one_start(self) -> None:
         self.assertEqual(gatewayparts.make_start('r1'), self.decode().start)
