--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -18,9 +18,9 @@
 
 RUNNER = ids.Runner('r1')
 # Unix milliseconds: two starts of the runner.
-EARLY_MS, LATE = 1000, 2000
+EARLY_MS, LATE_MS = 1000, 2000
 EARLIER = gatewayparts.make_start('r1', EARLY_MS)
-LATER = gatewayparts.make_start('r1', LATE)
+LATER = gatewayparts.make_start('r1', LATE_MS)
 
 
 def make_entry(birth: int | None, **more: bool) -> dialect.RunnerEntry:
@@ -67,7 +67,7 @@
         ]
 
     def test_later_birth_replaces_the_start(self) -> None:
-        news = self.runners.update(make_entry(LATE))
+        news = self.runners.update(make_entry(LATE_MS))
         self.assertIs(directory.UpdateResult.START, news)
         self.assertIsNone(self.runners.find(EARLIER))
         self.assertEqual([LATER], self.list_open())
@@ -81,7 +81,7 @@
         # Callers are refused although the runner takes requests: the last
         # word of its earlier start, that it drains, was written after the
         # registration of the later one.
-        self.runners.update(make_entry(LATE))
+        self.runners.update(make_entry(LATE_MS))
         news = self.runners.update(make_entry(EARLY_MS, is_draining=True))
         self.assertIs(directory.UpdateResult.OUTDATED, news)
         self.assertEqual([LATER], self.list_open())
@@ -90,7 +90,7 @@
         # Requests are sent to an address where nobody listens. The runner
         # has left for good, and then a write of its earlier start, which the
         # store had held back, is done.
-        self.runners.update(make_entry(LATE))
+        self.runners.update(make_entry(LATE_MS))
         self.runners.remove(RUNNER, 10.0)
         self.runners.expire(16.0)
         self.runners.update(make_entry(EARLY_MS))
@@ -100,7 +100,7 @@
         # A runner is never used again: it moved to a machine whose clock is
         # behind, and its birth is compared with that of a start that has
         # been gone for long.
-        self.runners.update(make_entry(LATE))
+        self.runners.update(make_entry(LATE_MS))
         self.runners.remove(RUNNER, 10.0)
         self.runners.expire(10.1 + directory.BIRTH_RETENTION_S)
         self.runners.update(make_entry(EARLY_MS))
@@ -118,7 +118,7 @@
         # The registration of the later start lapsed in an outage and does
         # not come back: the runner is gone. A late word of the earlier start
         # must not make it stay.
-        self.runners.update(make_entry(LATE))
+        self.runners.update(make_entry(LATE_MS))
         self.runners.note_outage(9.9)
         self.runners.remove(RUNNER, 10.0)
         self.runners.update(make_entry(EARLY_MS))
@@ -195,14 +195,14 @@
         # Callers are refused for as long as the requests that the crashed
         # process had would have lasted.
         self.fill()
-        self.runners.update(make_entry(LATE))
+        self.runners.update(make_entry(LATE_MS))
         self.assert_granted(self.enter(1.0))
 
     def test_release_of_an_earlier_place_frees_none(self) -> None:
         # The runner is overfilled: requests that ended with the earlier
         # start give their places back after the later one has filled up.
         self.fill()
-        self.runners.update(make_entry(LATE))
+        self.runners.update(make_entry(LATE_MS))
         for _ in range(2):
             self.assert_granted(self.enter(1.0))
         self.scheduler.release(gatewayparts.POOL, EARLIER, 1.1)
@@ -213,12 +213,12 @@
         # that it has at the earlier start.
         self.hear(1, EARLIER)
         self.assertIsNone(self.enter(0.0).decision)
-        self.runners.update(make_entry(LATE))
+        self.runners.update(make_entry(LATE_MS))
         self.hear(2, EARLIER)
         self.assert_granted(self.enter(0.0))
 
     def test_places_of_peers_at_the_later_start_count(self) -> None:
-        self.runners.update(make_entry(LATE))
+        self.runners.update(make_entry(LATE_MS))
         self.hear(1, LATER)
         self.assertIsNone(self.enter(0.0).decision)
 
@@ -228,12 +228,12 @@
         for _ in range(4):
             self.health.note_unreachable(EARLIER, 0.0)
         self.health.note_gone(EARLIER)
-        self.runners.update(make_entry(LATE))
+        self.runners.update(make_entry(LATE_MS))
         self.assert_granted(self.enter(0.1))
 
     def test_late_answers_teach_nothing(self) -> None:
         # Answers that the earlier start had sent arrive after its end.
-        self.runners.update(make_entry(LATE))
+        self.runners.update(make_entry(LATE_MS))
         self.latencies.note_first_event(gatewayparts.POOL, EARLIER, 0, 9.0)
         for _ in range(4):
             self.health.note_failure(EARLIER, 0.0)
@@ -305,7 +305,10 @@
             ids.read_birth(start): count
             for start, count in self.places.running.items()
         }
-        wanted = {EARLY_MS: expected.get('early'), LATE: expected.get('late')}
+        wanted = {
+            EARLY_MS: expected.get('early'),
+            LATE_MS: expected.get('late'),
+        }
         self.assertEqual(
             {birth: count for birth, count in wanted.items() if count}, found
         )
@@ -329,7 +332,7 @@
         self.assert_running()
 
     def test_third_start_takes_over(self) -> None:
-        latest = gatewayparts.make_start('r1', LATE + 1)
+        latest = gatewayparts.make_start('r1', LATE_MS + 1)
         self.places.hand_over(EARLIER, LATER, 3)
         self.places.hand_over(LATER, latest, 3)
         for _ in range(3):
@@ -358,7 +361,7 @@
 
     def test_each_start_has_a_client_of_its_own(self) -> None:
         self.assertIs(self.earlier, self.clients.find(make_entry(EARLY_MS)))
-        self.assertIsNot(self.earlier, self.clients.find(make_entry(LATE)))
+        self.assertIsNot(self.earlier, self.clients.find(make_entry(LATE_MS)))
 
     def test_client_goes_to_the_registered_address(self) -> None:
         # Requests go on to an address that the registration named before.
