--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -132,7 +132,7 @@
         self.assertEqual([], self.list_open())
 
 
-class TestBeliefs(testtools.TestCase):
+class TestRunnerState(testtools.TestCase):
     """Places, loads, speed and failures, after the runner started again."""
 
     def setUp(self) -> None:
