--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -252,7 +252,7 @@
 class TestPrefixes(testtools.TestCase):
     """What a runner has read of prompts."""
 
-    def test_reborn_runner_has_read_nothing(self) -> None:
+    def test_restarted_runner_has_no_cached_prefix(self) -> None:
         # A caller waits while the prompt is read anew: the request went to a
         # slower runner that had read its prompt before it started again.
         runners = directory.Directory(2.0)
