--- a/tests/test_gateway_lapses.py
+++ b/tests/test_gateway_lapses.py
@@ -2,9 +2,9 @@
 
 import testtools
 
+import gatewayparts
 from apricotlanding import ids
 from apricotlandingd.gateway.runners import directory
-import gatewayparts
 
 DRAIN_S = 2.0
 # When the store is back, and when a host has read that registrations lapsed.
@@ -43,7 +43,7 @@
         self.runners.remove(ids.Runner('r1'), READ_AT)
         self.assertFalse(self.is_open(BACK_AT + 0.3))
 
-    def test_host_that_alone_was_turned_away_waits_no_longer(self) -> None:
+    def test_host_that_alone_was_rejected_waits_no_longer(self) -> None:
         # The store served the others all the while: the runner has left.
         self.runners.remove(ids.Runner('r1'), READ_AT)
         self.runners.note_outage(BACK_AT)
