--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -26,7 +26,7 @@
     ) -> None:
         """Prepare; nothing is sent yet."""
         self._send = send
-        self._spoken = http_dialect
+        self._dialect = http_dialect
         self._is_stopping = is_stopping
         self.has_begun = False
         # What became of the request, for the log.
@@ -71,7 +71,7 @@
         self.outcome = f'{problem.status} {problem.code}'
         body = f'{problem}\n'.encode()
         headers = [
-            *self._spoken.write_refusal(attempt, problem.retry_after_s),
+            *self._dialect.write_refusal(attempt, problem.retry_after_s),
             (b'content-type', b'text/plain; charset=utf-8'),
             (b'content-length', str(len(body)).encode()),
             *self._list_close_headers(),
