--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -272,8 +272,8 @@
             ),
             random.Random(7),
         )
-        reborn = gatewayparts.make_start('b', 2)
-        for start, seconds in ((quick, 0.05), (slow, 0.9), (reborn, 0.9)):
+        restarted = gatewayparts.make_start('b', 2)
+        for start, seconds in ((quick, 0.05), (slow, 0.9), (restarted, 0.9)):
             latencies.note_first_event(gatewayparts.POOL, start, 0, seconds)
         found.note_part('p', slow, 0.0)
         self.assertEqual(slow, self.choose(found))
