--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -595,8 +595,8 @@
             self._directory.expire(now)
             entries = self._directory.list_all()
             known = {entry.start for entry in entries}
-            self._health.keep_only(known)
-            self._latencies.keep_only(known)
+            self._health.retain_only(known)
+            self._latencies.retain_only(known)
             self._scheduler.keep_only(known)
             self._dispatcher.keep_only(known)
             await self._clients.prune(entries, now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
@@ -98,7 +98,7 @@
             avoided.add(runner)
         return avoided
 
-    def keep_only(self, runners: set[ids.RunnerStart]) -> None:
+    def retain_only(self, runners: set[ids.RunnerStart]) -> None:
         """Forget runners that are gone."""
         for runner in set(self._records) - runners:
             del self._records[runner]
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -120,7 +120,7 @@
             event_s=statistics.median(latency.event_s for latency in known),
         )
 
-    def keep_only(self, runners: set[ids.RunnerStart]) -> None:
+    def retain_only(self, runners: set[ids.RunnerStart]) -> None:
         """Forget runners that are gone."""
         for runner in set(self._latencies) - runners:
             del self._latencies[runner]
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -238,7 +238,7 @@
         for _ in range(4):
             self.health.note_failure(EARLIER, 0.0)
         self.assertEqual(set(), self.health.list_avoided([LATER, LATER], 0.1))
-        self.latencies.keep_only({LATER})
+        self.latencies.retain_only({LATER})
         found = self.latencies.find(gatewayparts.POOL, LATER)
         self.assertEqual(latency.DEFAULT_BASE_S, found.base_s)
 
