--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -49,7 +49,7 @@
         self.caller_timeout_s = 0.0
         self.deadline_at = 0.0
 
-    def give_back(self) -> None:
+    def return_allowance(self) -> None:
         """Return what was taken from the allowance: nothing has run."""
         question, self._allowance_request = self._allowance_request, None
         if question is not None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -584,7 +584,7 @@
         await self._reply.fail(self._admission.head.attempt, problem)
 
     async def _refuse(self, problem: errors.Problem) -> None:
-        self._admission.give_back()
+        self._admission.return_allowance()
         self._detail = self._detail or problem.text
         await self._reply.write_problem(self._admission.head.attempt, problem)
 
