--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -13,11 +13,16 @@
 import statistics
 import time
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import scheduler, waiting
-from apricotlandingd.gateway.hosts import mesh, messages
-from apricotlandingd.gateway.runners import directory, health, latency
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 
 POOL = ids.Pool('pool')
 ROUNDS = 5
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -17,9 +17,13 @@
 import eliot
 
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import placement
+from apricotlandingd.gateway.decisions import places
+from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import placement, places, waiting
-from apricotlandingd.gateway.runners import directory, health, latency
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 
 __all__ = ['Others', 'Scheduler', 'Selection']
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -12,17 +12,19 @@
 import random
 import typing as ty
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.decisions import subsets
+from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
-from apricotlandingd.gateway.hosts import messages, placemessages
-from apricotlandingd.gateway.runners import (
-    directory,
-    health,
-    latency,
-    observations,
-    startindex,
-)
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import placemessages
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
+from apricotlandingd.gateway.runners import observations
+from apricotlandingd.gateway.runners import startindex
 
 __all__ = ['Coordinator', 'Outgoing']
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -17,21 +17,20 @@
 
 import eliot
 
-from apricotlanding import addresses, ids
-from apricotlandingd.gateway.decisions import scheduler, subsets, waiting
-from apricotlandingd.gateway.hosts import (
-    candidates,
-    coordinator,
-    messages,
-    placemessages,
-)
-from apricotlandingd.gateway.runners import (
-    directory,
-    health,
-    latency,
-    observations,
-    startindex,
-)
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.decisions import subsets
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import coordinator
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import placemessages
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
+from apricotlandingd.gateway.runners import observations
+from apricotlandingd.gateway.runners import startindex
 
 __all__ = ['Dispatcher']
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -31,48 +31,41 @@
 import anyio.abc
 import eliot
 
-from apricotlanding import (
-    addresses,
-    asgi,
-    clocks,
-    ids,
-    retrybudget,
-    shutdown,
-    supervisor,
-)
-from apricotlandingd.gateway import catalogue, dialect
+from apricotlanding import addresses
+from apricotlanding import asgi
+from apricotlanding import clocks
+from apricotlanding import ids
+from apricotlanding import retrybudget
+from apricotlanding import shutdown
+from apricotlanding import supervisor
+from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.hosts import (
-    allowances,
-    candidates,
-    coordinator,
-    dispatch,
-    mesh,
-    messages,
-    sharedallowances,
-)
-from apricotlandingd.gateway.process import (
-    foreigninput,
-    hoststates,
-    measures,
-    settings,
-    stalls,
-)
-from apricotlandingd.gateway.replication import (
-    catchup,
-    freshness,
-    recordexchange,
-    records,
-    storereader,
-    waits,
-)
-from apricotlandingd.gateway.requests import (
-    listener,
-    routestats,
-    runnerclients,
-    sharedstate,
-)
-from apricotlandingd.gateway.runners import directory, health, latency
+from apricotlandingd.gateway import dialect
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import coordinator
+from apricotlandingd.gateway.hosts import dispatch
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import sharedallowances
+from apricotlandingd.gateway.process import foreigninput
+from apricotlandingd.gateway.process import hoststates
+from apricotlandingd.gateway.process import measures
+from apricotlandingd.gateway.process import settings
+from apricotlandingd.gateway.process import stalls
+from apricotlandingd.gateway.replication import catchup
+from apricotlandingd.gateway.replication import freshness
+from apricotlandingd.gateway.replication import recordexchange
+from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.replication import storereader
+from apricotlandingd.gateway.replication import waits
+from apricotlandingd.gateway.requests import listener
+from apricotlandingd.gateway.requests import routestats
+from apricotlandingd.gateway.requests import runnerclients
+from apricotlandingd.gateway.requests import sharedstate
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 
 __all__ = ['Gateway']
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -8,8 +8,12 @@
 
 import eliot
 
-from apricotlanding import asgi, clocks, errors, ids
-from apricotlandingd.gateway import catalogue, dialect
+from apricotlanding import asgi
+from apricotlanding import clocks
+from apricotlanding import errors
+from apricotlanding import ids
+from apricotlandingd.gateway import catalogue
+from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import sharedallowances
 from apricotlandingd.gateway.requests import sharedstate
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
@@ -10,9 +10,11 @@
 
 import eliot
 
-from apricotlanding import addresses, asgi
+from apricotlanding import addresses
+from apricotlanding import asgi
 from apricotlandingd.gateway.process import measures
-from apricotlandingd.gateway.requests import exchange, sharedstate
+from apricotlandingd.gateway.requests import exchange
+from apricotlandingd.gateway.requests import sharedstate
 
 __all__ = ['Listener']
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -8,7 +8,8 @@
 import collections.abc
 import typing as ty
 
-from apricotlanding import asgi, errors
+from apricotlanding import asgi
+from apricotlanding import errors
 from apricotlandingd.gateway import dialect
 
 __all__ = ['Reply']
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/sharedstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/sharedstate.py
@@ -7,16 +7,18 @@
 import dataclasses
 import typing as ty
 
-from apricotlanding import ids, retrybudget
-from apricotlandingd.gateway import catalogue, dialect
-from apricotlandingd.gateway.hosts import (
-    allowances,
-    dispatch,
-    sharedallowances,
-)
+from apricotlanding import ids
+from apricotlanding import retrybudget
+from apricotlandingd.gateway import catalogue
+from apricotlandingd.gateway import dialect
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import dispatch
+from apricotlandingd.gateway.hosts import sharedallowances
 from apricotlandingd.gateway.process import measures
-from apricotlandingd.gateway.requests import routestats, runnerclient
-from apricotlandingd.gateway.runners import directory, latency
+from apricotlandingd.gateway.requests import routestats
+from apricotlandingd.gateway.requests import runnerclient
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import latency
 
 __all__ = ['SharedState']
 
--- a/tests/placesplay.py
+++ b/tests/placesplay.py
@@ -13,23 +13,21 @@
 import random
 import typing as ty
 
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import coordinator
+from apricotlandingd.gateway.hosts import dispatch
+from apricotlandingd.gateway.hosts import groups
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import placemessages
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
+from apricotlandingd.gateway.runners import observations
 import gatewayparts
-from apricotlanding import addresses, ids
-from apricotlandingd.gateway.decisions import scheduler, waiting
-from apricotlandingd.gateway.hosts import (
-    candidates,
-    coordinator,
-    dispatch,
-    groups,
-    messages,
-    placemessages,
-)
-from apricotlandingd.gateway.runners import (
-    directory,
-    health,
-    latency,
-    observations,
-)
 
 __all__ = ['Load', 'Outcome', 'Play']
 
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -12,32 +12,34 @@
 import anyio.abc
 import h11
 import hypothesis
+from hypothesis import strategies
 import msgpack
 import testtools
-from hypothesis import strategies
 
+from apricotlanding import addresses
+from apricotlanding import errors
+from apricotlanding import ids
+from apricotlanding import webclient
+from apricotlandingd.gateway.decisions import groupuses
+from apricotlandingd.gateway.decisions import quotas
+from apricotlandingd.gateway.hosts import allowancemessages
+from apricotlandingd.gateway.hosts import coordinator
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import placemessages
+from apricotlandingd.gateway.replication import recordexchange
+from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.requests import runnerclient
+from apricotlandingd.gateway.requests import streams
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
+from apricotlandingd.gateway.runners import observations
 import fuzzing
 import gatewayparts
 import placesplay
 import test_foreign_messages
 import test_gateway_shared_allowances
-from apricotlanding import addresses, errors, ids, webclient
-from apricotlandingd.gateway.decisions import groupuses, quotas
-from apricotlandingd.gateway.hosts import (
-    allowancemessages,
-    coordinator,
-    mesh,
-    messages,
-    placemessages,
-)
-from apricotlandingd.gateway.replication import recordexchange, records
-from apricotlandingd.gateway.requests import runnerclient, streams
-from apricotlandingd.gateway.runners import (
-    directory,
-    health,
-    latency,
-    observations,
-)
 
 LONGEST_ERROR = 1000
 FESTIN = gatewayparts.make_organisation(100.0)
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -6,15 +6,23 @@
 import anyio
 import testtools
 
-import gatewayparts
-from apricotlanding import addresses, ids, retrybudget
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlanding import retrybudget
+from apricotlandingd.gateway.decisions import quotas
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import quotas, scheduler, waiting
-from apricotlandingd.gateway.hosts import groups, mesh, messages
+from apricotlandingd.gateway.hosts import groups
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.requests import streams
-from apricotlandingd.gateway.runners import directory, health, latency
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotstandins import processes
+import gatewayparts
 
 FESTIN = gatewayparts.make_organisation(100.0)
 
--- a/tests/test_gateway_lapses.py
+++ b/tests/test_gateway_lapses.py
@@ -2,9 +2,9 @@
 
 import testtools
 
-import gatewayparts
 from apricotlanding import ids
 from apricotlandingd.gateway.runners import directory
+import gatewayparts
 
 DRAIN_S = 2.0
 # When the store is back, and when a host has read that registrations lapsed.
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -6,16 +6,23 @@
 
 import testtools
 
-import gatewayparts
-import manyhosts
-import test_foreign_messages
-from apricotlanding import addresses, clocks, ids
+from apricotlanding import addresses
+from apricotlanding import clocks
+from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.hosts import allowances, candidates, mesh
+from apricotlandingd.gateway.hosts import allowances
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import mesh
 from apricotlandingd.gateway.process import hoststates
-from apricotlandingd.gateway.replication import freshness, records
-from apricotlandingd.gateway.runners import directory, health, latency
+from apricotlandingd.gateway.replication import freshness
+from apricotlandingd.gateway.replication import records
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
+import gatewayparts
+import manyhosts
+import test_foreign_messages
 
 HOSTS = 40
 RATE = BURST = 2000.0
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -6,22 +6,19 @@
 
 import testtools
 
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import subsets
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.hosts import candidates
+from apricotlandingd.gateway.hosts import coordinator
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.hosts import placemessages
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
+from apricotlandingd.gateway.runners import observations
 import gatewayparts
 import placesplay
-from apricotlanding import ids
-from apricotlandingd.gateway.decisions import subsets, waiting
-from apricotlandingd.gateway.hosts import (
-    candidates,
-    coordinator,
-    messages,
-    placemessages,
-)
-from apricotlandingd.gateway.runners import (
-    directory,
-    health,
-    latency,
-    observations,
-)
 
 HOSTS, RUNNERS = 60, 24
 
