--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -1,18 +1,18 @@
-"""The runners that may get requests, by service.
-
-Built from the registrations that the records hold. A registration that
-disappears while the store is out, or just after, may only have lapsed: the
-runner could not renew it. Such a runner is kept for a moment, because a
-lapse of all runners at once would otherwise refuse every request although
-each of them serves.
-
-A runner may start again under its id. Its registration then bears a later
-birth, and all that was learned of the start before holds no more. A write of
-the start before may reach the store after that of the new one, for the store
-may carry out a call long after its caller has gone; it would bring back a
-process that has ended, or let the new one seem to drain. So a registration
-with an earlier birth than the latest one is outdated, whatever its place in
-the records; the runner writes its own again with its next heartbeat.
+"""The runners that may receive requests, by service.
+
+Built from the registrations in the records. A registration that disappears
+while the store is unavailable, or just after, may only have lapsed because
+the runner could not renew it. Such a runner is kept for a short time:
+otherwise every request would be refused when all registrations lapse at once,
+although all runners serve.
+
+A runner may restart under its id. Its registration then has a later birth,
+and what was learned of the earlier start no longer applies. A write of the
+earlier start may reach the store after that of the new one, because the store
+may carry out a call long after its caller has gone. It would bring back a
+process that has ended, or make the new one appear to drain. So a registration
+with an earlier birth than the latest one is outdated, whatever its position
+in the records; the runner writes its own again with its next heartbeat.
 """
 
 import dataclasses
@@ -24,26 +24,25 @@
 
 __all__ = ['Directory', 'UpdateResult']
 
-# How long after its return the store may still miss a runner that lives, in
-# seconds; the platform promises about two.
+# Seconds after the store's return in which it may still lack a live runner;
+# the platform promises about two.
 LAPSE_WINDOW_S = 2.2
-# Seconds by which a runner is dropped before its drain time ends, so that
-# what was sent to it just before arrives in time.
+# A runner is dropped this long before its drain time ends, so that requests
+# sent just before arrive in time.
 DRAIN_MARGIN_S = 0.5
-# Seconds for which the birth of a runner that is gone is remembered: longer
-# than the few seconds that the store may take to carry out a write of an
-# earlier start.
+# How long the birth of a removed runner is kept: longer than the few seconds
+# that the store may take to carry out a write of an earlier start.
 BIRTH_RETENTION_S = 15.0
 
 
 class UpdateResult(enum.Enum):
-    """What a registration says of the runner's start."""
+    """Which start of the runner a registration is of."""
 
-    # It is the one that was known.
+    # The known one.
     SAME = 'same'
-    # It was not known, and any that was has ended.
+    # A new one; the known one, if any, has ended.
     START = 'start'
-    # It has ended, for a later one was known: nothing was taken.
+    # One before the known one: the registration was ignored.
     OUTDATED = 'outdated'
 
 
@@ -51,7 +50,7 @@
 @dataclasses.dataclass(slots=True)
 class _Registration:
     entry: dialect.RunnerEntry
-    # When the registration went; None while it stands.
+    # When the registration disappeared; None while it is in force.
     removed_at: float | None = None
 
 
@@ -65,13 +64,13 @@
 
 @ty.final
 class Directory:
-    """Runners as they are registered."""
+    """Registered runners."""
 
     def __init__(self, drain_s: float) -> None:
         """Start without runners.
 
-        ``drain_s`` is the time after which a runner that has left gets
-        nothing more, in seconds.
+        ``drain_s`` is the time in seconds after which a runner that has left
+        receives no more requests.
         """
         self._keep_s = 0.0
         self.set_drain_time(drain_s)
@@ -80,26 +79,26 @@
         self._removed: dict[ids.Runner, _Removed] = {}
         self._outage_at: float | None = None
         self._return_at: float | None = None
-        # Counts the changes, for those who keep what they derive from it.
+        # Number of changes, for users that cache data derived from this.
         self.changes = 0
 
     def set_drain_time(self, drain_s: float) -> None:
-        """Take the operators' bound, in seconds."""
+        """Set the operators' drain time, in seconds."""
         self._keep_s = max(0.0, drain_s - DRAIN_MARGIN_S)
 
     def note_outage(self, now: float) -> None:
-        """Say that the store was not reached just now."""
+        """Note that the store could not be reached just now."""
         self._outage_at = now
 
     def note_return(self, now: float) -> None:
-        """Say that the store serves again, after it served no host."""
+        """Note that the store serves again after it served no host."""
         self.note_outage(now)
         self._return_at = now
 
     def update(self, entry: dialect.RunnerEntry) -> UpdateResult:
-        """Take a registration or its change.
+        """Apply a new or changed registration.
 
-        One that states no birth is taken to be of the start that is known.
+        One that states no birth is taken to be of the known start.
         """
         runner = ids.find_runner(entry.start)
         registration = self._registrations.get(runner)
@@ -120,7 +119,7 @@
         return UpdateResult.SAME if is_same else UpdateResult.START
 
     def remove(self, runner: ids.Runner, now: float) -> None:
-        """Take the end of a registration."""
+        """Apply the removal of a registration."""
         registration = self._registrations.get(runner)
         if registration is None or registration.removed_at is not None:
             return
@@ -130,11 +129,11 @@
         self._drop(runner, now)
 
     def retract(self, runner: ids.Runner, now: float) -> bool:
-        """Take out a runner whose entry names no runner to use.
+        """Drop a runner whose new registration cannot be used.
 
-        At once, also while the store is out: the entry has not lapsed, it
-        was written over. What runs at the runner goes on. Returns whether
-        the runner was known.
+        Immediately, also while the store is unavailable: the registration
+        has not lapsed but was overwritten. Requests at the runner continue.
+        Returns whether the runner was known.
         """
         if runner not in self._registrations:
             return False
@@ -153,14 +152,14 @@
                 del self._removed[runner]
 
     def find(self, start: ids.RunnerStart) -> dialect.RunnerEntry | None:
-        """Return a start of a runner that is still known."""
+        """Return the registration of a start that is still known."""
         registration = self._registrations.get(ids.find_runner(start))
         if registration is None or registration.entry.start != start:
             return None
         return registration.entry
 
     def list_open(self, service: ids.Pool) -> list[dialect.RunnerEntry]:
-        """Return the runners of a service that take new requests."""
+        """Return the runners of a service that accept new requests."""
         return [
             registration.entry
             for registration in self._registrations.values()
@@ -176,7 +175,7 @@
         }
 
     def list_all(self) -> list[dialect.RunnerEntry]:
-        """Return all runners that are known."""
+        """Return all known runners."""
         return [
             registration.entry for registration in self._registrations.values()
         ]
@@ -199,10 +198,10 @@
             self._return_at is not None
             and now - self._return_at < LAPSE_WINDOW_S
         ):
-            # No host was served, so no runner could renew or leave.
+            # The store served no host, so no runner could renew or leave.
             return True
-        # The second bound holds if only this host was turned away: the
-        # runner may have left for good all the same.
+        # The store may have served other hosts, so the runner may have left
+        # for good; it is kept no longer than a runner that left.
         return self._is_outage(now) and now - removed_at <= self._keep_s
 
     def _is_outage(self, now: float) -> bool:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
@@ -1,9 +1,9 @@
-"""Which runners fail, judged by their answers to this host.
+"""Failure rates of runners, from their answers to this host.
 
-Registrations and health checks say that a runner is well while it fails
-every second request, or hangs. So each host judges by what it sees itself.
-A runner is avoided when it fails much more often than the others of its
-service do: if all fail alike, avoiding some would only crowd the rest.
+Registrations and health checks may call a runner healthy while it fails every
+second request, or hangs. So each host judges by its own observations. A
+runner is avoided when it fails much more often than the others of its
+service: if all fail alike, avoiding some would only overload the rest.
 """
 
 import dataclasses
@@ -13,18 +13,18 @@
 
 __all__ = ['Health']
 
-# Weight of the newest answer in a runner's failure rate: three failures in
-# a row bring it from 0 to 0.66.
+# Weight of the newest answer in a runner's failure rate, an exponential
+# moving average: three failures in a row raise it from 0 to 0.66.
 NEWEST_WEIGHT = 0.3
-# A runner whose rate is above this, and twice that of its peers, is avoided.
-# One chance failure gives 0.3.
+# A runner is avoided if its failure rate is above this and at least twice the
+# median of its service. A single failure gives 0.3.
 AVOID_FAILURE_RATIO = 0.45
-# Seconds for which a runner is avoided before one request tries it again.
+# How long a runner is avoided before one request tries it again.
 AVOID_INTERVAL_S = 1.0
-# Seconds for which a runner that takes no connection gets nothing, doubled
-# with each failure up to the longest. A registration outlives its runner by
-# some three heartbeats; without this each request in that time tries the
-# runner first, because a dead one always has free places.
+# Backoff of a runner that accepts no connection, doubled with each failure up
+# to the maximum. A registration outlives its runner by some three heartbeats;
+# without the backoff each request in that time would try the dead runner
+# first, because it always has free slots.
 UNREACHABLE_BACKOFF_S = 0.5
 MAX_UNREACHABLE_BACKOFF_S = 4.0
 
@@ -35,9 +35,9 @@
     rate: float = 0.0
     avoid_until: float = 0.0
     backoff_until: float = 0.0
-    # Connections in a row that could not be made.
+    # Failed connection attempts in a row.
     connect_failures: int = 0
-    # Another runner has its address: it will not come back.
+    # Another runner answers at its address: it will not come back.
     is_gone: bool = False
 
 
@@ -50,20 +50,20 @@
         self._records: dict[ids.RunnerStart, _RunnerHealth] = {}
 
     def note_success(self, runner: ids.RunnerStart) -> None:
-        """Count an answer as it should be."""
+        """Count a valid answer."""
         record = self._find(runner)
         record.rate *= 1 - NEWEST_WEIGHT
         record.connect_failures = 0
 
     def note_failure(self, runner: ids.RunnerStart, now: float) -> None:
-        """Count an error, a broken answer or none."""
+        """Count an error, a malformed answer or a missing one."""
         record = self._find(runner)
         record.rate += (1 - record.rate) * NEWEST_WEIGHT
         if record.rate > AVOID_FAILURE_RATIO:
             record.avoid_until = now + AVOID_INTERVAL_S
 
     def note_unreachable(self, runner: ids.RunnerStart, now: float) -> None:
-        """Count a connection that could not be made."""
+        """Count a failed connection attempt."""
         record = self._find(runner)
         record.rate += (1 - record.rate) * NEWEST_WEIGHT
         backoff_s = min(
@@ -74,11 +74,11 @@
         record.connect_failures += 1
 
     def note_gone(self, runner: ids.RunnerStart) -> None:
-        """Say that another runner has this one's address."""
+        """Note that another runner answers at this one's address."""
         self._find(runner).is_gone = True
 
     def is_unreachable(self, runner: ids.RunnerStart, now: float) -> bool:
-        """Tell whether a runner should get nothing at all."""
+        """Tell whether a runner should receive no requests at all."""
         record = self._records.get(runner)
         if record is None:
             return False
@@ -99,7 +99,7 @@
         return avoided
 
     def retain_only(self, runners: set[ids.RunnerStart]) -> None:
-        """Forget runners that are gone."""
+        """Forget all other runners."""
         for runner in set(self._records) - runners:
             del self._records[runner]
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/latency.py
@@ -1,10 +1,10 @@
-"""How fast runners work, learned from their answers.
+"""Latency of runners, learned from their answers.
 
 Runners of one service differ in speed by a factor of four. The time to the
-first event is taken as a start plus a time for each prompt token that is
-read; the rest as a time for each event. Both are learned for each runner as
-moving averages, and a runner that has not answered yet counts like the
-middle one of its service.
+first event is modelled as a base time plus a time for each prompt token, the
+rest of the answer as a time for each event. All are learned for each runner
+as exponential moving averages. A runner that has not answered yet is given
+the median of its service.
 """
 
 import dataclasses
@@ -15,16 +15,16 @@
 
 __all__ = ['LatencyEstimate', 'LatencyEstimates']
 
-# Weight of the newest answer: a runner that turns slow shows after three.
+# Weight of the newest answer: a runner that becomes slow shows after three.
 NEWEST_WEIGHT = 0.3
-# First guesses, before any answer: seconds to the first event of an empty
-# prompt, for each prompt token, and for each event. They are what
-# a model engine of the present generation takes, and only order of
-# magnitude matters: two answers replace them.
+# Estimates before any answer: seconds to the first event of an empty prompt,
+# for each prompt token, and for each event. They are what a model engine of
+# the present generation takes. Only the order of magnitude matters, because
+# two answers replace them.
 DEFAULT_BASE_S = 0.05
 DEFAULT_PROMPT_TOKEN_S = 1.5e-5
 DEFAULT_EVENT_S = 0.02
-# Answers of fewer events say little about the time between two.
+# Answers with fewer events say little about the time between two events.
 MIN_EVENTS = 5
 # Seconds that a request of a plain service takes, before any answer.
 DEFAULT_REQUEST_S = 0.1
@@ -33,28 +33,28 @@
 @ty.final
 @dataclasses.dataclass(slots=True)
 class LatencyEstimate:
-    """Speed of one runner."""
+    """Latency of one runner."""
 
-    # Seconds to the answer or the first event, beyond reading the prompt.
+    # Seconds to the answer or the first event, apart from the prompt's tokens.
     base_s: float = DEFAULT_BASE_S
-    # Seconds for each prompt token read.
+    # Seconds for each prompt token.
     prompt_token_s: float = DEFAULT_PROMPT_TOKEN_S
     # Seconds for each event of the answer.
     event_s: float = DEFAULT_EVENT_S
     answers: int = 0
 
     def predict_first_event(self, prompt_tokens: int) -> float:
-        """Return the expected seconds to the first event."""
+        """Return the predicted seconds to the first event."""
         return self.base_s + self.prompt_token_s * prompt_tokens
 
     def predict_answer(self, prompt_tokens: int, events: float) -> float:
-        """Return the expected seconds to the end of the answer."""
+        """Return the predicted seconds to the end of the answer."""
         return self.predict_first_event(prompt_tokens) + self.event_s * events
 
 
 @ty.final
 class LatencyEstimates:
-    """Speeds of all runners."""
+    """Latencies of all runners."""
 
     def __init__(self) -> None:
         """Start without any answers."""
@@ -97,14 +97,14 @@
     def find(
         self, service: ids.Pool, runner: ids.RunnerStart
     ) -> LatencyEstimate:
-        """Return a runner's speed, or that of the middle one."""
+        """Return a runner's latency, or the median of its service."""
         latency = self._latencies.get(runner)
         if latency is not None and latency.answers > 0:
             return latency
         return self.find_median(service)
 
     def find_median(self, service: ids.Pool) -> LatencyEstimate:
-        """Return the speed of the middle runner of a service."""
+        """Return the median latency of a service's runners."""
         known = [
             self._latencies[runner]
             for runner in self._services.get(service, ())
@@ -121,7 +121,7 @@
         )
 
     def retain_only(self, runners: set[ids.RunnerStart]) -> None:
-        """Forget runners that are gone."""
+        """Forget all other runners."""
         for runner in set(self._latencies) - runners:
             del self._latencies[runner]
         for members in self._services.values():
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -1,8 +1,8 @@
-"""What a host sees of a runner, as one type that hosts also report.
+"""Observations of runners, which hosts make and report to each other.
 
-A host that sends a runner one request a minute learns little of it. So each
-observation counts at the host that made it, and is reported to the host that
-schedules the runner, where those of all hosts come together.
+A host that sends a runner one request a minute learns little about it. So
+each observation counts at the host that made it and is also reported to the
+host that schedules the runner, which combines those of all hosts.
 """
 
 import collections.abc
@@ -17,32 +17,32 @@
 
 
 class Kind(enum.Enum):
-    """What was seen."""
+    """What was observed."""
 
-    # Seconds to the first event of a prompt with so many tokens.
+    # Seconds to the first event; the amount is the prompt's tokens.
     FIRST = 1
-    # Seconds from the first event to the last, of so many events.
+    # Seconds from the first event to the last; the amount is the events.
     REST = 2
-    # An answer as it should be.
+    # A valid answer.
     SUCCESS = 3
-    # An error, a broken answer or none.
+    # An error, a malformed answer or a missing one.
     FAILURE = 4
-    # A connection that could not be made.
+    # A failed connection attempt.
     UNREACHABLE = 5
-    # Another runner has its address.
+    # Another runner answers at its address.
     GONE = 6
-    # Seconds for which a request that ended well held its place.
+    # Seconds for which a request that succeeded occupied its slot.
     HOLD = 7
 
 
 class Observation(ty.NamedTuple):
-    """One thing that was seen of a runner."""
+    """One observation of a runner."""
 
     kind: Kind
     # Tokens or events.
     amount: int = 0
     seconds: float = 0.0
-    # Last part of the prompt that the runner has read.
+    # Digest of the last part of the prompt that the runner has processed.
     part: str = ''
 
 
@@ -68,7 +68,7 @@
     runner_health: health.Health,
     now: float,
 ) -> None:
-    """Learn from what was seen of a runner of a service."""
+    """Learn from an observation of a runner of a service."""
     applier = _appliers.get(observation.kind)
     if applier is not None:
         applier(observation, service, start, latencies, runner_health, now)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/startindex.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/startindex.py
@@ -1,4 +1,4 @@
-"""Runners by the digests that stand for their starts in messages."""
+"""Runners by the digests that identify their starts in messages."""
 
 import typing as ty
 
@@ -12,7 +12,7 @@
 
 @ty.final
 class StartIndex:
-    """Index of a directory's runners, kept up with its changes."""
+    """Index of a directory's runners, rebuilt when the directory changes."""
 
     def __init__(self, runners: directory.Directory) -> None:
         """Index a directory."""
@@ -26,7 +26,7 @@
         return None if entry is None else entry.start
 
     def find_entry(self, digest: int) -> dialect.RunnerEntry | None:
-        """Return a known runner."""
+        """Return the registration of a known runner."""
         if self._changes != self._runners.changes:
             self._changes = self._runners.changes
             self._entries = {
