--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -1,7 +1,7 @@
-"""What a caller asks for, and whether it is let in.
+"""What a caller requests, and whether it is admitted.
 
-Route, organisation and allowance are found before anything is sent or waits;
-each refusal here says "not run". ``exchange`` leads on from what stands here.
+Route, organisation and allowance are checked before anything is queued or
+sent, so each refusal here says "not run". ``exchange`` continues from here.
 """
 
 import typing as ty
@@ -19,10 +19,9 @@
 
 __all__ = ['RETRY_AFTER_S', 'Admission']
 
-# Seconds after which a host that has just started knows the others.
+# A host that has just started knows the others after this time.
 HOSTS_RETRY_AFTER_S = 0.2
-# Seconds after which callers whose request met no configuration or no
-# runner should come back.
+# Sent to callers whose request found no configuration or no runner.
 RETRY_AFTER_S = 0.5
 
 
@@ -33,7 +32,7 @@
     def __init__(
         self, shared: sharedstate.SharedState, scope: asgi.Scope
     ) -> None:
-        """Take the request line; ``admit`` reads the rest."""
+        """Read the request line; ``admit`` reads the rest."""
         self._shared = shared
         self.arrived_at = clocks.read_monotonic()
         self.method: str = scope['method']
@@ -44,17 +43,18 @@
         # '' until the route is known.
         self.service = ids.Pool('')
         self.organisation: catalogue.Organisation | None = None
-        # What was asked of the organisation's allowance, until it is returned.
+        # What was taken from the organisation's allowance, until returned.
         self._allowance_request: sharedallowances.Question | None = None
         self.event_tokens = 1.0
-        # Of the configuration that the request was admitted under.
+        # Version of the configuration that the request was admitted under.
         self.version: ids.Version | None = None
-        # Seconds that the caller gives, and when its time or its route's ends.
+        # The caller's timeout, and the earlier of its and the route's
+        # deadline.
         self.caller_timeout_s = 0.0
         self.deadline_at = 0.0
 
     def return_allowance(self) -> None:
-        """Return what was taken from the allowance: nothing has run."""
+        """Return what was taken from the allowance; nothing has run."""
         question, self._allowance_request = self._allowance_request, None
         if question is not None:
             self._shared.shared_allowances.give_back(
@@ -64,9 +64,10 @@
     async def admit(
         self, headers: dialect.HeaderList, receive: asgi.Receive
     ) -> errors.Problem | None:
-        """Read the request; the problem if it is not let in.
+        """Read the request; return the problem if it is not admitted.
 
-        Raises asgi.Disconnected if the caller leaves before it has arrived.
+        Raises asgi.Disconnected if the caller disconnects before the request
+        has arrived.
         """
         try:
             head = self._shared.http_dialect.read_request(
@@ -128,7 +129,7 @@
             tokens = self.head.prompt_tokens + self.head.output_tokens
         allowances = self._shared.allowances
         if holder.units_per_s > 0 and not allowances.knows_hosts(now):
-            # Not "over the allowance": nobody knows that yet.
+            # Not "over the allowance": that is unknown without the others.
             return errors.make_problem(
                 errors.Kind.NO_HOSTS, HOSTS_RETRY_AFTER_S
             )
@@ -137,7 +138,7 @@
         try:
             await question.answered.wait()
         except BaseException:
-            # The caller has left.
+            # The caller has disconnected.
             self._shared.shared_allowances.give_back(
                 question, clocks.read_monotonic()
             )
