--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/routestats.py
@@ -1,9 +1,9 @@
-"""What the requests of a route are usually like, learned as they come.
+"""Statistics of each route's requests.
 
-Callers state neither whether they come back after a refusal nor how long
-their answer will be. Both can be told from what others of the route do: one
-that comes back has less time left than the others give, and the length of an
-answer is that of the others where the caller expects none.
+Callers state neither whether a request is a retry after a refusal nor how
+long its answer will be. Both are estimated from other requests of the route:
+a retry has a shorter timeout than the others, and an answer has their mean
+length unless the caller states an expectation.
 """
 
 import typing as ty
@@ -13,22 +13,22 @@
 
 __all__ = ['RouteStats']
 
-# A caller with less of its time left than this part of what callers of its
-# route have is one that comes back after a refusal.
+# A request with less than this share of the longest timeout of its route is
+# taken for a retry after a refusal.
 RETRY_TIMEOUT_SHARE = 0.97
-# Events of an answer, before the first answer of a route has ended, and the
-# weight of the newest answer in the mean.
+# Events of an answer before the first answer of a route has ended, and the
+# weight of the newest answer in the exponential moving average.
 DEFAULT_ANSWER_EVENTS = 50.0
 NEWEST_WEIGHT = 0.05
 
 
 @ty.final
 class RouteStats:
-    """Habits of all routes."""
+    """Statistics of all routes."""
 
     def __init__(self) -> None:
-        """Start without having seen a request."""
-        # Longest time that callers of a route have given, seconds.
+        """Start without requests."""
+        # Longest timeout that callers of a route have stated, in seconds.
         self._longest_timeouts: dict[ids.Route, float] = {}
         # Mean number of events in an answer.
         self._mean_events: dict[ids.Route, float] = {}
@@ -36,7 +36,7 @@
     def note_caller_timeout(
         self, route: ids.Route, caller_timeout_s: float
     ) -> None:
-        """Learn from the time that a caller gives."""
+        """Learn from the timeout that a caller states."""
         self._longest_timeouts[route] = max(
             self._longest_timeouts.get(route, 0.0), caller_timeout_s
         )
@@ -44,7 +44,7 @@
     def estimate_first_arrival(
         self, route: ids.Route, caller_timeout_s: float, arrived_at: float
     ) -> float:
-        """Return when a caller asked for the first time."""
+        """Return when the first attempt of a request probably arrived."""
         usual = self._longest_timeouts.get(route, 0.0)
         if caller_timeout_s >= usual * RETRY_TIMEOUT_SHARE:
             return arrived_at
@@ -63,7 +63,7 @@
     ) -> float:
         """Return the expected length of an answer, in events.
 
-        The maximum that callers state says nothing: it is the same for all
+        The maximum that callers state is not used: it is the same for all
         requests of a route. Their expectation is right in the median.
         """
         if not route.is_stream:
