--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
@@ -1,7 +1,7 @@
-"""HTTP from outside: callers, the readiness check, and metrics.
+"""HTTP interface for callers, the readiness check, and metrics.
 
-One server listens on three addresses; the port that a connection came to
-says which of them a request is for.
+One server listens on three addresses; the port of a connection tells which
+of them a request is for.
 """
 
 import collections.abc
@@ -29,17 +29,17 @@
         readiness: addresses.Address,
         metrics: addresses.Address,
         is_ready: collections.abc.Callable[[], bool],
-        found: measures.Measures,
+        gateway_measures: measures.Measures,
     ) -> None:
-        """Serve callers on every address that is not one of these two."""
+        """Serve callers on every port except those of these two addresses."""
         self._shared = shared
         self._readiness_port = readiness.port
         self._metrics_port = metrics.port
         self._is_ready = is_ready
-        self._measures = found
-        # The server reports each answer that we cut on purpose as an error.
+        self._measures = gateway_measures
+        # The server logs each answer that is cut on purpose as an error.
         logging.getLogger('uvicorn.error').setLevel(logging.CRITICAL)
-        # Requests of callers that are not answered yet.
+        # Requests that are not answered yet.
         self._open: set[exchange.Exchange] = set()
 
     async def __call__(
@@ -54,16 +54,17 @@
         if port == self._metrics_port:
             await _send_text(send, 200, self._measures.render())
             return
-        found = exchange.Exchange(self._shared, scope, receive, send)
-        self._open.add(found)
+        current = exchange.Exchange(self._shared, scope, receive, send)
+        self._open.add(current)
         try:
-            await found.run()
+            await current.run()
         except Exception:
-            # The server closes the connection, which promises nothing.
+            # The server closes the connection, which does not say whether the
+            # request was run.
             eliot.write_traceback()
             raise
         finally:
-            self._open.remove(found)
+            self._open.remove(current)
 
     @property
     def open_requests(self) -> int:
@@ -71,9 +72,9 @@
         return len(self._open)
 
     def end_requests(self) -> None:
-        """Give up all requests, each with the answer that is true of it."""
-        for found in list(self._open):
-            found.end()
+        """End all requests, and answer each with whether it may have run."""
+        for current in list(self._open):
+            current.end()
 
 
 async def _send_text(send: asgi.Send, status: int, text: str) -> None:
