--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/sharedstate.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/sharedstate.py
@@ -1,6 +1,6 @@
-"""What all requests of a gateway share: decisions, beliefs, and calls back.
+"""What all requests of a gateway share: decisions, estimates, and callbacks.
 
-One value, so that a request is made from it and from what its caller sent.
+A single value, so that a request is made from it and what its caller sent.
 """
 
 import collections.abc
@@ -43,7 +43,7 @@
     count_hosts: collections.abc.Callable[[], int]
     is_stopping: collections.abc.Callable[[], bool]
     on_change: collections.abc.Callable[[], None]
-    # Called with each answer that is none, and the reason.
+    # Called for each malformed answer of a runner, with the reason.
     on_malformed_answer: collections.abc.Callable[
         [ids.Runner, str, float], None
     ]
