--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -1,8 +1,7 @@
-"""The answer to one caller: a runner's, passed on, or one of our own.
+"""The answer to one caller: a runner's, forwarded, or one of the gateway's.
 
-Once an answer has begun, nothing else can be said: it is either finished, or
-ended without its final mark, which is how the caller sees that it is not
-whole.
+An answer that has begun can only be finished, or cut without its end marker,
+which tells the caller that it is incomplete.
 """
 
 import collections.abc
@@ -17,7 +16,7 @@
 
 @ty.final
 class Reply:
-    """What a caller gets."""
+    """The answer to a caller."""
 
     def __init__(
         self,
@@ -25,12 +24,12 @@
         http_dialect: dialect.Dialect,
         is_stopping: collections.abc.Callable[[], bool],
     ) -> None:
-        """Prepare; nothing is sent yet."""
+        """Prepare an answer; nothing is sent yet."""
         self._send = send
         self._dialect = http_dialect
         self._is_stopping = is_stopping
         self.has_begun = False
-        # What became of the request, for the log.
+        # Result of the request, for the log.
         self.outcome = 'gone'
 
     async def begin(
@@ -44,22 +43,22 @@
         await asgi.start_answer(self._send, head.status, headers)
 
     async def forward_part(self, data: bytes) -> None:
-        """Send a part of a runner's body."""
+        """Forward a part of a runner's body."""
         await asgi.send_part(self._send, data)
 
     async def finish(self, head: dialect.AnswerHead) -> None:
-        """Send the final mark of a runner's answer."""
+        """Send the end marker of a runner's answer."""
         await asgi.send_part(self._send, b'', is_last=True)
         self.outcome = f'answered {head.status}'
 
     async def deliver(self, head: dialect.AnswerHead, body: bytes) -> None:
-        """Send a runner's whole answer."""
+        """Send a complete answer of a runner."""
         self.outcome = f'answered {head.status}'
         await self.begin(head, len(body))
         await asgi.send_part(self._send, body, is_last=True)
 
     async def fail(self, attempt: str, problem: errors.Problem) -> None:
-        """End with an error of ours, or cut what has begun."""
+        """Send an error of the gateway, or cut an answer that has begun."""
         if self.has_begun:
             self.outcome = f'cut {problem.code}'
             return
@@ -68,7 +67,7 @@
     async def write_problem(
         self, attempt: str, problem: errors.Problem
     ) -> None:
-        """Send an error of ours; nothing may have been sent before."""
+        """Send an error of the gateway; nothing may have been sent before."""
         self.outcome = f'{problem.status} {problem.code}'
         body = f'{problem}\n'.encode()
         headers = [
@@ -81,7 +80,7 @@
         await asgi.send_part(self._send, body, is_last=True)
 
     def _list_close_headers(self) -> dialect.HeaderList:
-        # Tells the caller to open its next connection elsewhere.
+        # Makes the caller open its next connection to another host.
         if self._is_stopping():
             return [(b'connection', b'close')]
         return []
