--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
@@ -1,8 +1,8 @@
 """Events of a streamed answer.
 
-A stream may break off in the middle of an event. Only whole events are passed
-on, so that a stream that goes on at another runner continues exactly after
-the last one that the caller has.
+A stream may break off in the middle of an event. Only complete events are
+forwarded, so that a stream that is resumed at another runner continues exactly
+after the last event that the caller has.
 """
 
 import typing as ty
@@ -10,42 +10,43 @@
 __all__ = ['EventReader', 'OutOfOrder']
 
 _SEPARATORS = (b'\n\n', b'\r\n\r\n')
-# Longest event in bytes. A stream without a mark between events would else be
-# kept until the host is killed for its memory, with all its requests. An event
-# is some tokens, a few hundred bytes.
+# A stream without separators between events would otherwise be buffered until
+# the host is killed for its memory use, with all its requests. An event is
+# some tokens, a few hundred bytes.
 MAX_EVENT_BYTES: ty.Final = 256 * 1024
-# Longest id of an event. It goes to the next runner in a header.
+# Longest id of an event, in characters. The id is sent to the next runner in
+# a header.
 MAX_ID_LENGTH: ty.Final = 255
-# Most digits of an id that is compared as a number; counting from one up, no
-# stream comes near.
+# Most digits of an id that is compared as a number. Ids count up from one, so
+# no stream comes near it.
 MAX_ID_DIGITS: ty.Final = 18
 
 
 class OutOfOrder(Exception):
-    """What came is not the next event; another runner may have it."""
+    """What arrived is not the next event; another runner may have it."""
 
 
 @ty.final
 class EventReader:
-    """Cuts a stream into whole events and follows their ids."""
+    """Splits a stream into complete events and tracks their ids."""
 
     def __init__(self, last_event: str) -> None:
         """Start after an event; '' for the beginning of a stream."""
         self.last_event = last_event
-        # Whole events so far.
+        # Complete events so far.
         self.count = 0
         self._partial = b''
 
     def drop_partial(self) -> None:
-        """Forget half an event: a resumed stream begins with a whole one."""
+        """Drop an incomplete event: a resumed stream begins a new one."""
         self._partial = b''
 
     def has_partial(self) -> bool:
-        """Tell whether half an event is waiting for its rest."""
+        """Tell whether an incomplete event is buffered."""
         return bool(self._partial.strip())
 
     def take(self, data: bytes) -> bytes:
-        """Return the whole events that are in; raises OutOfOrder."""
+        """Add data and return the complete events; raises OutOfOrder."""
         data = self._partial + data
         end = max(
             data.rfind(mark) + len(mark) if mark in data else 0
@@ -54,9 +55,9 @@
         whole, partial = data[:end], data[end:]
         if len(partial) > MAX_EVENT_BYTES:
             raise OutOfOrder(f'an event of more than {MAX_EVENT_BYTES} bytes')
-        # Nothing is kept before all of it has been looked at. Of what is
-        # refused the caller gets no byte, so the place to go on from must not
-        # move either: it would miss the events before the bad one.
+        # No state changes before all events have been checked. If one is
+        # rejected, none of them is forwarded, so the id to resume after must
+        # not advance either: the caller would miss the events before it.
         last, count = self.last_event, self.count
         for line in whole.splitlines():
             if line[:3].lower() == b'id:':
@@ -76,8 +77,8 @@
         return event
     if len(event) > MAX_ID_DIGITS:
         raise OutOfOrder(f'event id of {len(event)} digits')
-    # Ids count from one up; a gap or a repeat means that the runner went on
-    # from another place than was asked for.
+    # Ids count up from one. A gap or a repeat means that the runner resumed
+    # after another event than was requested.
     if len(last) <= MAX_ID_DIGITS and int(event) <= int(last):
         raise OutOfOrder(f'event {event} after {last}')
     return event
