--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/__init__.py
@@ -1,8 +1,9 @@
-"""A request's way: from the caller's connection to a runner's and back.
+"""The path of a request: from the caller's connection to a runner and back.
 
-``listener`` takes it, ``admission`` lets it in, ``exchange`` leads it to its
-final answer; ``runnerclients``, ``runnerclient`` and ``streams`` speak with
-the runner, ``inactivity`` tells when to leave it, ``replies`` speaks with the
-caller. ``routestats`` remembers what requests of a route are like; ``parts`` is
-what all requests share.
+``listener`` receives it, ``admission`` admits it, ``queueentries`` describes
+it to the scheduler, and ``exchange`` takes it to its final answer.
+``runnerclients``, ``runnerclient`` and ``streams`` talk to the runner,
+``inactivity`` sets the timeouts after which the runner is abandoned, and
+``replies`` answers the caller. ``routestats`` keeps statistics of each
+route's requests; ``sharedstate`` is what all requests share.
 """
