--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -1,8 +1,8 @@
-"""The ticket with which a request waits for a place.
+"""The queue entry of a request that waits for a slot at a runner.
 
-Puts what the caller asked for, and how far its request has come, into the
-terms by which ``waiting`` decides: which tier it has, until when it can be on
-time, and until when a place is of any use to its caller.
+Derives what the scheduler decides by from the caller's request and its
+progress: its tier, the latest start with which it meets its objective, and
+the latest start that is of any use to its caller.
 """
 
 import dataclasses
@@ -15,25 +15,25 @@
 
 __all__ = ['Progress', 'make_queue_entry']
 
-# Objectives for which a request may wait. What waits for longer is late for
-# its caller and in the way of those that are not.
+# Longest wait, as a ratio to the objective. A request that waits for longer is
+# late for its caller and delays those that are not.
 MAX_WAIT_OBJECTIVE_RATIO = 1.0
 
-# Tier of a request whose answer has begun: before all others, since half of
-# the answer is with the caller already.
+# Tier of a request whose answer has begun: before all others, because its
+# caller already has a part of the answer.
 RESUME_TIER = ids.Tier(-1)
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """How far a request has come."""
+    """Progress of a request."""
 
-    # Its caller has the first part of the answer.
+    # The caller has the first part of the answer.
     has_begun: bool
-    # Runners that bytes of it went to.
+    # Number of runners that bytes of the request were sent to.
     sends: int
-    # Runners that were tried.
+    # Runners that have been tried.
     tried: set[ids.RunnerStart]
 
 
@@ -43,7 +43,7 @@
     now: float,
     progress: Progress,
 ) -> waiting.Ticket:
-    """Return the ticket of a request that is about to wait."""
+    """Return the queue entry of a request that is about to wait."""
     route, head = admitted.route, admitted.head
     median = shared.latencies.find_median(admitted.service)
     first_event_s = median.predict_first_event(head.prompt_tokens)
@@ -77,10 +77,10 @@
 
 def _find_useful_until(admitted: admission.Admission, sends: int) -> float:
     if sends:
-        # It was offered in time; now any answer is better than none.
+        # It was sent in time; any answer is better than none now.
         return admitted.deadline_at
-    # Told at once, a caller can come back when there is room. One that is held
-    # beyond its objective has lost that, and the time as well. The same holds
-    # for one that has come back.
+    # A caller that is refused at once can retry when there is capacity. One
+    # that is held beyond its objective has lost that chance, and the time as
+    # well. The same applies to a retry.
     max_wait_s = admitted.route.objective_s * MAX_WAIT_OBJECTIVE_RATIO
     return min(admitted.deadline_at, admitted.arrived_at + max_wait_s)
