--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -1,15 +1,15 @@
-"""HTTP calls to one runner, on connections that are kept.
+"""HTTP calls to one runner, on persistent connections.
 
-Written on ``h11`` rather than ``httpcore``, because a scheduler has to know
-what that library hides: whether bytes stand behind a complete answer (they
-belong to no request and would be taken for the next answer), whether a
-connection was closed while it was idle, and for how long it was idle.
+Uses ``h11`` rather than ``httpcore``, because a scheduler has to know what
+that library hides: whether bytes follow a complete answer (they belong to no
+request and would be taken for the next answer), whether a connection was
+closed while it was idle, and for how long it was idle.
 
 * ``webclient.NotSent``: no connection could be made; the runner cannot have
   run the request.
 * ``webclient.Broken``: the connection broke; the runner may have run the
-  request. ``webclient.Garbled`` is the kind of it in which something came that
-  is no answer.
+  request. Its subclass ``webclient.Garbled`` means that the data received is
+  not a valid answer.
 """
 
 import collections.abc
@@ -32,25 +32,26 @@
 
 __all__ = ['Answer', 'Call', 'RunnerClient']
 
-# Seconds to connect; runners are milliseconds away, and a dark one does not
-# refuse.
+# Runners are milliseconds away, and one that is down does not refuse the
+# connection.
 CONNECT_TIMEOUT_S = 0.5
 READ_BYTES = 65536
-# Bytes of head and body that surely fit into the buffers of both sides. A
+# A head and a body of this size fit into the socket buffers of both sides. A
 # larger body is sent while the answer is read, because a runner may answer
 # before it has read the whole body and then stop reading.
 SMALL_BODY_BYTES = 4096
-# Seconds that an idle connection is kept if the runner names no time, and
-# the part of the time it names: its clock starts before ours.
+# How long an idle connection is kept if the runner states no timeout, and the
+# share of the timeout that it states: its clock starts before this host's.
 DEFAULT_IDLE_TIMEOUT_S = 4.0
 IDLE_TIMEOUT_SHARE = 0.7
-# Seconds of idleness up to which a connection serves a request that may not
-# be repeated. Runners drop idle connections now and then; a request that is
-# then lost may have run, and cannot be sent again.
+# Longest idle time of a connection that is used for a request that may not be
+# repeated. Runners occasionally drop idle connections; a request that is lost
+# with one may have run and cannot be sent again.
 MAX_UNREPEATABLE_IDLE_S = 1.0
-# Statuses have five classes (RFC 9110, 15).
+# Highest status code of the five classes (RFC 9110, 15).
 MAX_STATUS = 599
-# Not allowed in the value of a header (RFC 9110, 5.5), but for the tab.
+# Control characters that a header value must not hold (RFC 9110, 5.5); the
+# tab is allowed.
 _CONTROL = re.compile(rb'[\x00-\x08\x0a-\x1f\x7f]')
 
 _BROKEN = (
@@ -63,19 +64,19 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """What is sent to a runner."""
+    """A request to a runner."""
 
     method: str
     target: str
     headers: dialect.HeaderList
     body: bytes
-    # A second run does no harm.
+    # The request may be run more than once.
     is_repeatable: bool
 
 
 @ty.final
 class Answer:
-    """A status, headers, and a body that is still on its way."""
+    """Status and headers of an answer whose body is still arriving."""
 
     def __init__(
         self, connection: '_Connection', response: h11.Response
@@ -86,12 +87,13 @@
             (bytes(name), bytes(value)) for name, value in response.headers
         ]
         self.is_complete = False
-        # Seconds that the runner keeps the connection; set by the caller.
+        # Seconds that the runner keeps an idle connection open; set by the
+        # caller.
         self.idle_s: float | None = None
         self._connection = connection
 
     async def iterate(self) -> collections.abc.AsyncIterator[bytes]:
-        """Yield the body as it arrives; Broken if it is cut."""
+        """Yield the body as it arrives; raises Broken if it is cut."""
         while True:
             event = await self._connection.read_event()
             if isinstance(event, h11.EndOfMessage):
@@ -109,21 +111,21 @@
         """Start without connections."""
         self._address = address
         self._idle: list[_Connection] = []
-        # Those with a request on them.
+        # Connections with a request in progress.
         self._busy: set[_Connection] = set()
-        # Takes no requests any more, and keeps no connections: nobody looks
-        # at those of a runner that is gone, and each would hold a descriptor
-        # for as long as the process runs.
+        # Accepts no more requests and keeps no connections: those of a runner
+        # that is gone are not checked any more, and each would hold a file
+        # descriptor for as long as the process runs.
         self._is_stopped = False
-        # Connections made since the start, for the metrics.
+        # Connections opened since the start, for the metrics.
         self.connects = 0
 
     @contextlib.asynccontextmanager
     async def open(self, call: Call) -> collections.abc.AsyncIterator[Answer]:
-        """Send a call and yield its answer; NotSent or Broken.
+        """Send a call and yield its answer; raises NotSent or Broken.
 
         Leaving the context before the answer is complete closes the
-        connection, which tells the runner to stop.
+        connection, which makes the runner stop.
         """
         connection = await self._take_connection(call.is_repeatable)
         self._busy.add(connection)
@@ -141,11 +143,11 @@
                     await connection.close()
 
     def is_busy(self) -> bool:
-        """Tell whether a request is on its way."""
+        """Tell whether a request is in progress."""
         return bool(self._busy)
 
     def stop(self) -> None:
-        """Take no more requests."""
+        """Accept no more requests."""
         self._is_stopped = True
 
     def count_made_since(self, wall_s: float) -> int:
@@ -153,11 +155,11 @@
         return sum(item.made_at >= wall_s for item in self._busy)
 
     async def close_made_before(self, wall_s: float) -> int:
-        """Break off what is on connections made before this Unix time.
+        """Cut the requests on connections made before this Unix time.
 
-        Returns how many requests that were. A clock of this host that is
-        ahead leaves connections alone that could be closed, and their
-        requests end by their silence or their time limit.
+        Returns the number of requests. If this host's clock is ahead,
+        connections stay open that could be closed; their requests end by
+        inactivity timeout or deadline.
         """
         early = [item for item in self._busy if item.made_at < wall_s]
         for connection in early:
@@ -165,13 +167,13 @@
         return len(early)
 
     async def close(self) -> None:
-        """Take no more requests, and close the idle connections."""
+        """Accept no more requests, and close the idle connections."""
         self.stop()
         while self._idle:
             await self._idle.pop().close()
 
     async def close_expired(self, now: float) -> None:
-        """Close connections before the runner does."""
+        """Close idle connections before the runner does."""
         expired = [item for item in self._idle if item.is_expired(now)]
         self._idle = [item for item in self._idle if item not in expired]
         for connection in expired:
@@ -192,7 +194,7 @@
     def _pop_idle(
         self, is_repeatable: bool, now: float
     ) -> '_Connection | None':
-        # The newest first: it is the least likely to be closed by now.
+        # The newest first: it is the least likely to have been closed.
         for place in range(len(self._idle) - 1, -1, -1):
             connection = self._idle[place]
             if (
@@ -240,7 +242,7 @@
 
 @ty.final
 class _Connection:
-    """One connection; one call at a time."""
+    """A connection for one call at a time."""
 
     def __init__(self, stream: anyio.abc.SocketStream, made_at: float) -> None:
         self._stream = stream
@@ -248,7 +250,7 @@
         self.made_at = made_at
         self._http = h11.Connection(h11.CLIENT)
         self._is_sent = False
-        # The runner has closed its side.
+        # The runner has closed its sending side.
         self._is_ended = False
         self.is_idle = False
         self.idle_at = 0.0
@@ -258,8 +260,8 @@
         return now >= self.expires_at
 
     def is_reusable(self, now: float) -> bool:
-        # Readable while idle: closed by the runner, or bytes of a late
-        # answer, which would be taken for that of the next request.
+        # Readable while idle: the runner has closed it, or has sent bytes of
+        # a late answer, which would be taken for that of the next request.
         if self.is_expired(now):
             return False
         raw = self._stream.extra(anyio.abc.SocketAttribute.raw_socket)
@@ -290,8 +292,8 @@
         try:
             await self._stream.send(data)
         except _BROKEN:
-            # The reader meets the same break, or finds the answer that the
-            # runner sent before it closed.
+            # The reader gets the same error, or the answer that the runner
+            # sent before it closed the connection.
             return
         self._is_sent = True
 
@@ -318,7 +320,7 @@
             raise webclient.Broken(repr(error)) from error
         except h11.RemoteProtocolError as error:
             if self._is_ended:
-                # What is missing is the rest of an answer.
+                # The answer was cut short.
                 raise webclient.Broken(repr(error)) from error
             raise webclient.Garbled(repr(error)) from error
 
@@ -330,13 +332,13 @@
             return b''
 
     def prepare_next(self) -> bool:
-        # Bytes behind the answer belong to no request.
+        # Bytes after the answer belong to no request.
         if not self._is_sent or self._http.trailing_data[0]:
             return False
         try:
             self._http.start_next_cycle()
         except h11.LocalProtocolError:
-            # One side asked to close.
+            # One side requested that the connection be closed.
             return False
         return True
 
@@ -344,14 +346,14 @@
         try:
             await self._stream.aclose()
         except _BROKEN:
-            # Broken already: nothing is left to close.
+            # Already broken: there is nothing left to close.
             return
 
 
 def _check_head(response: h11.Response) -> None:
-    # The parser is lenient where the server that writes the answer to the
-    # caller is not. Found out there, it would be too late to ask another
-    # runner, or to say anything.
+    # The parser accepts what the server that writes the answer to the caller
+    # rejects. There it would be too late to ask another runner, or to send an
+    # error.
     if response.status_code > MAX_STATUS:
         raise webclient.Garbled(f'status {response.status_code}')
     for name, value in response.headers:
