--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -1,18 +1,17 @@
 """The clients of all runners: one for each start of a runner.
 
-A runner may start again under its id, at its old address or at another one.
-Connections of the earlier start then lead to a process that is gone, and
-nothing may come on them for as long as a request lasts: the reset that a
-crash sends is lost where the path was cut. So a later start ends them
-(``retire_earlier``), and requests on them end as with any connection that
-breaks.
-
-Not all connections that were opened in the name of the earlier start belong
-to it. Hosts hear of a restart late, while the store is away by many seconds,
-and meanwhile send to the new process by the old registration. Such a request
-is where it should be; cutting it would fail its caller for nothing. A
-connection belongs to the process that was running when it was made, so those
-made after the birth of the later start are left to finish.
+A runner may restart under its id, at its old address or at another one.
+Connections of the earlier start then lead to a process that is gone, and may
+stay silent for as long as a request lasts: the reset that a crash sends is
+lost if the network path was cut. So a later start closes them
+(``retire_earlier``), and requests on them end as on any broken connection.
+
+Not all connections that were opened for the earlier start lead to it. Hosts
+learn of a restart late, by many seconds during an outage of the store, and
+meanwhile send requests to the new process by the old registration. Such a
+request has reached the right process, and cutting it would fail its caller
+without need. A connection belongs to the process that was running when it was
+made, so those made after the birth of the later start are left to finish.
 """
 
 import dataclasses
@@ -35,7 +34,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Retired:
-    """A client that gets no more requests, and may have some on the way."""
+    """A client that accepts no more requests; some may be in progress."""
 
     start: ids.RunnerStart
     client: runnerclient.RunnerClient
@@ -49,9 +48,9 @@
         """Start without connections."""
         self._clients: dict[_Endpoint, runnerclient.RunnerClient] = {}
         self._retired: list[_Retired] = []
-        # Connections that were made by clients that were let go.
+        # Connections opened by clients that were retired.
         self._retired_connects = 0
-        # Starts that ended earlier ones, whose connections are to be closed.
+        # New starts, the connections of whose earlier starts are to be closed.
         self._new_starts: list[ids.RunnerStart] = []
         self._has_new_starts = anyio.Event()
 
@@ -65,7 +64,7 @@
         return client
 
     def count_connects(self) -> float:
-        """Return the connections made to runners since the start."""
+        """Return the number of connections opened to runners so far."""
         return self._retired_connects + sum(
             client.connects for client in self._clients.values()
         )
@@ -73,10 +72,11 @@
     def retire_earlier(
         self, later: ids.RunnerStart
     ) -> dict[ids.RunnerStart, int]:
-        """Say that a start of a runner has ended all earlier ones.
+        """Retire the clients of all starts before this one.
 
-        Nothing is sent to them from here on; ``run`` closes what they have.
-        Returns, by earlier start, the requests that the later one has.
+        Nothing more is sent to them; ``run`` closes their connections.
+        Returns, by earlier start, the number of requests that reached the
+        later one.
         """
         birth = ids.read_birth(later)
         if birth is None:
@@ -95,7 +95,7 @@
         return kept
 
     async def run(self) -> None:
-        """Close connections of starts that end, for as long as it runs."""
+        """Close the connections of earlier starts until cancelled."""
         while True:
             await self._has_new_starts.wait()
             self._has_new_starts = anyio.Event()
@@ -105,7 +105,7 @@
     async def prune(
         self, entries: list[dialect.RunnerEntry], now: float
     ) -> None:
-        """Close idle connections, and let go of runners that are gone."""
+        """Close expired connections, and retire clients of past runners."""
         known = {(entry.start, entry.address) for entry in entries}
         for endpoint, client in list(self._clients.items()):
             await client.close_expired(now)
@@ -113,14 +113,14 @@
                 self._retire(endpoint)
         for retired in self._retired:
             await retired.client.close()
-        # Kept while they are used: the end of the start may yet be told.
+        # Kept while busy: a later start of the runner may still be reported.
         self._retired = [
             retired for retired in self._retired if retired.client.is_busy()
         ]
 
     async def close(self) -> None:
         """Close all idle connections."""
-        # A list, for a request in progress may still add a client.
+        # A copy, because a request in progress may still add a client.
         for client in list(self._clients.values()):
             await client.close()
 
