--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -1,18 +1,18 @@
 """One request of a caller, from its head to its final answer.
 
     admit     route, organisation, allowance
-    wait      for a place at a runner
-    send      to the runner, and pass its answer on
-    again     at another runner, if that can do no harm
-
-What may be said at the end follows from what was sent. As long as no runner
-can have worked on the request, a refusal says "not run" (503, 429). From the
-moment that bytes have left for a runner, only the runner's own word that it
-did not take the request leads back there; everything else is "may have run"
-(502, 504), and only a request that may be repeated is sent again.
-
-A stream that breaks off goes on at another runner after the last whole event
-that the caller has, if its route allows that.
+    wait      for a slot at a runner
+    send      to the runner, and forward its answer
+    retry     at another runner, if that is safe
+
+The final answer depends on what was sent. As long as no runner can have
+worked on the request, a refusal says "not run" (503, 429). Once bytes have
+been sent to a runner, a refusal says so only if the runner itself states that
+it did not accept the request; everything else is "may have run" (502, 504),
+and only a request that may be repeated is sent again.
+
+A stream that breaks off is resumed at another runner after the last complete
+event that the caller has, if its route allows that.
 """
 
 import collections.abc
@@ -42,17 +42,17 @@
 
 __all__ = ['Exchange']
 
-# Seconds past a request's limit in which the runner's own answer about the
+# Time after a request's deadline in which the runner's own answer about the
 # timeout may still arrive.
 DEADLINE_SLACK_S = 0.1
-# Largest answer that is held back until it is whole, so that a broken one
-# can be had from another runner; larger ones are passed on as they come.
+# Largest answer that is buffered until it is complete, so that another runner
+# can be asked if it breaks off; larger ones are forwarded as they arrive.
 MAX_HELD_BYTES = 256 * 1024
 MIN_FAILURE_STATUS = 500
 
 
 class _SendResult(enum.Enum):
-    # How one send to a runner ended.
+    # Result of one send to a runner.
     DONE = 'done'
     NOT_RUN = 'not run'
     FAILED = 'failed'
@@ -60,7 +60,7 @@
 
 @ty.final
 class Exchange:
-    """One request."""
+    """One request of a caller."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         receive: asgi.Receive,
         send: asgi.Send,
     ) -> None:
-        """Take an ASGI request."""
+        """Prepare to answer an ASGI request."""
         self._shared = shared
         self._scope = scope
         self._receive = receive
@@ -77,19 +77,19 @@
             send, shared.http_dialect, shared.is_stopping
         )
         self._admission = admission.Admission(shared, scope)
-        # Runners that bytes of this request went to.
+        # Number of runners that bytes of this request were sent to.
         self._sends = 0
-        # The same, with those that were found at another one's address: they
-        # are no sends, but count against the budget of retries.
+        # The same, including runners that were found at another one's
+        # address: these are no sends, but count against the retry budget.
         self._deliveries = 0
         self._may_have_run = False
         self._has_retry = False
         self._tried: set[ids.RunnerStart] = set()
-        # A failure that a runner answered, for when no other does better.
+        # A failure that a runner answered, in case no other runner succeeds.
         self._fallback: tuple[dialect.AnswerHead, bytes] | None = None
         self._reader: streams.EventReader | None = None
         self._first_at: float | None = None
-        # Seconds spent waiting for places.
+        # Seconds spent waiting for slots.
         self._waited_s = 0.0
         # All work on the request; cancelled by ``end``.
         self._work = anyio.CancelScope()
@@ -104,18 +104,18 @@
             if self._work.cancelled_caught:
                 await self._answer_host_stop()
         except asgi.Disconnected:
-            # The caller left before its request had arrived.
+            # The caller disconnected before its request had arrived.
             return
         except anyio.get_cancelled_exc_class():
-            # Only the end of the process cancels this task. Without a word
-            # of its own, the log would say that the caller left.
+            # Only the end of the process cancels this task. Without its own
+            # outcome, the log would say that the caller disconnected.
             self._reply.outcome = 'stopped'
             raise
         finally:
             self._log_result(clocks.read_monotonic())
 
     def end(self) -> None:
-        """Give the request up, because the process is about to end."""
+        """End the request, because the process is about to end."""
         self._work.cancel()
 
     async def _answer(self) -> None:
@@ -128,12 +128,12 @@
         await self._serve_while_connected()
 
     async def _answer_host_stop(self) -> None:
-        # Left to the end of the process, the caller would get an error of
-        # the HTTP server, which says nothing of what became of its request.
+        # If the process ended first, the caller would get an error of the
+        # HTTP server, which does not say whether its request was run.
         if self._may_have_run:
             await self._fail(errors.make_problem(errors.Kind.HOST_STOPPED))
             return
-        # Another host takes it at once.
+        # Another host can serve it at once.
         await self._refuse(errors.make_problem(errors.Kind.STOPPING, 0.0))
 
     # Serving.
@@ -144,8 +144,8 @@
             await self._serve_until_deadline()
 
     async def _watch_caller(self, scope: anyio.CancelScope) -> None:
-        # A caller that leaves must not keep a runner at work: leaving the
-        # scope closes the connection to it.
+        # A runner must not work on for a caller that has disconnected:
+        # cancelling the scope closes the connection to the runner.
         while True:
             message = await self._receive()
             if message['type'] == 'http.disconnect':
@@ -196,12 +196,12 @@
         if self._sends >= self._admission.route.max_sends:
             return False
         if self._deliveries == 0:
-            # Nothing has reached a runner: no retry.
+            # Nothing has reached a runner, so this is no retry.
             return True
         return self._take_retry(now)
 
     async def _give_up(self, problem: errors.Problem) -> None:
-        # The last word when no runner answers: the failure that a runner
+        # The final answer when no runner succeeds: the failure that a runner
         # answered, "may have run", or the problem, which says "not run".
         if self._fallback is not None and not self._reply.has_begun:
             head, body = self._fallback
@@ -236,7 +236,7 @@
         try:
             await queue_entry.decided.wait()
         except BaseException:
-            # The caller left, or its time is over.
+            # The caller disconnected, or its deadline has passed.
             decision = queue_entry.decision
             if isinstance(decision, waiting.Grant):
                 self._release(decision)
@@ -284,8 +284,8 @@
         client = self._shared.find_client(entry)
         call = self._make_call(entry, remaining_s)
         may_have_run_before = self._may_have_run
-        # Set before the first byte leaves: an exception between here and
-        # the answer must not find "not run".
+        # Set before the first byte is sent, so that an exception before the
+        # answer never leads to "not run".
         self._may_have_run = True
         self._sends += 1
         self._deliveries += 1
@@ -341,7 +341,7 @@
     ) -> None:
         now = clocks.read_monotonic()
         if is_reached and now >= self._admission.deadline_at:
-            # The runner stopped at the deadline that it was given.
+            # The runner stopped at the deadline that was sent to it.
             return
         if is_reached:
             self._note(entry, observations.Kind.FAILURE)
@@ -356,7 +356,7 @@
             detail=self._detail,
         )
 
-    # Silence.
+    # Inactivity.
 
     @contextlib.asynccontextmanager
     async def _limit_inactivity(
@@ -385,8 +385,9 @@
             raise inactivity.Silent('the runner fell silent')
 
     async def _watch_inactivity(self, timeout: inactivity.Timeout) -> None:
-        # A silent runner may still answer. It is left only if another one
-        # may be asked: else a late answer would be thrown away for nothing.
+        # An inactive runner may still answer. It is abandoned only if another
+        # one may be asked; otherwise its late answer would be lost for
+        # nothing.
         while True:
             await anyio.sleep_until(timeout.ends_at)
             if anyio.current_time() < timeout.ends_at:
@@ -403,7 +404,7 @@
 
     def _take_retry(self, now: float) -> bool:
         if self._has_retry:
-            # Taken when the runner was left for its silence.
+            # Taken when the inactive runner was abandoned.
             self._has_retry = False
             return True
         return self._shared.retry_budget.take(
@@ -442,7 +443,7 @@
             self._detail = f'status {head.status}'
             if head.is_other_runner:
                 # The address belongs to another runner now: this is no send,
-                # and the registration that led here is out of date.
+                # and the registration is out of date.
                 self._sends -= 1
                 self._note(entry, observations.Kind.GONE)
             await _discard_body(answer)
@@ -507,7 +508,7 @@
         began_at: float,
     ) -> _SendResult:
         if not 200 <= head.status < 300:
-            # The stream was to go on here, and this runner fails.
+            # The stream was to be resumed here, but this runner fails.
             raise webclient.Broken(f'status {head.status}')
         reader = self._reader
         if reader is None:
@@ -580,7 +581,7 @@
             clocks.read_monotonic(),
         )
 
-    # Answers of our own.
+    # Answers of the gateway.
 
     async def _fail(self, problem: errors.Problem) -> None:
         self._detail = self._detail or problem.text
