--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -7,8 +7,7 @@
 import collections.abc
 import typing as ty
 
-from apricotlanding import asgi
-from apricotlanding import errors
+from apricotlanding import asgi, errors
 from apricotlandingd.gateway import dialect
 
 __all__ = ['Reply']
@@ -26,7 +25,7 @@
     ) -> None:
         """Prepare an answer; nothing is sent yet."""
         self._send = send
-        self._dialect = http_dialect
+        self._http_dialect = http_dialect
         self._is_stopping = is_stopping
         self.has_begun = False
         # Result of the request, for the log.
@@ -71,7 +70,7 @@
         self.outcome = f'{problem.status} {problem.code}'
         body = f'{problem}\n'.encode()
         headers = [
-            *self._dialect.write_refusal(attempt, problem.retry_after_s),
+            *self._http_dialect.write_refusal(attempt, problem.retry_after_s),
             (b'content-type', b'text/plain; charset=utf-8'),
             (b'content-length', str(len(body)).encode()),
             *self._list_close_headers(),
