--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/health.py
@@ -89,11 +89,11 @@
     ) -> set[ids.RunnerStart]:
         """Return those of a service's runners that should be avoided."""
         rates = [self._find(runner).rate for runner in runners]
-        median = sorted(rates)[(len(rates) - 1) // 2] if rates else 0.0
+        median_rate = sorted(rates)[(len(rates) - 1) // 2] if rates else 0.0
         avoided: set[ids.RunnerStart] = set()
         for runner in runners:
             record = self._find(runner)
-            if now >= record.avoid_until or record.rate < 2 * median:
+            if now >= record.avoid_until or record.rate < 2 * median_rate:
                 continue
             avoided.add(runner)
         return avoided
