--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -10,8 +10,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.requests import admission
-from apricotlandingd.gateway.requests import sharedstate
+from apricotlandingd.gateway.requests import admission, sharedstate
 
 __all__ = ['Progress', 'make_queue_entry']
 
@@ -45,8 +44,8 @@
 ) -> waiting.Ticket:
     """Return the queue entry of a request that is about to wait."""
     route, head = admitted.route, admitted.head
-    median = shared.latencies.find_median(admitted.service)
-    first_event_s = median.predict_first_event(head.prompt_tokens)
+    median_estimate = shared.latencies.find_median(admitted.service)
+    first_event_s = median_estimate.predict_first_event(head.prompt_tokens)
     first_arrived_at = shared.routestats.estimate_first_arrival(
         route.name, admitted.caller_timeout_s, admitted.arrived_at
     )
