--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -10,8 +10,7 @@
 import typing as ty
 
 from apricotlanding import ids
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import latency
+from apricotlandingd.gateway.runners import health, latency
 
 __all__ = ['Kind', 'Observation', 'apply']
 
@@ -77,11 +76,11 @@
 def _register_applier(
     kind: Kind,
 ) -> collections.abc.Callable[[_Applier], _Applier]:
-    def register(applier: _Applier) -> _Applier:
+    def add_applier(applier: _Applier) -> _Applier:
         _appliers[kind] = applier
         return applier
 
-    return register
+    return add_applier
 
 
 @_register_applier(Kind.FIRST)
