--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -10,7 +10,8 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.requests import admission, sharedstate
+from apricotlandingd.gateway.requests import admission
+from apricotlandingd.gateway.requests import sharedstate
 
 __all__ = ['Progress', 'make_queue_entry']
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -7,7 +7,8 @@
 import collections.abc
 import typing as ty
 
-from apricotlanding import asgi, errors
+from apricotlanding import asgi
+from apricotlanding import errors
 from apricotlandingd.gateway import dialect
 
 __all__ = ['Reply']
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -10,7 +10,8 @@
 import typing as ty
 
 from apricotlanding import ids
-from apricotlandingd.gateway.runners import health, latency
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 
 __all__ = ['Kind', 'Observation', 'apply']
 
