--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -7,22 +7,14 @@
 import anyio
 import testtools
 
-from apricotlanding import addresses
-from apricotlanding import ids
-from apricotlanding import webclient
-from apricotlandingd.gateway.decisions import places
-from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
+import gatewayparts
+from apricotlanding import addresses, ids, webclient
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.hosts import mesh
-from apricotlandingd.gateway.hosts import messages
-from apricotlandingd.gateway.requests import runnerclient
-from apricotlandingd.gateway.requests import runnerclients
-from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import latency
+from apricotlandingd.gateway.decisions import places, scheduler, waiting
+from apricotlandingd.gateway.hosts import mesh, messages
+from apricotlandingd.gateway.requests import runnerclient, runnerclients
+from apricotlandingd.gateway.runners import directory, health, latency
 from apricotplatform import registrations
-import gatewayparts
 
 RUNNER = ids.Runner('r1')
 # Unix milliseconds: two starts of the runner.
@@ -75,14 +67,14 @@
         ]
 
     def test_later_birth_replaces_the_start(self) -> None:
-        news = self.runners.update(make_entry(LATE_MS))
-        self.assertIs(directory.UpdateResult.START, news)
+        result = self.runners.update(make_entry(LATE_MS))
+        self.assertIs(directory.UpdateResult.START, result)
         self.assertIsNone(self.runners.find(EARLIER))
         self.assertEqual([LATER], self.list_open())
 
     def test_same_birth_changes_the_entry(self) -> None:
-        news = self.runners.update(make_entry(EARLY_MS, is_draining=True))
-        self.assertIs(directory.UpdateResult.SAME, news)
+        result = self.runners.update(make_entry(EARLY_MS, is_draining=True))
+        self.assertIs(directory.UpdateResult.SAME, result)
         self.assertEqual([], self.list_open())
 
     def test_earlier_birth_is_outdated(self) -> None:
@@ -90,8 +82,8 @@
         # word of its earlier start, that it drains, was written after the
         # registration of the later one.
         self.runners.update(make_entry(LATE_MS))
-        news = self.runners.update(make_entry(EARLY_MS, is_draining=True))
-        self.assertIs(directory.UpdateResult.OUTDATED, news)
+        result = self.runners.update(make_entry(EARLY_MS, is_draining=True))
+        self.assertIs(directory.UpdateResult.OUTDATED, result)
         self.assertEqual([LATER], self.list_open())
 
     def test_earlier_birth_does_not_bring_a_runner_back(self) -> None:
@@ -117,8 +109,8 @@
     def test_lapse_and_return_of_the_same_start(self) -> None:
         self.runners.note_outage(9.9)
         self.runners.remove(RUNNER, 10.0)
-        news = self.runners.update(make_entry(EARLY_MS))
-        self.assertIs(directory.UpdateResult.SAME, news)
+        result = self.runners.update(make_entry(EARLY_MS))
+        self.assertIs(directory.UpdateResult.SAME, result)
         self.runners.expire(20.0)
         self.assertEqual([EARLIER], self.list_open())
 
@@ -134,8 +126,8 @@
         self.assertEqual([], self.list_open())
 
     def test_entry_without_birth_is_of_the_known_start(self) -> None:
-        news = self.runners.update(make_entry(None, is_draining=True))
-        self.assertIs(directory.UpdateResult.SAME, news)
+        result = self.runners.update(make_entry(None, is_draining=True))
+        self.assertIs(directory.UpdateResult.SAME, result)
         self.assertIsNotNone(self.runners.find(EARLIER))
         self.assertEqual([], self.list_open())
 
