--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -169,7 +169,7 @@
             assert isinstance(grant, waiting.Grant)
             self.assertEqual(EARLIER, grant.runner)
 
-    def hear(self, number: int, start: ids.RunnerStart) -> None:
+    def receive_state(self, number: int, start: ids.RunnerStart) -> None:
         state = messages.HostState(
             host=ids.Host('host-b'),
             incarnation=ids.Incarnation('host-b/1'),
@@ -211,15 +211,15 @@
     def test_places_of_peers_are_free_again(self) -> None:
         # A peer that has not heard of the restart still tells the requests
         # that it has at the earlier start.
-        self.hear(1, EARLIER)
+        self.receive_state(1, EARLIER)
         self.assertIsNone(self.enter(0.0).decision)
         self.runners.update(make_entry(LATE_MS))
-        self.hear(2, EARLIER)
+        self.receive_state(2, EARLIER)
         self.assert_granted(self.enter(0.0))
 
     def test_places_of_peers_at_the_later_start_count(self) -> None:
         self.runners.update(make_entry(LATE_MS))
-        self.hear(1, LATER)
+        self.receive_state(1, LATER)
         self.assertIsNone(self.enter(0.0).decision)
 
     def test_failures_are_forgotten(self) -> None:
