--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -231,7 +231,7 @@
         self.runners.update(make_entry(LATE_MS))
         self.assert_granted(self.enter(0.1))
 
-    def test_late_answers_teach_nothing(self) -> None:
+    def test_late_answers_are_ignored(self) -> None:
         # Answers that the earlier start had sent arrive after its end.
         self.runners.update(make_entry(LATE_MS))
         self.latencies.note_first_event(gatewayparts.POOL, EARLIER, 0, 9.0)
