--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -1,4 +1,4 @@
-"""What is believed of a runner ends with the start that it is believed of."""
+"""State that is kept of a runner applies to one start of it only."""
 
 import dataclasses
 import json
@@ -78,18 +78,18 @@
         self.assertEqual([], self.list_open())
 
     def test_earlier_birth_is_outdated(self) -> None:
-        # Callers are refused although the runner takes requests: the last
-        # word of its earlier start, that it drains, was written after the
-        # registration of the later one.
+        # Guards against refusing callers although the runner accepts
+        # requests: the last registration of its earlier start, as draining,
+        # is written after the registration of the later one.
         self.runners.update(make_entry(LATE_MS))
         result = self.runners.update(make_entry(EARLY_MS, is_draining=True))
         self.assertIs(directory.UpdateResult.OUTDATED, result)
         self.assertEqual([LATER], self.list_open())
 
     def test_earlier_birth_does_not_bring_a_runner_back(self) -> None:
-        # Requests are sent to an address where nobody listens. The runner
-        # has left for good, and then a write of its earlier start, which the
-        # store had held back, is done.
+        # Guards against sending requests to an address where nobody listens:
+        # the store carries out a delayed write of the earlier start after the
+        # runner has left for good.
         self.runners.update(make_entry(LATE_MS))
         self.runners.remove(RUNNER, 10.0)
         self.runners.expire(16.0)
@@ -97,9 +97,9 @@
         self.assertEqual([], self.list_open())
 
     def test_runner_with_an_earlier_clock_is_taken_in_the_end(self) -> None:
-        # A runner is never used again: it moved to a machine whose clock is
-        # behind, and its birth is compared with that of a start that has
-        # been gone for long.
+        # Guards against never using a runner again: it moved to a machine
+        # whose clock is behind, and its birth is compared with that of a
+        # start that left long ago.
         self.runners.update(make_entry(LATE_MS))
         self.runners.remove(RUNNER, 10.0)
         self.runners.expire(10.1 + directory.BIRTH_RETENTION_S)
@@ -116,8 +116,8 @@
 
     def test_outdated_entry_does_not_end_a_lapse(self) -> None:
         # The registration of the later start lapsed in an outage and does
-        # not come back: the runner is gone. A late word of the earlier start
-        # must not make it stay.
+        # not come back: the runner is gone. A late write of the earlier start
+        # must not keep it.
         self.runners.update(make_entry(LATE_MS))
         self.runners.note_outage(9.9)
         self.runners.remove(RUNNER, 10.0)
@@ -133,7 +133,7 @@
 
 
 class TestRunnerState(testtools.TestCase):
-    """Places, loads, speed and failures, after the runner started again."""
+    """Slots, loads, latency and failures after a restart of the runner."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -192,15 +192,15 @@
         self.assertEqual(LATER, grant.runner)
 
     def test_own_places_are_free_again(self) -> None:
-        # Callers are refused for as long as the requests that the crashed
-        # process had would have lasted.
+        # Guards against refusing callers for as long as the requests of the
+        # crashed process would have lasted.
         self.fill()
         self.runners.update(make_entry(LATE_MS))
         self.assert_granted(self.enter(1.0))
 
     def test_release_of_an_earlier_place_frees_none(self) -> None:
-        # The runner is overfilled: requests that ended with the earlier
-        # start give their places back after the later one has filled up.
+        # Guards against overloading the runner: requests that ended with the
+        # earlier start release their slots after the later one is full.
         self.fill()
         self.runners.update(make_entry(LATE_MS))
         for _ in range(2):
@@ -209,8 +209,8 @@
         self.assertIsNone(self.enter(1.1).decision)
 
     def test_places_of_peers_are_free_again(self) -> None:
-        # A peer that has not heard of the restart still tells the requests
-        # that it has at the earlier start.
+        # A peer that has not learned of the restart still reports its
+        # requests at the earlier start.
         self.receive_state(1, EARLIER)
         self.assertIsNone(self.enter(0.0).decision)
         self.runners.update(make_entry(LATE_MS))
@@ -223,8 +223,8 @@
         self.assertIsNone(self.enter(0.0).decision)
 
     def test_failures_are_forgotten(self) -> None:
-        # A runner that crashed took no connection and is left alone for
-        # seconds, although it has started again.
+        # Guards against avoiding a runner for seconds because it accepted no
+        # connection when it crashed, although it has restarted.
         for _ in range(4):
             self.health.note_unreachable(EARLIER, 0.0)
         self.health.note_gone(EARLIER)
@@ -232,7 +232,7 @@
         self.assert_granted(self.enter(0.1))
 
     def test_late_answers_are_ignored(self) -> None:
-        # Answers that the earlier start had sent arrive after its end.
+        # Answers that the earlier start sent arrive after its end.
         self.runners.update(make_entry(LATE_MS))
         self.latencies.note_first_event(gatewayparts.POOL, EARLIER, 0, 9.0)
         for _ in range(4):
@@ -243,18 +243,20 @@
         self.assertEqual(latency.DEFAULT_BASE_S, found.base_s)
 
     def test_stated_loads_are_dropped(self) -> None:
-        # Each restart left an entry behind for as long as the process ran.
+        # Guards against a leak: each restart left an entry behind for as long
+        # as the process ran.
         self.scheduler.note_load(EARLIER, (2, 0), 0.0)
         self.scheduler.keep_only({LATER})
         self.assertEqual({}, self.scheduler._loads)
 
 
 class TestPrefixes(testtools.TestCase):
-    """What a runner has read of prompts."""
+    """Prompt prefixes that a runner has cached."""
 
     def test_restarted_runner_has_no_cached_prefix(self) -> None:
-        # A caller waits while the prompt is read anew: the request went to a
-        # slower runner that had read its prompt before it started again.
+        # Guards against sending a request to a slower runner because it had
+        # cached the prompt before its restart: the caller waits while the
+        # prompt is read again.
         runners = directory.Directory(2.0)
         quick, slow = (gatewayparts.make_start(name, 1) for name in 'ab')
         for name in 'ab':
@@ -292,7 +294,7 @@
 
 
 class TestHandOver(testtools.TestCase):
-    """Requests that a later start got in the name of the earlier one."""
+    """Requests that were sent to the earlier start but reached the later."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -314,9 +316,9 @@
         )
 
     def test_requests_count_at_the_later_start(self) -> None:
-        # Callers queue at a runner that is full. Hosts that heard late of its
-        # restart had sent requests to it by the old registration, and then
-        # took all its places to be free.
+        # Guards against queueing at a runner that is full: hosts that learned
+        # late of its restart had sent requests to it by the old registration,
+        # and then took all its slots to be free.
         self.places.hand_over(EARLIER, LATER, 2)
         self.assert_running(early=1, late=2)
 
@@ -364,16 +366,16 @@
         self.assertIsNot(self.earlier, self.clients.find(make_entry(LATE_MS)))
 
     def test_client_goes_to_the_registered_address(self) -> None:
-        # Requests go on to an address that the registration named before.
+        # Guards against sending requests to an earlier registered address.
         moved = dataclasses.replace(
             make_entry(EARLY_MS), address=addresses.Address('127.0.0.1', 2)
         )
         self.assertIsNot(self.earlier, self.clients.find(moved))
 
     def test_nothing_is_sent_to_a_start_that_ended(self) -> None:
-        # A request got its place just before the runner was known to have
-        # started again, and connects just after: the new process at the old
-        # address would run it under the name of the earlier start.
+        # A request got its slot just before the restart was known, and
+        # connects just after: the new process at the old address would run it
+        # as a request of the earlier start.
         self.clients.retire_earlier(LATER)
         error = self.assertRaises(
             webclient.NotSent, anyio.run, self.send, self.earlier
@@ -390,15 +392,15 @@
         self.assertIs(client, self.clients.find(other))
 
     def test_start_that_comes_back_can_be_used(self) -> None:
-        # A runner gets no request any more: its registration went for a
-        # moment and came back, and the client that was let go meanwhile
-        # takes none.
+        # Guards against a runner that receives no more requests: its
+        # registration disappeared for a moment and came back, and the client
+        # that was retired meanwhile accepts none.
         anyio.run(self.clients.prune, [], 1.0)
         self.assertIsNot(self.earlier, self.clients.find(make_entry(EARLY_MS)))
 
     def test_connections_are_counted_for_good(self) -> None:
-        # The metric falls with each runner that leaves, which readers take
-        # for a restart of this process.
+        # Guards against a counter that falls with each runner that leaves,
+        # which monitoring takes for a restart of this process.
         self.earlier.connects = 3
         self.clients.retire_earlier(LATER)
         anyio.run(self.clients.prune, [], 1.0)
