--- a/tests/test_gateway_lapses.py
+++ b/tests/test_gateway_lapses.py
@@ -1,4 +1,4 @@
-"""Registrations that lapsed while no host was served by the store."""
+"""Registrations that lapsed while the store served no host."""
 
 import testtools
 
@@ -7,7 +7,7 @@
 import gatewayparts
 
 DRAIN_S = 2.0
-# When the store is back, and when a host has read that registrations lapsed.
+# When the store is back, and when a host reads that registrations lapsed.
 RETURN_AT = 10.0
 READ_AT = 10.1
 # Registrations are back about two seconds after the store.
@@ -15,12 +15,12 @@
 
 
 class TestLapse(testtools.TestCase):
-    """Every request is refused for a moment, although all runners serve.
+    """Guards against refusing every request although all runners serve.
 
-    The store was silent for all hosts, and all registrations lapsed. A host
-    that reads this right after the store's return gave the runners the time
-    after which a runner that left gets nothing more; their registrations may
-    take longer to come back.
+    The store was unavailable to all hosts, so all registrations lapsed. A
+    host that reads this right after the store's return must not drop the
+    runners after the drain time: their registrations may take longer to come
+    back.
     """
 
     def setUp(self) -> None:
@@ -44,7 +44,7 @@
         self.assertFalse(self.is_open(BACK_AT + 0.3))
 
     def test_host_that_alone_was_rejected_waits_no_longer(self) -> None:
-        # The store served the others all the while: the runner has left.
+        # The store served the other hosts meanwhile: the runner has left.
         self.runners.remove(ids.Runner('r1'), READ_AT)
         self.runners.note_outage(BACK_AT)
         self.assertFalse(self.is_open(BACK_AT))
