--- a/tests/test_foreign_answers.py
+++ b/tests/test_foreign_answers.py
@@ -1,4 +1,4 @@
-"""Streams of events that no runner should send."""
+"""Event streams that no runner should send."""
 
 import testtools
 
@@ -6,31 +6,32 @@
 
 
 class TestEvents(testtools.TestCase):
-    """One stream: whole events, or an error that another runner mends."""
+    """One stream: complete events, or an error after which it is resumed."""
 
     def check_refused(self, data: bytes, last_event: str = '') -> None:
         reader = streams.EventReader(last_event)
         self.assertRaises(streams.OutOfOrder, reader.take, data)
-        # What the next runner is asked to go on behind.
+        # The id after which the next runner is asked to resume.
         self.assertEqual(last_event, reader.last_event)
 
     def test_ids_that_cannot_be_asked_for(self) -> None:
-        # A caller's stream ends although another runner could go on with it.
-        # An event's id held a control character; as the place to go on from
-        # it stood in a header, which the client refuses to send.
+        # Guards against ending a stream that another runner could resume. An
+        # event's id holds a control character; the id to resume after is sent
+        # in a header, which the client then refuses to send.
         for event in (b'a\x00b', b'\x01', b'7\x7f', b'x' * 300):
             self.check_refused(b'id: ' + event + b'\ndata: x\n\n')
 
     def test_ids_of_thousands_of_digits(self) -> None:
-        # As above: the numbers of two events were compared, and reading one
-        # of 5,000 digits fails.
+        # As above: the ids of two events are compared as numbers, and parsing
+        # one of 5,000 digits fails.
         self.check_refused(b'id: ' + b'9' * 5000 + b'\ndata: x\n\n', '6')
         self.check_refused(b'id: ' + b'9' * 30 + b'\ndata: x\n\n', '6')
 
     def test_event_that_does_not_end(self) -> None:
-        # All requests of a host end: it is killed for its memory. A runner
-        # sent a stream without a mark between events, all of which was kept
-        # until the next mark, and copied with each part.
+        # Guards against a host that is killed for its memory use, with all
+        # its requests: a runner sends a stream without separators, all of
+        # which is buffered until the next separator and copied with each
+        # part.
         reader = streams.EventReader('')
         part = b'x' * 65536
 
@@ -41,9 +42,9 @@
         self.assertRaises(streams.OutOfOrder, read)
 
     def test_whole_events_before_a_bad_one_are_asked_for_again(self) -> None:
-        # A caller misses an event in the middle of its stream. Two events
-        # came at once and the second was out of order; neither was passed
-        # on, but the next runner was asked to go on behind the first.
+        # Guards against losing an event in the middle of a stream. Two events
+        # arrive at once and the second is out of order; neither is forwarded,
+        # so the next runner must not be asked to resume after the first.
         reader = streams.EventReader('4')
         data = b'id: 5\n\nid: 5\n\n'
         self.assertRaises(streams.OutOfOrder, reader.take, data)
