--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -7,14 +7,22 @@
 import anyio
 import testtools
 
-import gatewayparts
-from apricotlanding import addresses, ids, webclient
+from apricotlanding import addresses
+from apricotlanding import ids
+from apricotlanding import webclient
+from apricotlandingd.gateway.decisions import places
+from apricotlandingd.gateway.decisions import scheduler
+from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.decisions import places, scheduler, waiting
-from apricotlandingd.gateway.hosts import mesh, messages
-from apricotlandingd.gateway.requests import runnerclient, runnerclients
-from apricotlandingd.gateway.runners import directory, health, latency
+from apricotlandingd.gateway.hosts import mesh
+from apricotlandingd.gateway.hosts import messages
+from apricotlandingd.gateway.requests import runnerclient
+from apricotlandingd.gateway.requests import runnerclients
+from apricotlandingd.gateway.runners import directory
+from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotplatform import registrations
+import gatewayparts
 
 RUNNER = ids.Runner('r1')
 # Unix milliseconds: two starts of the runner.
