--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -23,11 +23,7 @@
 import anyio.abc
 import h11
 
-from apricotlanding import addresses
-from apricotlanding import clocks
-from apricotlanding import sockets
-from apricotlanding import taskgroups
-from apricotlanding import webclient
+from apricotlanding import addresses, clocks, sockets, taskgroups, webclient
 from apricotlandingd.gateway import dialect
 
 __all__ = ['Answer', 'Call', 'RunnerClient']
@@ -195,14 +191,14 @@
         self, is_repeatable: bool, now: float
     ) -> '_Connection | None':
         # The newest first: it is the least likely to have been closed.
-        for place in range(len(self._idle) - 1, -1, -1):
-            connection = self._idle[place]
+        for index in range(len(self._idle) - 1, -1, -1):
+            connection = self._idle[index]
             if (
                 not is_repeatable
                 and now - connection.idle_at > MAX_UNREPEATABLE_IDLE_S
             ):
                 continue
-            del self._idle[place]
+            del self._idle[index]
             connection.is_idle = False
             return connection
         return None
