--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -20,8 +20,7 @@
 import anyio
 import eliot
 
-from apricotlanding import addresses
-from apricotlanding import ids
+from apricotlanding import addresses, ids
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.requests import runnerclient
 
@@ -84,15 +83,15 @@
         for endpoint in list(self._clients):
             if ids.has_run_before(endpoint[0], later):
                 self._retire(endpoint)
-        kept: dict[ids.RunnerStart, int] = {}
+        counts: dict[ids.RunnerStart, int] = {}
         for retired in self._retired:
             if not ids.has_run_before(retired.start, later):
                 continue
             count = retired.client.count_made_since(birth / 1000)
-            kept[retired.start] = kept.get(retired.start, 0) + count
+            counts[retired.start] = counts.get(retired.start, 0) + count
         self._new_starts.append(later)
         self._has_new_starts.set()
-        return kept
+        return counts
 
     async def run(self) -> None:
         """Close the connections of earlier starts until cancelled."""
