--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -23,21 +23,18 @@
 import anyio
 import eliot
 
-from apricotlanding import asgi
-from apricotlanding import clocks
-from apricotlanding import errors
-from apricotlanding import ids
-from apricotlanding import taskgroups
-from apricotlanding import webclient
-from apricotlandingd.gateway.decisions import waiting
+from apricotlanding import asgi, clocks, errors, ids, taskgroups, webclient
 from apricotlandingd.gateway import dialect
-from apricotlandingd.gateway.requests import admission
-from apricotlandingd.gateway.requests import inactivity
-from apricotlandingd.gateway.requests import queueentries
-from apricotlandingd.gateway.requests import replies
-from apricotlandingd.gateway.requests import runnerclient
-from apricotlandingd.gateway.requests import sharedstate
-from apricotlandingd.gateway.requests import streams
+from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.requests import (
+    admission,
+    inactivity,
+    queueentries,
+    replies,
+    runnerclient,
+    sharedstate,
+    streams,
+)
 from apricotlandingd.gateway.runners import observations
 
 __all__ = ['Exchange']
@@ -263,8 +260,8 @@
                 return _SendResult.NOT_RUN
             end = await self._send_to(entry, began_at)
             if end is _SendResult.DONE:
-                held = clocks.read_monotonic() - began_at
-                self._note(entry, observations.Kind.HOLD, seconds=held)
+                held_s = clocks.read_monotonic() - began_at
+                self._note(entry, observations.Kind.HOLD, seconds=held_s)
             return end
         finally:
             self._release(grant)
