--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -515,8 +515,8 @@
         before = reader.count
         first_at: float | None = None
         async for part in answer.iterate():
-            whole = reader.take(part)
-            if not whole:
+            complete = reader.take(part)
+            if not complete:
                 continue
             now = clocks.read_monotonic()
             if first_at is None:
@@ -527,7 +527,7 @@
                 timeout.extend(inactivity.find_gap_timeout(gap_s))
             if not self._reply.has_begun:
                 await self._reply.begin(head)
-            await self._reply.forward_part(whole)
+            await self._reply.forward_part(complete)
         if reader.has_partial():
             raise webclient.Broken('the stream ends within an event')
         if not self._reply.has_begun:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/streams.py
@@ -52,19 +52,19 @@
             data.rfind(mark) + len(mark) if mark in data else 0
             for mark in _SEPARATORS
         )
-        whole, partial = data[:end], data[end:]
+        complete, partial = data[:end], data[end:]
         if len(partial) > MAX_EVENT_BYTES:
             raise OutOfOrder(f'an event of more than {MAX_EVENT_BYTES} bytes')
         # No state changes before all events have been checked. If one is
         # rejected, none of them is forwarded, so the id to resume after must
         # not advance either: the caller would miss the events before it.
         last, count = self.last_event, self.count
-        for line in whole.splitlines():
+        for line in complete.splitlines():
             if line[:3].lower() == b'id:':
                 last = _check_next_id(last, line[3:].strip())
                 count += 1
         self.last_event, self.count, self._partial = last, count, partial
-        return whole
+        return complete
 
 
 def _check_next_id(last: str, data: bytes) -> str:
