--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -23,18 +23,21 @@
 import anyio
 import eliot
 
-from apricotlanding import asgi, clocks, errors, ids, taskgroups, webclient
-from apricotlandingd.gateway import dialect
+from apricotlanding import asgi
+from apricotlanding import clocks
+from apricotlanding import errors
+from apricotlanding import ids
+from apricotlanding import taskgroups
+from apricotlanding import webclient
 from apricotlandingd.gateway.decisions import waiting
-from apricotlandingd.gateway.requests import (
-    admission,
-    inactivity,
-    queueentries,
-    replies,
-    runnerclient,
-    sharedstate,
-    streams,
-)
+from apricotlandingd.gateway import dialect
+from apricotlandingd.gateway.requests import admission
+from apricotlandingd.gateway.requests import inactivity
+from apricotlandingd.gateway.requests import queueentries
+from apricotlandingd.gateway.requests import replies
+from apricotlandingd.gateway.requests import runnerclient
+from apricotlandingd.gateway.requests import sharedstate
+from apricotlandingd.gateway.requests import streams
 from apricotlandingd.gateway.runners import observations
 
 __all__ = ['Exchange']
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -23,7 +23,11 @@
 import anyio.abc
 import h11
 
-from apricotlanding import addresses, clocks, sockets, taskgroups, webclient
+from apricotlanding import addresses
+from apricotlanding import clocks
+from apricotlanding import sockets
+from apricotlanding import taskgroups
+from apricotlanding import webclient
 from apricotlandingd.gateway import dialect
 
 __all__ = ['Answer', 'Call', 'RunnerClient']
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -20,7 +20,8 @@
 import anyio
 import eliot
 
-from apricotlanding import addresses, ids
+from apricotlanding import addresses
+from apricotlanding import ids
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.requests import runnerclient
 
