--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -263,8 +263,8 @@
                 return _SendResult.NOT_RUN
             end = await self._send_to(entry, began_at)
             if end is _SendResult.DONE:
-                held_s = clocks.read_monotonic() - began_at
-                self._note(entry, observations.Kind.HOLD, seconds=held_s)
+                slot_time_s = clocks.read_monotonic() - began_at
+                self._note(entry, observations.Kind.HOLD, seconds=slot_time_s)
             return end
         finally:
             self._release(grant)
