--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -22,7 +22,7 @@
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import latency
 
 POOL = ids.Pool('pool')
 ROUNDS = 5
@@ -83,7 +83,11 @@
             )
         )
     return scheduler.Scheduler(
-        known, pace.Paces(), health.Health(), others, random.Random(1)
+        known,
+        latency.LatencyEstimates(),
+        health.Health(),
+        others,
+        random.Random(1),
     )
 
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -12,7 +12,7 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway.decisions import queueing
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import latency
 
 __all__ = ['Candidate', 'choose_runner']
 
@@ -38,7 +38,7 @@
     # Slots in use, and slots in total.
     used: int
     slots: int
-    pace: pace.Pace
+    latency: latency.LatencyEstimate
     is_avoided: bool
     # This host recently sent the prompt's prefix there.
     has_cached_prefix: bool
@@ -76,15 +76,15 @@
 def _predict(
     request: queueing.QueuedRequest, candidate: Candidate, is_preferred: bool
 ) -> float:
-    read = candidate.pace.read_s * request.prompt_tokens
+    read = candidate.latency.prompt_token_s * request.prompt_tokens
     saved = 0.0
     if candidate.has_cached_prefix:
         saved = read
     elif is_preferred:
         saved = read * PREFERRED_READ_SAVING_RATIO
     load = 1 + FULL_LOAD_SLOWDOWN_RATIO * candidate.used / candidate.slots
-    rest = candidate.pace.write_s * request.events
-    return candidate.pace.start_s + read - saved + rest * load
+    rest = candidate.latency.event_s * request.events
+    return candidate.latency.base_s + read - saved + rest * load
 
 
 def _hash_affinity(part: str, start: ids.RunnerStart) -> int:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/scheduler.py
@@ -23,7 +23,7 @@
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import latency
 
 __all__ = ['Peers', 'RunnerFilter', 'Scheduler']
 
@@ -124,14 +124,14 @@
     def __init__(
         self,
         runners: directory.Directory,
-        paces: pace.Paces,
+        latencies: latency.LatencyEstimates,
         fitness: health.Health,
         peers: Peers,
         rng: random.Random,
     ) -> None:
         """Create without requests."""
         self._runners = runners
-        self._paces = paces
+        self._latencies = latencies
         self._health = fitness
         self._peers = peers
         self._rng = rng
@@ -275,7 +275,7 @@
         return [
             entry
             for entry in self._list_own_runners(service)
-            if not self._health.is_closed(entry.start, now)
+            if not self._health.is_unreachable(entry.start, now)
         ]
 
     def _list_own_runners(
@@ -342,7 +342,7 @@
                 runner=entry.start,
                 used=entry.slots - view.free[entry.start],
                 slots=entry.slots,
-                pace=self._paces.find(entry.service, entry.start),
+                latency=self._latencies.find(entry.service, entry.start),
                 is_avoided=entry.start in view.avoided,
                 has_cached_prefix=self._has_cached_prefix(
                     request.last_part, entry.start, now
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -22,9 +22,9 @@
 from apricotlandingd.gateway.hosts import placemessages
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
-from apricotlandingd.gateway.runners import starts
+from apricotlandingd.gateway.runners import startindex
 
 __all__ = ['AddressedReply', 'Coordinator']
 
@@ -121,7 +121,7 @@
         self,
         host: ids.Host,
         runners: directory.Directory,
-        paces: pace.Paces,
+        latencies: latency.LatencyEstimates,
         fitness: health.Health,
         rng: random.Random,
         is_stopping: collections.abc.Callable[[], bool],
@@ -137,8 +137,8 @@
         """
         self._host = host
         self._runners = runners
-        self._starts = starts.Starts(runners)
-        self._paces = paces
+        self._starts = startindex.StartIndex(runners)
+        self._latencies = latencies
         self._health = fitness
         self._rng = rng
         self._is_stopping = is_stopping
@@ -201,7 +201,7 @@
             found = _Schedule(
                 scheduler.Scheduler(
                     self._runners,
-                    self._paces,
+                    self._latencies,
                     self._health,
                     _SubsetView(subset),
                     self._rng,
@@ -393,7 +393,7 @@
             ),
             request.service,
             start,
-            self._paces,
+            self._latencies,
             self._health,
             now,
         )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -28,9 +28,9 @@
 from apricotlandingd.gateway.hosts import placemessages
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
-from apricotlandingd.gateway.runners import starts
+from apricotlandingd.gateway.runners import startindex
 
 __all__ = ['Dispatcher']
 
@@ -95,7 +95,7 @@
         local: scheduler.Scheduler,
         own_coordinator: coordinator.Coordinator,
         runners: directory.Directory,
-        paces: pace.Paces,
+        latencies: latency.LatencyEstimates,
         fitness: health.Health,
         hosts: candidates.Hosts,
         candidate_hosts: candidates.Candidates,
@@ -112,8 +112,8 @@
         self._local = local
         self._own_coordinator = own_coordinator
         self._runners = runners
-        self._starts = starts.Starts(runners)
-        self._paces = paces
+        self._starts = startindex.StartIndex(runners)
+        self._latencies = latencies
         self._health = fitness
         self._hosts = hosts
         self._candidates = candidate_hosts
@@ -191,7 +191,7 @@
     ) -> None:
         """Apply an observation of a runner, and report it."""
         observations.apply(
-            observation, service, start, self._paces, self._health, now
+            observation, service, start, self._latencies, self._health, now
         )
         if observation.kind is observations.Kind.HOLD:
             self._local.note_hold_time(service, observation.seconds)
@@ -481,7 +481,7 @@
         closed = [
             entry.start
             for entry in self._runners.list_open(ticket.service)
-            if self._health.is_closed(entry.start, now)
+            if self._health.is_unreachable(entry.start, now)
         ]
         excluded = {
             messages.digest_start(start) for start in (*ticket.tried, *closed)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -60,13 +60,13 @@
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.replication import storereader
 from apricotlandingd.gateway.replication import timing
-from apricotlandingd.gateway.requests import habits
 from apricotlandingd.gateway.requests import listener
-from apricotlandingd.gateway.requests import parts
+from apricotlandingd.gateway.requests import routestats
 from apricotlandingd.gateway.requests import runnerclients
+from apricotlandingd.gateway.requests import sharedstate
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import latency
 
 __all__ = ['Gateway']
 
@@ -184,7 +184,7 @@
         bounds = config.bounds
         now = clocks.read_monotonic()
         self._stalls = stalls.StallDetector()
-        self._paces = pace.Paces()
+        self._latencies = latency.LatencyEstimates()
         self._health = health.Health()
         self._allowances = allowances.Allowances(
             bounds.quota_slack, self._mesh, now
@@ -194,7 +194,7 @@
         )
         self._scheduler = scheduler.Scheduler(
             self._directory,
-            self._paces,
+            self._latencies,
             self._health,
             self._mesh,
             self._rng,
@@ -208,7 +208,7 @@
             coordinator.Coordinator(
                 config.host,
                 self._directory,
-                self._paces,
+                self._latencies,
                 self._health,
                 self._rng,
                 lambda: self._is_stopping,
@@ -216,7 +216,7 @@
                 self._scheduler.find_hold_time,
             ),
             self._directory,
-            self._paces,
+            self._latencies,
             self._health,
             self._mesh,
             self._candidates,
@@ -256,24 +256,24 @@
         )
         self._mesh.make_state = states.make_state
         self._mesh.make_change = states.make_change
-        shared = parts.Parts(
-            spoken=self._dialect,
+        shared = sharedstate.SharedState(
+            http_dialect=self._dialect,
             allowances=self._allowances,
             shared_allowances=self._shared_allowances,
             retry_budget=self._retry_budget,
             dispatcher=self._dispatcher,
             directory=self._directory,
-            paces=self._paces,
+            latencies=self._latencies,
             telemetry=self._telemetry,
             find_catalogue=lambda: self._catalogue,
             find_client=self._clients.find,
             count_hosts=self._mesh.count_hosts,
             is_stopping=lambda: self._is_stopping,
             on_change=self._announce_change,
-            on_garbled=functools.partial(
+            on_malformed_answer=functools.partial(
                 self._input_errors.report, inputerrors.Source.ANSWER
             ),
-            habits=habits.Habits(),
+            routestats=routestats.RouteStats(),
         )
         self._listener = listener.Listener(
             shared,
@@ -432,9 +432,9 @@
             birth = ids.read_birth(entry.start)
             state = 'draining' if entry.is_draining else 'open'
             news = self._directory.update(entry)
-            if news is directory.News.START:
+            if news is directory.UpdateResult.START:
                 self._end_earlier_starts(entry.start)
-            elif news is directory.News.OUTDATED:
+            elif news is directory.UpdateResult.OUTDATED:
                 state = 'outdated'
         self._log_runner(runner, state, birth, record.offset)
 
@@ -464,7 +464,7 @@
         )
 
     def _end_earlier_starts(self, later: ids.RunnerStart) -> None:
-        for start, count in self._clients.end_earlier(later).items():
+        for start, count in self._clients.retire_earlier(later).items():
             self._scheduler.held_slots.hand_over(start, later, count)
 
     def _find_readers(self) -> freshness.Readers:
@@ -599,11 +599,11 @@
             self._directory.expire(now)
             entries = self._directory.list_all()
             known = {entry.start for entry in entries}
-            self._health.keep_only(known)
-            self._paces.keep_only(known)
+            self._health.retain_only(known)
+            self._latencies.retain_only(known)
             self._scheduler.keep_only(known)
             self._dispatcher.keep_only(known)
-            await self._clients.tidy(entries, now)
+            await self._clients.prune(entries, now)
 
     # Stopping.
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -1,7 +1,7 @@
-"""What a caller asks for, and whether it is let in.
+"""What a caller requests, and whether it is admitted.
 
-Route, organisation and allowance are found before anything is sent or waits;
-each refusal here says "not run". ``exchange`` leads on from what stands here.
+Route, organisation and allowance are checked before anything is queued or
+sent, so each refusal here says "not run". ``exchange`` continues from here.
 """
 
 import typing as ty
@@ -15,24 +15,25 @@
 from apricotlandingd.gateway import catalogue
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import sharedallowances
-from apricotlandingd.gateway.requests import parts
+from apricotlandingd.gateway.requests import sharedstate
 
-__all__ = ['SOON', 'Admission']
+__all__ = ['RETRY_AFTER_S', 'Admission']
 
-# Seconds after which a host that has just started knows the others.
-HOSTS_SOON = 0.2
-# Seconds after which callers whose request met no configuration or no
-# runner should come back.
-SOON = 0.5
+# A host that has just started knows the others after this time.
+HOSTS_RETRY_AFTER_S = 0.2
+# Sent to callers whose request found no configuration or no runner.
+RETRY_AFTER_S = 0.5
 
 
 @ty.final
 class Admission:
     """One request as its caller sent it."""
 
-    def __init__(self, shared: parts.Parts, scope: asgi.Scope) -> None:
-        """Take the request line; ``admit`` reads the rest."""
-        self._parts = shared
+    def __init__(
+        self, shared: sharedstate.SharedState, scope: asgi.Scope
+    ) -> None:
+        """Read the request line; ``admit`` reads the rest."""
+        self._shared = shared
         self.arrived_at = clocks.read_monotonic()
         self.method: str = scope['method']
         self.target = _find_target(scope)
@@ -42,32 +43,34 @@
         # '' until the route is known.
         self.service = ids.Pool('')
         self.organisation: catalogue.Organisation | None = None
-        # What was asked of the organisation's allowance, until it is returned.
-        self._question: sharedallowances.UnitRequest | None = None
+        # What was taken from the organisation's allowance, until returned.
+        self._allowance_request: sharedallowances.UnitRequest | None = None
         self.event_tokens = 1.0
-        # Of the configuration that the request was admitted under.
+        # Version of the configuration that the request was admitted under.
         self.version: ids.Version | None = None
-        # Seconds that the caller gives, and when its time or its route's ends.
-        self.given_s = 0.0
-        self.limit_at = 0.0
-
-    def give_back(self) -> None:
-        """Return what was taken from the allowance: nothing has run."""
-        question, self._question = self._question, None
+        # The caller's timeout, and the earlier of its and the route's
+        # deadline.
+        self.caller_timeout_s = 0.0
+        self.deadline_at = 0.0
+
+    def return_allowance(self) -> None:
+        """Return what was taken from the allowance; nothing has run."""
+        question, self._allowance_request = self._allowance_request, None
         if question is not None:
-            self._parts.shared_allowances.give_back(
+            self._shared.shared_allowances.give_back(
                 question, clocks.read_monotonic()
             )
 
     async def admit(
         self, headers: dialect.HeaderList, receive: asgi.Receive
     ) -> errors.Problem | None:
-        """Read the request; the problem if it is not let in.
+        """Read the request; return the problem if it is not admitted.
 
-        Raises asgi.Disconnected if the caller leaves before it has arrived.
+        Raises asgi.Disconnected if the caller disconnects before the request
+        has arrived.
         """
         try:
-            head = self._parts.spoken.read_request(
+            head = self._shared.http_dialect.read_request(
                 self.method, self.target, headers
             )
         except dialect.Unreadable as error:
@@ -75,9 +78,11 @@
         if head is None:
             return errors.make_problem(errors.Kind.NO_ATTEMPT)
         self.head = head
-        config = self._parts.find_catalogue()
+        config = self._shared.find_catalogue()
         if config is None:
-            return errors.make_problem(errors.Kind.NO_CONFIGURATION, SOON)
+            return errors.make_problem(
+                errors.Kind.NO_CONFIGURATION, RETRY_AFTER_S
+            )
         self.version = config.version
         path = self.target.partition('?')[0]
         route = config.find_route(head.hostname, path)
@@ -107,11 +112,15 @@
 
     def _note_arrival(self, now: float) -> None:
         deadline = self.head.deadline_s
-        self.given_s = self.route.timeout_s if deadline is None else deadline
-        limit = min(self.given_s, self.route.timeout_s)
-        self.limit_at = self.arrived_at + limit
-        self._parts.habits.note_given(self.route.name, self.given_s)
-        self._parts.retry_budget.note_request(self.service, now)
+        self.caller_timeout_s = (
+            self.route.timeout_s if deadline is None else deadline
+        )
+        limit = min(self.caller_timeout_s, self.route.timeout_s)
+        self.deadline_at = self.arrived_at + limit
+        self._shared.routestats.note_caller_timeout(
+            self.route.name, self.caller_timeout_s
+        )
+        self._shared.retry_budget.note_request(self.service, now)
 
     async def _take_units(self, now: float) -> errors.Problem | None:
         holder = self.organisation
@@ -120,22 +129,24 @@
         tokens = None
         if self.head.has_token_counts:
             tokens = self.head.prompt_tokens + self.head.output_tokens
-        allowances = self._parts.allowances
+        allowances = self._shared.allowances
         if holder.units_per_s > 0 and not allowances.knows_hosts(now):
-            # Not "over the allowance": nobody knows that yet.
-            return errors.make_problem(errors.Kind.NO_HOSTS, HOSTS_SOON)
+            # Not "over the allowance": that is unknown without the others.
+            return errors.make_problem(
+                errors.Kind.NO_HOSTS, HOSTS_RETRY_AFTER_S
+            )
         cost = allowances.buckets.find_cost(holder, tokens)
-        question = self._parts.shared_allowances.ask(holder, cost, now)
+        question = self._shared.shared_allowances.ask(holder, cost, now)
         try:
             await question.answered.wait()
         except BaseException:
-            # The caller has left.
-            self._parts.shared_allowances.give_back(
+            # The caller has disconnected.
+            self._shared.shared_allowances.give_back(
                 question, clocks.read_monotonic()
             )
             raise
         if question.wait_s is None:
-            self._question = question
+            self._allowance_request = question
             return None
         eliot.log_message(
             'gateway:over_allowance',
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -1,18 +1,18 @@
 """One request of a caller, from its head to its final answer.
 
     admit     route, organisation, allowance
-    wait      for a place at a runner
-    send      to the runner, and pass its answer on
-    again     at another runner, if that can do no harm
-
-What may be said at the end follows from what was sent. As long as no runner
-can have worked on the request, a refusal says "not run" (503, 429). From the
-moment that bytes have left for a runner, only the runner's own word that it
-did not take the request leads back there; everything else is "may have run"
-(502, 504), and only a request that may be repeated is sent again.
-
-A stream that breaks off goes on at another runner after the last whole event
-that the caller has, if its route allows that.
+    wait      for a slot at a runner
+    send      to the runner, and forward its answer
+    retry     at another runner, if that is safe
+
+The final answer depends on what was sent. As long as no runner can have
+worked on the request, a refusal says "not run" (503, 429). Once bytes have
+been sent to a runner, a refusal says so only if the runner itself states that
+it did not accept the request; everything else is "may have run" (502, 504),
+and only a request that may be repeated is sent again.
+
+A stream that breaks off is resumed at another runner after the last complete
+event that the caller has, if its route allows that.
 """
 
 import collections.abc
@@ -32,27 +32,27 @@
 from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.requests import admission
-from apricotlandingd.gateway.requests import parts
+from apricotlandingd.gateway.requests import inactivity
+from apricotlandingd.gateway.requests import queueentries
 from apricotlandingd.gateway.requests import replies
 from apricotlandingd.gateway.requests import runnerclient
-from apricotlandingd.gateway.requests import silence
+from apricotlandingd.gateway.requests import sharedstate
 from apricotlandingd.gateway.requests import streams
-from apricotlandingd.gateway.requests import tickets
 from apricotlandingd.gateway.runners import observations
 
 __all__ = ['Exchange']
 
-# Seconds past a request's limit in which the runner's own answer about the
+# Time after a request's deadline in which the runner's own answer about the
 # timeout may still arrive.
-LIMIT_SLACK = 0.1
-# Largest answer that is held back until it is whole, so that a broken one
-# can be had from another runner; larger ones are passed on as they come.
-HELD_BYTES = 256 * 1024
-FAILED_STATUS = 500
+DEADLINE_SLACK_S = 0.1
+# Largest answer that is buffered until it is complete, so that another runner
+# can be asked if it breaks off; larger ones are forwarded as they arrive.
+MAX_HELD_BYTES = 256 * 1024
+MIN_FAILURE_STATUS = 500
 
 
-class _End(enum.Enum):
-    # How one send to a runner ended.
+class _SendResult(enum.Enum):
+    # Result of one send to a runner.
     DONE = 'done'
     NOT_RUN = 'not run'
     FAILED = 'failed'
@@ -60,34 +60,36 @@
 
 @ty.final
 class Exchange:
-    """One request."""
+    """One request of a caller."""
 
     def __init__(
         self,
-        shared: parts.Parts,
+        shared: sharedstate.SharedState,
         scope: asgi.Scope,
         receive: asgi.Receive,
         send: asgi.Send,
     ) -> None:
-        """Take an ASGI request."""
-        self._parts = shared
+        """Prepare to answer an ASGI request."""
+        self._shared = shared
         self._scope = scope
         self._receive = receive
-        self._reply = replies.Reply(send, shared.spoken, shared.is_stopping)
-        self._asked = admission.Admission(shared, scope)
-        # Runners that bytes of this request went to.
+        self._reply = replies.Reply(
+            send, shared.http_dialect, shared.is_stopping
+        )
+        self._admission = admission.Admission(shared, scope)
+        # Number of runners that bytes of this request were sent to.
         self._sends = 0
-        # The same, with those that were found at another one's address: they
-        # are no sends, but count against the budget of retries.
-        self._arrivals = 0
+        # The same, including runners that were found at another one's
+        # address: these are no sends, but count against the retry budget.
+        self._deliveries = 0
         self._may_have_run = False
         self._has_retry = False
         self._tried: set[ids.RunnerStart] = set()
-        # A failure that a runner answered, for when no other does better.
+        # A failure that a runner answered, in case no other runner succeeds.
         self._fallback: tuple[dialect.AnswerHead, bytes] | None = None
         self._reader: streams.EventReader | None = None
         self._first_at: float | None = None
-        # Seconds spent waiting for places.
+        # Seconds spent waiting for slots.
         self._waited_s = 0.0
         # All work on the request; cancelled by ``end``.
         self._work = anyio.CancelScope()
@@ -100,59 +102,59 @@
             with self._work:
                 await self._answer()
             if self._work.cancelled_caught:
-                await self._end_with_host()
+                await self._answer_host_stop()
         except asgi.Disconnected:
-            # The caller left before its request had arrived.
+            # The caller disconnected before its request had arrived.
             return
         except anyio.get_cancelled_exc_class():
-            # Only the end of the process cancels this task. Without a word
-            # of its own, the log would say that the caller left.
+            # Only the end of the process cancels this task. Without its own
+            # outcome, the log would say that the caller disconnected.
             self._reply.outcome = 'stopped'
             raise
         finally:
-            self._finish(clocks.read_monotonic())
+            self._log_result(clocks.read_monotonic())
 
     def end(self) -> None:
-        """Give the request up, because the process is about to end."""
+        """End the request, because the process is about to end."""
         self._work.cancel()
 
     async def _answer(self) -> None:
-        problem = await self._asked.admit(
+        problem = await self._admission.admit(
             self._scope['headers'], self._receive
         )
         if problem is not None:
             await self._refuse(problem)
             return
-        await self._serve_until_gone()
+        await self._serve_while_connected()
 
-    async def _end_with_host(self) -> None:
-        # Left to the end of the process, the caller would get an error of
-        # the HTTP server, which says nothing of what became of its request.
+    async def _answer_host_stop(self) -> None:
+        # If the process ended first, the caller would get an error of the
+        # HTTP server, which does not say whether its request was run.
         if self._may_have_run:
             await self._fail(errors.make_problem(errors.Kind.HOST_STOPPED))
             return
-        # Another host takes it at once.
+        # Another host can serve it at once.
         await self._refuse(errors.make_problem(errors.Kind.STOPPING, 0.0))
 
     # Serving.
 
-    async def _serve_until_gone(self) -> None:
+    async def _serve_while_connected(self) -> None:
         async with taskgroups.open_group() as group:
             group.start_soon(self._watch_caller, group.cancel_scope)
-            await self._serve_in_time()
+            await self._serve_until_deadline()
 
     async def _watch_caller(self, scope: anyio.CancelScope) -> None:
-        # A caller that leaves must not keep a runner at work: leaving the
-        # scope closes the connection to it.
+        # A runner must not work on for a caller that has disconnected:
+        # cancelling the scope closes the connection to the runner.
         while True:
             message = await self._receive()
             if message['type'] == 'http.disconnect':
                 scope.cancel()
                 return
 
-    async def _serve_in_time(self) -> None:
-        left = self._asked.limit_at - clocks.read_monotonic()
-        with anyio.move_on_after(left + LIMIT_SLACK) as limit:
+    async def _serve_until_deadline(self) -> None:
+        remaining_s = self._admission.deadline_at - clocks.read_monotonic()
+        with anyio.move_on_after(remaining_s + DEADLINE_SLACK_S) as limit:
             await self._serve()
         if not limit.cancelled_caught:
             return
@@ -160,7 +162,9 @@
             await self._fail(errors.make_problem(errors.Kind.TIMED_OUT))
         else:
             await self._refuse(
-                errors.make_problem(errors.Kind.NO_PLACE, admission.SOON)
+                errors.make_problem(
+                    errors.Kind.NO_PLACE, admission.RETRY_AFTER_S
+                )
             )
 
     async def _serve(self) -> None:
@@ -173,30 +177,33 @@
                     )
                 )
                 return
-            end = await self._try(decision)
-            if end is _End.DONE:
+            end = await self._send_once(decision)
+            if end is _SendResult.DONE:
                 return
             if not self._may_send_again(end, clocks.read_monotonic()):
                 break
         problem = errors.make_problem(
-            errors.Kind.NOT_TAKEN, admission.SOON, detail=self._detail
+            errors.Kind.NOT_TAKEN, admission.RETRY_AFTER_S, detail=self._detail
         )
         await self._give_up(problem)
 
-    def _may_send_again(self, end: _End, now: float) -> bool:
-        if end is _End.FAILED and not self._asked.route.is_repeatable():
+    def _may_send_again(self, end: _SendResult, now: float) -> bool:
+        if (
+            end is _SendResult.FAILED
+            and not self._admission.route.is_repeatable()
+        ):
             return False
-        if self._sends >= self._asked.route.max_sends:
+        if self._sends >= self._admission.route.max_sends:
             return False
-        if self._arrivals == 0:
-            # Nothing has reached a runner: no retry.
+        if self._deliveries == 0:
+            # Nothing has reached a runner, so this is no retry.
             return True
         return self._take_retry(now)
 
     async def _give_up(self, problem: errors.Problem) -> None:
-        # The last word when no runner answers: the failure that a runner
+        # The final answer when no runner succeeds: the failure that a runner
         # answered, "may have run", or the problem, which says "not run".
-        if self._fallback is not None and not self._reply.is_begun:
+        if self._fallback is not None and not self._reply.has_begun:
             head, body = self._fallback
             await self._reply.deliver(head, body)
             return
@@ -213,188 +220,201 @@
 
     async def _wait_for_place(self) -> queueing.Grant | queueing.Refusal:
         now = clocks.read_monotonic()
-        ticket = tickets.make_ticket(
-            self._parts,
-            self._asked,
+        queue_entry = queueentries.make_queue_entry(
+            self._shared,
+            self._admission,
             now,
-            tickets.Progress(
-                is_begun=self._reply.is_begun,
+            queueentries.Progress(
+                has_begun=self._reply.has_begun,
                 sends=self._sends,
                 tried=self._tried,
             ),
         )
-        self._parts.dispatcher.enter(ticket, now)
-        if ticket.decision is None:
-            self._parts.on_change()
+        self._shared.dispatcher.enter(queue_entry, now)
+        if queue_entry.decision is None:
+            self._shared.on_change()
         try:
-            await ticket.decided.wait()
+            await queue_entry.decided.wait()
         except BaseException:
-            # The caller left, or its time is over.
-            decision = ticket.decision
+            # The caller disconnected, or its deadline has passed.
+            decision = queue_entry.decision
             if isinstance(decision, queueing.Grant):
                 self._release(decision)
             raise
         finally:
             decided_at = clocks.read_monotonic()
-            self._parts.dispatcher.leave(ticket, decided_at)
+            self._shared.dispatcher.leave(queue_entry, decided_at)
             self._waited_s += decided_at - now
-        assert ticket.decision is not None
-        return ticket.decision
+        assert queue_entry.decision is not None
+        return queue_entry.decision
 
     # Sending.
 
-    async def _try(self, grant: queueing.Grant) -> _End:
+    async def _send_once(self, grant: queueing.Grant) -> _SendResult:
         began_at = clocks.read_monotonic()
         runner = grant.runner
         self._runner = runner
         self._tried.add(runner)
-        entry = self._parts.directory.find(runner)
-        self._parts.on_change()
+        entry = self._shared.directory.find(runner)
+        self._shared.on_change()
         try:
             if entry is None:
                 self._detail = 'the runner has left'
-                return _End.NOT_RUN
+                return _SendResult.NOT_RUN
             end = await self._send_to(entry, began_at)
-            if end is _End.DONE:
-                held = clocks.read_monotonic() - began_at
-                self._note(entry, observations.Kind.HOLD, seconds=held)
+            if end is _SendResult.DONE:
+                slot_time_s = clocks.read_monotonic() - began_at
+                self._note(entry, observations.Kind.HOLD, seconds=slot_time_s)
             return end
         finally:
             self._release(grant)
 
     def _release(self, grant: queueing.Grant) -> None:
         now = clocks.read_monotonic()
-        self._parts.dispatcher.release(self._asked.service, grant, now)
-        self._parts.on_change()
+        self._shared.dispatcher.release(self._admission.service, grant, now)
+        self._shared.on_change()
 
     async def _send_to(
         self, entry: dialect.RunnerEntry, began_at: float
-    ) -> _End:
-        left = self._asked.limit_at - began_at
-        if left <= 0:
+    ) -> _SendResult:
+        remaining_s = self._admission.deadline_at - began_at
+        if remaining_s <= 0:
             self._detail = 'no time is left'
-            return _End.NOT_RUN
-        client = self._parts.find_client(entry)
-        call = self._make_call(entry, left)
-        had_run = self._may_have_run
-        # Set before the first byte leaves: an exception between here and
-        # the answer must not find "not run".
+            return _SendResult.NOT_RUN
+        client = self._shared.find_client(entry)
+        call = self._make_call(entry, remaining_s)
+        may_have_run_before = self._may_have_run
+        # Set before the first byte is sent, so that an exception before the
+        # answer never leads to "not run".
         self._may_have_run = True
         self._sends += 1
-        self._arrivals += 1
+        self._deliveries += 1
         try:
-            async with self._guard_silence(entry) as guard:
+            async with self._limit_inactivity(entry) as timeout:
                 async with client.open(call) as answer:
                     return await self._take_answer(
-                        entry, answer, guard, began_at, had_run
+                        entry, answer, timeout, began_at, may_have_run_before
                     )
         except webclient.NotSent as error:
             self._sends -= 1
-            self._arrivals -= 1
-            self._may_have_run = had_run
+            self._deliveries -= 1
+            self._may_have_run = may_have_run_before
             self._detail = str(error)
-            self._note_bad(entry, is_reached=False)
-            return _End.NOT_RUN
-        except (webclient.Broken, streams.OutOfOrder, silence.Silent) as error:
+            self._note_failure(entry, is_reached=False)
+            return _SendResult.NOT_RUN
+        except (
+            webclient.Broken,
+            streams.OutOfOrder,
+            inactivity.Silent,
+        ) as error:
             self._detail = repr(error)
             if isinstance(error, (webclient.Garbled, streams.OutOfOrder)):
                 now = clocks.read_monotonic()
                 runner = ids.find_runner(entry.start)
-                self._parts.on_garbled(runner, str(error), now)
-            self._note_bad(entry, is_reached=True)
-            return _End.FAILED
+                self._shared.on_malformed_answer(runner, str(error), now)
+            self._note_failure(entry, is_reached=True)
+            return _SendResult.FAILED
 
     def _make_call(
-        self, entry: dialect.RunnerEntry, left: float
+        self, entry: dialect.RunnerEntry, remaining_s: float
     ) -> runnerclient.Call:
-        last_event = self._asked.head.last_event
+        last_event = self._admission.head.last_event
         if self._reader is not None:
             last_event = self._reader.last_event
-        organisation = self._asked.organisation
+        organisation = self._admission.organisation
         return runnerclient.Call(
-            method=self._asked.method,
-            target=self._asked.target,
-            headers=self._parts.spoken.write_request(
-                self._asked.head,
+            method=self._admission.method,
+            target=self._admission.target,
+            headers=self._shared.http_dialect.write_request(
+                self._admission.head,
                 ids.find_runner(entry.start),
                 None if organisation is None else organisation.name,
-                left,
+                remaining_s,
                 last_event,
             ),
-            body=self._asked.body,
-            is_repeatable=self._asked.route.is_repeatable(),
+            body=self._admission.body,
+            is_repeatable=self._admission.route.is_repeatable(),
         )
 
-    def _note_bad(self, entry: dialect.RunnerEntry, is_reached: bool) -> None:
+    def _note_failure(
+        self, entry: dialect.RunnerEntry, is_reached: bool
+    ) -> None:
         now = clocks.read_monotonic()
-        if is_reached and now >= self._asked.limit_at:
-            # The runner stopped at the deadline that it was given.
+        if is_reached and now >= self._admission.deadline_at:
+            # The runner stopped at the deadline that was sent to it.
             return
         if is_reached:
             self._note(entry, observations.Kind.FAILURE)
         else:
             self._note(entry, observations.Kind.UNREACHABLE)
-        self._parts.telemetry.count('runner_failures_total')
+        self._shared.telemetry.count('runner_failures_total')
         eliot.log_message(
             'gateway:runner_failed',
-            attempt=self._asked.head.attempt,
+            attempt=self._admission.head.attempt,
             runner=ids.find_runner(entry.start),
             is_reached=is_reached,
             detail=self._detail,
         )
 
-    # Silence.
+    # Inactivity.
 
     @contextlib.asynccontextmanager
-    async def _guard_silence(
+    async def _limit_inactivity(
         self, entry: dialect.RunnerEntry
-    ) -> collections.abc.AsyncIterator[silence.Guard]:
-        guard = silence.Guard()
-        if not self._can_leave():
-            yield guard
+    ) -> collections.abc.AsyncIterator[inactivity.Timeout]:
+        timeout = inactivity.Timeout()
+        if not self._may_abandon():
+            yield timeout
             return
-        found = self._parts.paces.find(self._asked.service, entry.start)
-        first = found.find_first(self._asked.head.prompt_tokens)
-        guard.extend(
-            silence.find_first_patience(self._asked.route.objective_s, first)
+        estimate = self._shared.latencies.find(
+            self._admission.service, entry.start
+        )
+        first = estimate.predict_first_event(
+            self._admission.head.prompt_tokens
+        )
+        timeout.extend(
+            inactivity.find_first_timeout(
+                self._admission.route.objective_s, first
+            )
         )
         async with taskgroups.open_group() as group:
-            group.start_soon(self._watch_silence, guard)
-            with guard.scope:
-                yield guard
-        if guard.scope.cancelled_caught:
-            raise silence.Silent('the runner fell silent')
-
-    async def _watch_silence(self, guard: silence.Guard) -> None:
-        # A silent runner may still answer. It is left only if another one
-        # may be asked: else a late answer would be thrown away for nothing.
+            group.start_soon(self._watch_inactivity, timeout)
+            with timeout.scope:
+                yield timeout
+        if timeout.scope.cancelled_caught:
+            raise inactivity.Silent('the runner fell silent')
+
+    async def _watch_inactivity(self, timeout: inactivity.Timeout) -> None:
+        # An inactive runner may still answer. It is abandoned only if another
+        # one may be asked; otherwise its late answer would be lost for
+        # nothing.
         while True:
-            await anyio.sleep_until(guard.ends_at)
-            if anyio.current_time() < guard.ends_at:
+            await anyio.sleep_until(timeout.ends_at)
+            if anyio.current_time() < timeout.ends_at:
                 continue
             now = clocks.read_monotonic()
-            has_other = self._parts.dispatcher.has_place(
-                self._asked.service, self._tried, now
+            has_other = self._shared.dispatcher.has_place(
+                self._admission.service, self._tried, now
             )
             if has_other and self._take_retry(now):
                 self._has_retry = True
-                guard.scope.cancel()
+                timeout.scope.cancel()
                 return
-            guard.extend(silence.SHORTEST)
+            timeout.extend(inactivity.MIN_FIRST_TIMEOUT_S)
 
     def _take_retry(self, now: float) -> bool:
         if self._has_retry:
-            # Taken when the runner was left for its silence.
+            # Taken when the inactive runner was abandoned.
             self._has_retry = False
             return True
-        return self._parts.retry_budget.take(
-            self._asked.service, self._parts.count_hosts(), now
+        return self._shared.retry_budget.take(
+            self._admission.service, self._shared.count_hosts(), now
         )
 
-    def _can_leave(self) -> bool:
+    def _may_abandon(self) -> bool:
         return (
-            self._asked.route.is_repeatable()
-            and self._sends < self._asked.route.max_sends
+            self._admission.route.is_repeatable()
+            and self._sends < self._admission.route.max_sends
         )
 
     # Answers.
@@ -403,128 +423,132 @@
         self,
         entry: dialect.RunnerEntry,
         answer: runnerclient.Answer,
-        guard: silence.Guard,
+        timeout: inactivity.Timeout,
         began_at: float,
-        had_run: bool,
-    ) -> _End:
-        head = self._parts.spoken.read_answer(answer.status, answer.headers)
+        may_have_run_before: bool,
+    ) -> _SendResult:
+        head = self._shared.http_dialect.read_answer(
+            answer.status, answer.headers
+        )
         answer.idle_s = head.idle_s
         if head.load is not None:
-            self._parts.dispatcher.note_load(
+            self._shared.dispatcher.note_load(
                 entry.start, head.load, clocks.read_monotonic()
             )
-        if head.attempt and head.attempt != self._asked.head.attempt:
+        if head.attempt and head.attempt != self._admission.head.attempt:
             # A late answer to another request on this connection.
             raise webclient.Broken('the answer names another attempt')
         if head.is_not_run:
-            self._may_have_run = had_run
+            self._may_have_run = may_have_run_before
             self._detail = f'status {head.status}'
             if head.is_other_runner:
                 # The address belongs to another runner now: this is no send,
-                # and the registration that led here is out of date.
+                # and the registration is out of date.
                 self._sends -= 1
                 self._note(entry, observations.Kind.GONE)
-            await _read_rest(answer)
-            return _End.NOT_RUN
+            await _discard_body(answer)
+            return _SendResult.NOT_RUN
         if not head.is_sealed:
             raise webclient.Broken(f'status {head.status} without a mark')
-        if self._reply.is_begun or self._is_event_stream(head):
-            return await self._relay(entry, head, answer, guard, began_at)
-        return await self._hold(entry, head, answer, began_at)
+        if self._reply.has_begun or self._is_event_stream(head):
+            return await self._relay_stream(
+                entry, head, answer, timeout, began_at
+            )
+        return await self._buffer_answer(entry, head, answer, began_at)
 
     def _is_event_stream(self, head: dialect.AnswerHead) -> bool:
-        return self._asked.route.is_stream and 200 <= head.status < 300
+        return self._admission.route.is_stream and 200 <= head.status < 300
 
-    async def _hold(
+    async def _buffer_answer(
         self,
         entry: dialect.RunnerEntry,
         head: dialect.AnswerHead,
         answer: runnerclient.Answer,
         began_at: float,
-    ) -> _End:
+    ) -> _SendResult:
         pieces: list[bytes] = []
         size = 0
         async for part in answer.iterate():
             pieces.append(part)
             size += len(part)
-            if size > HELD_BYTES:
-                return await self._pass_on(head, pieces, answer)
+            if size > MAX_HELD_BYTES:
+                return await self._forward_rest(head, pieces, answer)
         now = clocks.read_monotonic()
         body = b''.join(pieces)
-        if head.status >= FAILED_STATUS:
+        if head.status >= MIN_FAILURE_STATUS:
             self._fallback = (head, body)
             self._detail = f'status {head.status}'
             self._note(entry, observations.Kind.FAILURE)
-            return _End.FAILED
+            return _SendResult.FAILED
         self._note(entry, observations.Kind.SUCCESS)
         self._first_at = self._first_at or now
         self._note(entry, observations.Kind.FIRST, seconds=now - began_at)
         await self._reply.deliver(head, body)
-        return _End.DONE
+        return _SendResult.DONE
 
-    async def _pass_on(
+    async def _forward_rest(
         self,
         head: dialect.AnswerHead,
         pieces: list[bytes],
         answer: runnerclient.Answer,
-    ) -> _End:
+    ) -> _SendResult:
         await self._reply.begin(head)
-        await self._reply.pass_part(b''.join(pieces))
+        await self._reply.forward_part(b''.join(pieces))
         async for part in answer.iterate():
-            await self._reply.pass_part(part)
+            await self._reply.forward_part(part)
         await self._reply.finish(head)
-        return _End.DONE
+        return _SendResult.DONE
 
-    async def _relay(
+    async def _relay_stream(
         self,
         entry: dialect.RunnerEntry,
         head: dialect.AnswerHead,
         answer: runnerclient.Answer,
-        guard: silence.Guard,
+        timeout: inactivity.Timeout,
         began_at: float,
-    ) -> _End:
+    ) -> _SendResult:
         if not 200 <= head.status < 300:
-            # The stream was to go on here, and this runner fails.
+            # The stream was to be resumed here, but this runner fails.
             raise webclient.Broken(f'status {head.status}')
         reader = self._reader
         if reader is None:
-            reader = streams.EventReader(self._asked.head.last_event)
+            reader = streams.EventReader(self._admission.head.last_event)
             self._reader = reader
         reader.drop_partial()
         before = reader.count
         first_at: float | None = None
         async for part in answer.iterate():
-            whole = reader.take(part)
-            if not whole:
+            complete = reader.take(part)
+            if not complete:
                 continue
             now = clocks.read_monotonic()
             if first_at is None:
                 first_at = now
                 self._note_first(entry, now, now - began_at)
-            if self._can_leave():
-                gap_s = self._asked.route.gap_objective_s
-                guard.extend(silence.find_gap_patience(gap_s))
-            if not self._reply.is_begun:
+            if self._may_abandon():
+                gap_s = self._admission.route.gap_objective_s
+                timeout.extend(inactivity.find_gap_timeout(gap_s))
+            if not self._reply.has_begun:
                 await self._reply.begin(head)
-            await self._reply.pass_part(whole)
+            await self._reply.forward_part(complete)
         if reader.has_partial():
             raise webclient.Broken('the stream ends within an event')
-        if not self._reply.is_begun:
+        if not self._reply.has_begun:
             await self._reply.begin(head)
         await self._reply.finish(head)
         self._note_end(entry, reader.count - before, first_at)
-        return _End.DONE
+        return _SendResult.DONE
 
     def _note_first(
         self, entry: dialect.RunnerEntry, now: float, seconds: float
     ) -> None:
         if self._first_at is None:
             self._first_at = now
-        prefix = self._asked.head.prefix
+        prefix = self._admission.head.prefix
         self._note(
             entry,
             observations.Kind.FIRST,
-            self._asked.head.prompt_tokens,
+            self._admission.head.prompt_tokens,
             seconds,
             prefix[-1][0] if prefix else '',
         )
@@ -540,7 +564,7 @@
             return
         rest = clocks.read_monotonic() - first_at
         self._note(entry, observations.Kind.REST, events, rest)
-        self._parts.habits.note_events(self._asked.route.name, events)
+        self._shared.routestats.note_events(self._admission.route.name, events)
 
     def _note(
         self,
@@ -550,49 +574,49 @@
         seconds: float = 0.0,
         part: str = '',
     ) -> None:
-        self._parts.dispatcher.note(
-            self._asked.service,
+        self._shared.dispatcher.note(
+            self._admission.service,
             entry.start,
             observations.Observation(kind, amount, seconds, part),
             clocks.read_monotonic(),
         )
 
-    # Answers of our own.
+    # Answers of the gateway.
 
     async def _fail(self, problem: errors.Problem) -> None:
         self._detail = self._detail or problem.text
-        await self._reply.fail(self._asked.head.attempt, problem)
+        await self._reply.fail(self._admission.head.attempt, problem)
 
     async def _refuse(self, problem: errors.Problem) -> None:
-        self._asked.give_back()
+        self._admission.return_allowance()
         self._detail = self._detail or problem.text
-        await self._reply.write_problem(self._asked.head.attempt, problem)
+        await self._reply.write_problem(self._admission.head.attempt, problem)
 
-    def _finish(self, now: float) -> None:
-        head = self._asked.head
-        took = now - self._asked.arrived_at
+    def _log_result(self, now: float) -> None:
+        head = self._admission.head
+        took = now - self._admission.arrived_at
         first = None
         if self._first_at is not None:
-            first = round(self._first_at - self._asked.arrived_at, 4)
+            first = round(self._first_at - self._admission.arrived_at, 4)
         runner = None
         if self._runner is not None:
             runner = ids.find_runner(self._runner)
         kind = self._reply.outcome.partition(' ')[0]
-        self._parts.telemetry.count('requests_total', outcome=kind)
-        self._parts.telemetry.time('request_seconds', took, outcome=kind)
+        self._shared.telemetry.count('requests_total', outcome=kind)
+        self._shared.telemetry.time('request_seconds', took, outcome=kind)
         if first is not None:
-            self._parts.telemetry.time('first_event_seconds', first)
+            self._shared.telemetry.time('first_event_seconds', first)
         eliot.log_message(
             'gateway:request',
             attempt=head.attempt,
-            target=self._asked.target,
+            target=self._admission.target,
             organisation=None
-            if self._asked.organisation is None
-            else self._asked.organisation.name,
+            if self._admission.organisation is None
+            else self._admission.organisation.name,
             runner=runner,
             sends=self._sends,
-            version=self._asked.version,
-            service=self._asked.service,
+            version=self._admission.version,
+            service=self._admission.service,
             tokens=[head.prompt_tokens, head.expected_tokens],
             given_s=head.deadline_s,
             waited_s=round(self._waited_s, 4),
@@ -603,6 +627,6 @@
         )
 
 
-async def _read_rest(answer: runnerclient.Answer) -> None:
+async def _discard_body(answer: runnerclient.Answer) -> None:
     async for _ in answer.iterate():
         continue
--- /dev/null
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/queueentries.py
@@ -0,0 +1,86 @@
+"""The queue entry of a request that waits for a slot at a runner.
+
+Derives what the scheduler decides by from the caller's request and its
+progress: its tier, the latest start with which it meets its objective, and
+the latest start that is of any use to its caller.
+"""
+
+import dataclasses
+import typing as ty
+
+from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
+from apricotlandingd.gateway.requests import admission
+from apricotlandingd.gateway.requests import sharedstate
+
+__all__ = ['Progress', 'make_queue_entry']
+
+# Longest wait, as a ratio to the objective. A request that waits for longer is
+# late for its caller and delays those that are not.
+MAX_WAIT_OBJECTIVE_RATIO = 1.0
+
+# Tier of a request whose answer has begun: before all others, because its
+# caller already has a part of the answer.
+RESUME_TIER = ids.Tier(-1)
+
+
+@ty.final
+@dataclasses.dataclass(frozen=True, slots=True)
+class Progress:
+    """Progress of a request."""
+
+    # The caller has the first part of the answer.
+    has_begun: bool
+    # Number of runners that bytes of the request were sent to.
+    sends: int
+    # Runners that have been tried.
+    tried: set[ids.RunnerStart]
+
+
+def make_queue_entry(
+    shared: sharedstate.SharedState,
+    admitted: admission.Admission,
+    now: float,
+    progress: Progress,
+) -> queueing.QueuedRequest:
+    """Return the queue entry of a request that is about to wait."""
+    route, head = admitted.route, admitted.head
+    median_estimate = shared.latencies.find_median(admitted.service)
+    first_event_s = median_estimate.predict_first_event(head.prompt_tokens)
+    first_arrived_at = shared.routestats.estimate_first_arrival(
+        route.name, admitted.caller_timeout_s, admitted.arrived_at
+    )
+    return queueing.QueuedRequest(
+        attempt=head.attempt,
+        service=admitted.service,
+        tier=RESUME_TIER if progress.has_begun else _find_tier(admitted),
+        route_tier=route.tier,
+        arrived_at=now,
+        on_time_by=first_arrived_at + route.objective_s - first_event_s,
+        useful_until=_find_useful_until(admitted, progress.sends)
+        - first_event_s,
+        ends_at=admitted.deadline_at,
+        prompt_tokens=head.prompt_tokens,
+        events=shared.routestats.predict_events(
+            route, head.expected_tokens, admitted.event_tokens
+        ),
+        last_part=head.prefix[-1][0] if head.prefix else '',
+        tried=progress.tried,
+    )
+
+
+def _find_tier(admitted: admission.Admission) -> ids.Tier:
+    if admitted.organisation is None or admitted.organisation.tier is None:
+        return admitted.route.tier
+    return admitted.organisation.tier
+
+
+def _find_useful_until(admitted: admission.Admission, sends: int) -> float:
+    if sends:
+        # It was sent in time; any answer is better than none now.
+        return admitted.deadline_at
+    # A caller that is refused at once can retry when there is capacity. One
+    # that is held beyond its objective has lost that chance, and the time as
+    # well. The same applies to a retry.
+    max_wait_s = admitted.route.objective_s * MAX_WAIT_OBJECTIVE_RATIO
+    return min(admitted.deadline_at, admitted.arrived_at + max_wait_s)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -1,15 +1,15 @@
-"""HTTP calls to one runner, on connections that are kept.
+"""HTTP calls to one runner, on persistent connections.
 
-Written on ``h11`` rather than ``httpcore``, because a scheduler has to know
-what that library hides: whether bytes stand behind a complete answer (they
-belong to no request and would be taken for the next answer), whether a
-connection was closed while it was idle, and for how long it was idle.
+Uses ``h11`` rather than ``httpcore``, because a scheduler has to know what
+that library hides: whether bytes follow a complete answer (they belong to no
+request and would be taken for the next answer), whether a connection was
+closed while it was idle, and for how long it was idle.
 
 * ``webclient.NotSent``: no connection could be made; the runner cannot have
   run the request.
 * ``webclient.Broken``: the connection broke; the runner may have run the
-  request. ``webclient.Garbled`` is the kind of it in which something came that
-  is no answer.
+  request. Its subclass ``webclient.Garbled`` means that the data received is
+  not a valid answer.
 """
 
 import collections.abc
@@ -32,25 +32,26 @@
 
 __all__ = ['Answer', 'Call', 'RunnerClient']
 
-# Seconds to connect; runners are milliseconds away, and a dark one does not
-# refuse.
-CONNECT_TIMEOUT = 0.5
-READ_SIZE = 65536
-# Bytes of head and body that surely fit into the buffers of both sides. A
+# Runners are milliseconds away, and one that is down does not refuse the
+# connection.
+CONNECT_TIMEOUT_S = 0.5
+READ_BYTES = 65536
+# A head and a body of this size fit into the socket buffers of both sides. A
 # larger body is sent while the answer is read, because a runner may answer
 # before it has read the whole body and then stop reading.
-SMALL_BODY = 4096
-# Seconds that an idle connection is kept if the runner names no time, and
-# the part of the time it names: its clock starts before ours.
-DEFAULT_IDLE = 4.0
-IDLE_PART = 0.7
-# Seconds of idleness up to which a connection serves a request that may not
-# be repeated. Runners drop idle connections now and then; a request that is
-# then lost may have run, and cannot be sent again.
-FRESH_IDLE = 1.0
-# Statuses have five classes (RFC 9110, 15).
-LAST_STATUS = 599
-# Not allowed in the value of a header (RFC 9110, 5.5), but for the tab.
+SMALL_BODY_BYTES = 4096
+# How long an idle connection is kept if the runner states no timeout, and the
+# share of the timeout that it states: its clock starts before this host's.
+DEFAULT_IDLE_TIMEOUT_S = 4.0
+IDLE_TIMEOUT_SHARE = 0.7
+# Longest idle time of a connection that is used for a request that may not be
+# repeated. Runners occasionally drop idle connections; a request that is lost
+# with one may have run and cannot be sent again.
+MAX_UNREPEATABLE_IDLE_S = 1.0
+# Highest status code of the five classes (RFC 9110, 15).
+MAX_STATUS = 599
+# Control characters that a header value must not hold (RFC 9110, 5.5); the
+# tab is allowed.
 _CONTROL = re.compile(rb'[\x00-\x08\x0a-\x1f\x7f]')
 
 _BROKEN = (
@@ -63,19 +64,19 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """What is sent to a runner."""
+    """A request to a runner."""
 
     method: str
     target: str
     headers: dialect.HeaderList
     body: bytes
-    # A second run does no harm.
+    # The request may be run more than once.
     is_repeatable: bool
 
 
 @ty.final
 class Answer:
-    """A status, headers, and a body that is still on its way."""
+    """Status and headers of an answer whose body is still arriving."""
 
     def __init__(
         self, connection: '_Connection', response: h11.Response
@@ -86,12 +87,13 @@
             (bytes(name), bytes(value)) for name, value in response.headers
         ]
         self.is_complete = False
-        # Seconds that the runner keeps the connection; set by the caller.
+        # Seconds that the runner keeps an idle connection open; set by the
+        # caller.
         self.idle_s: float | None = None
         self._connection = connection
 
     async def iterate(self) -> collections.abc.AsyncIterator[bytes]:
-        """Yield the body as it arrives; Broken if it is cut."""
+        """Yield the body as it arrives; raises Broken if it is cut."""
         while True:
             event = await self._connection.read_event()
             if isinstance(event, h11.EndOfMessage):
@@ -109,24 +111,24 @@
         """Start without connections."""
         self._address = address
         self._idle: list[_Connection] = []
-        # Those with a request on them.
-        self._used: set[_Connection] = set()
-        # Takes no requests any more, and keeps no connections: nobody looks
-        # at those of a runner that is gone, and each would hold a descriptor
-        # for as long as the process runs.
+        # Connections with a request in progress.
+        self._busy: set[_Connection] = set()
+        # Accepts no more requests and keeps no connections: those of a runner
+        # that is gone are not checked any more, and each would hold a file
+        # descriptor for as long as the process runs.
         self._is_stopped = False
-        # Connections made since the start, for the metrics.
+        # Connections opened since the start, for the metrics.
         self.connects = 0
 
     @contextlib.asynccontextmanager
     async def open(self, call: Call) -> collections.abc.AsyncIterator[Answer]:
-        """Send a call and yield its answer; NotSent or Broken.
+        """Send a call and yield its answer; raises NotSent or Broken.
 
         Leaving the context before the answer is complete closes the
-        connection, which tells the runner to stop.
+        connection, which makes the runner stop.
         """
         connection = await self._take_connection(call.is_repeatable)
-        self._used.add(connection)
+        self._busy.add(connection)
         answer: Answer | None = None
         try:
             async with taskgroups.open_group() as group:
@@ -134,44 +136,44 @@
                 answer = Answer(connection, await connection.read_head())
                 yield answer
         finally:
-            self._used.discard(connection)
-            self._put_back(connection, answer)
-            if not connection.is_kept:
+            self._busy.discard(connection)
+            self._return_to_pool(connection, answer)
+            if not connection.is_idle:
                 with anyio.CancelScope(shield=True):
                     await connection.close()
 
-    def is_used(self) -> bool:
-        """Tell whether a request is on its way."""
-        return bool(self._used)
+    def is_busy(self) -> bool:
+        """Tell whether a request is in progress."""
+        return bool(self._busy)
 
     def stop(self) -> None:
-        """Take no more requests."""
+        """Accept no more requests."""
         self._is_stopped = True
 
     def count_made_since(self, wall_s: float) -> int:
         """Count requests on connections made at or after this Unix time."""
-        return sum(item.made_at >= wall_s for item in self._used)
+        return sum(item.made_at >= wall_s for item in self._busy)
 
     async def close_made_before(self, wall_s: float) -> int:
-        """Break off what is on connections made before this Unix time.
+        """Cut the requests on connections made before this Unix time.
 
-        Returns how many requests that were. A clock of this host that is
-        ahead leaves connections alone that could be closed, and their
-        requests end by their silence or their time limit.
+        Returns the number of requests. If this host's clock is ahead,
+        connections stay open that could be closed; their requests end by
+        inactivity timeout or deadline.
         """
-        early = [item for item in self._used if item.made_at < wall_s]
+        early = [item for item in self._busy if item.made_at < wall_s]
         for connection in early:
             await connection.close()
         return len(early)
 
     async def close(self) -> None:
-        """Take no more requests, and close the idle connections."""
+        """Accept no more requests, and close the idle connections."""
         self.stop()
         while self._idle:
             await self._idle.pop().close()
 
     async def close_expired(self, now: float) -> None:
-        """Close connections before the runner does."""
+        """Close idle connections before the runner does."""
         expired = [item for item in self._idle if item.is_expired(now)]
         self._idle = [item for item in self._idle if item not in expired]
         for connection in expired:
@@ -185,27 +187,30 @@
             connection = self._pop_idle(is_repeatable, now)
             if connection is None:
                 return await self._connect()
-            if connection.is_usable(now):
+            if connection.is_reusable(now):
                 return connection
             await connection.close()
 
     def _pop_idle(
         self, is_repeatable: bool, now: float
     ) -> '_Connection | None':
-        # The newest first: it is the least likely to be closed by now.
-        for place in range(len(self._idle) - 1, -1, -1):
-            connection = self._idle[place]
-            if not is_repeatable and now - connection.idle_at > FRESH_IDLE:
+        # The newest first: it is the least likely to have been closed.
+        for index in range(len(self._idle) - 1, -1, -1):
+            connection = self._idle[index]
+            if (
+                not is_repeatable
+                and now - connection.idle_at > MAX_UNREPEATABLE_IDLE_S
+            ):
                 continue
-            del self._idle[place]
-            connection.is_kept = False
+            del self._idle[index]
+            connection.is_idle = False
             return connection
         return None
 
     async def _connect(self) -> '_Connection':
         self.connects += 1
         try:
-            with anyio.fail_after(CONNECT_TIMEOUT):
+            with anyio.fail_after(CONNECT_TIMEOUT_S):
                 stream = await anyio.connect_tcp(
                     self._address.host, self._address.port
                 )
@@ -219,23 +224,25 @@
             raise webclient.NotSent('the runner has left')
         return _Connection(stream, clocks.read_wall())
 
-    def _put_back(
+    def _return_to_pool(
         self, connection: '_Connection', answer: Answer | None
     ) -> None:
         if answer is None or not answer.is_complete or self._is_stopped:
             return
-        if not connection.start_next():
+        if not connection.prepare_next():
             return
-        idle = DEFAULT_IDLE if answer.idle_s is None else answer.idle_s
+        idle = (
+            DEFAULT_IDLE_TIMEOUT_S if answer.idle_s is None else answer.idle_s
+        )
         connection.idle_at = clocks.read_monotonic()
-        connection.expires_at = connection.idle_at + idle * IDLE_PART
-        connection.is_kept = True
+        connection.expires_at = connection.idle_at + idle * IDLE_TIMEOUT_SHARE
+        connection.is_idle = True
         self._idle.append(connection)
 
 
 @ty.final
 class _Connection:
-    """One connection; one call at a time."""
+    """A connection for one call at a time."""
 
     def __init__(self, stream: anyio.abc.SocketStream, made_at: float) -> None:
         self._stream = stream
@@ -243,18 +250,18 @@
         self.made_at = made_at
         self._http = h11.Connection(h11.CLIENT)
         self._is_sent = False
-        # The runner has closed its side.
+        # The runner has closed its sending side.
         self._is_ended = False
-        self.is_kept = False
+        self.is_idle = False
         self.idle_at = 0.0
         self.expires_at = 0.0
 
     def is_expired(self, now: float) -> bool:
         return now >= self.expires_at
 
-    def is_usable(self, now: float) -> bool:
-        # Readable while idle: closed by the runner, or bytes of a late
-        # answer, which would be taken for that of the next request.
+    def is_reusable(self, now: float) -> bool:
+        # Readable while idle: the runner has closed it, or has sent bytes of
+        # a late answer, which would be taken for that of the next request.
         if self.is_expired(now):
             return False
         raw = self._stream.extra(anyio.abc.SocketAttribute.raw_socket)
@@ -276,7 +283,7 @@
         parts.append(self._http.send(h11.EndOfMessage()))
         data = b''.join(part for part in parts if part)
         self._is_sent = False
-        if len(call.body) <= SMALL_BODY:
+        if len(call.body) <= SMALL_BODY_BYTES:
             await self._send_bytes(data)
             return
         group.start_soon(self._send_bytes, data)
@@ -285,8 +292,8 @@
         try:
             await self._stream.send(data)
         except _BROKEN:
-            # The reader meets the same break, or finds the answer that the
-            # runner sent before it closed.
+            # The reader gets the same error, or the answer that the runner
+            # sent before it closed the connection.
             return
         self._is_sent = True
 
@@ -313,25 +320,25 @@
             raise webclient.Broken(repr(error)) from error
         except h11.RemoteProtocolError as error:
             if self._is_ended:
-                # What is missing is the rest of an answer.
+                # The answer was cut short.
                 raise webclient.Broken(repr(error)) from error
             raise webclient.Garbled(repr(error)) from error
 
     async def _read_bytes(self) -> bytes:
         try:
-            return await self._stream.receive(READ_SIZE)
+            return await self._stream.receive(READ_BYTES)
         except anyio.EndOfStream:
             self._is_ended = True
             return b''
 
-    def start_next(self) -> bool:
-        # Bytes behind the answer belong to no request.
+    def prepare_next(self) -> bool:
+        # Bytes after the answer belong to no request.
         if not self._is_sent or self._http.trailing_data[0]:
             return False
         try:
             self._http.start_next_cycle()
         except h11.LocalProtocolError:
-            # One side asked to close.
+            # One side requested that the connection be closed.
             return False
         return True
 
@@ -339,15 +346,15 @@
         try:
             await self._stream.aclose()
         except _BROKEN:
-            # Broken already: nothing is left to close.
+            # Already broken: there is nothing left to close.
             return
 
 
 def _check_head(response: h11.Response) -> None:
-    # The parser is lenient where the server that writes the answer to the
-    # caller is not. Found out there, it would be too late to ask another
-    # runner, or to say anything.
-    if response.status_code > LAST_STATUS:
+    # The parser accepts what the server that writes the answer to the caller
+    # rejects. There it would be too late to ask another runner, or to send an
+    # error.
+    if response.status_code > MAX_STATUS:
         raise webclient.Garbled(f'status {response.status_code}')
     for name, value in response.headers:
         if _CONTROL.search(value):
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -1,18 +1,17 @@
 """The clients of all runners: one for each start of a runner.
 
-A runner may start again under its id, at its old address or at another one.
-Connections of the earlier start then lead to a process that is gone, and
-nothing may come on them for as long as a request lasts: the reset that a
-crash sends is lost where the path was cut. So a later start ends them
-(``end_earlier``), and requests on them end as with any connection that
-breaks.
-
-Not all connections that were opened in the name of the earlier start belong
-to it. Hosts hear of a restart late, while the store is away by many seconds,
-and meanwhile send to the new process by the old registration. Such a request
-is where it should be; cutting it would fail its caller for nothing. A
-connection belongs to the process that was running when it was made, so those
-made after the birth of the later start are left to finish.
+A runner may restart under its id, at its old address or at another one.
+Connections of the earlier start then lead to a process that is gone, and may
+stay silent for as long as a request lasts: the reset that a crash sends is
+lost if the network path was cut. So a later start closes them
+(``retire_earlier``), and requests on them end as on any broken connection.
+
+Not all connections that were opened for the earlier start lead to it. Hosts
+learn of a restart late, by many seconds during an outage of the store, and
+meanwhile send requests to the new process by the old registration. Such a
+request has reached the right process, and cutting it would fail its caller
+without need. A connection belongs to the process that was running when it was
+made, so those made after the birth of the later start are left to finish.
 """
 
 import dataclasses
@@ -34,8 +33,8 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Leaving:
-    """A client that gets no more requests, and may have some on the way."""
+class _Retired:
+    """A client that accepts no more requests; some may be in progress."""
 
     start: ids.RunnerStart
     client: runnerclient.RunnerClient
@@ -48,12 +47,12 @@
     def __init__(self) -> None:
         """Start without connections."""
         self._clients: dict[_Endpoint, runnerclient.RunnerClient] = {}
-        self._leaving: list[_Leaving] = []
-        # Connections that were made by clients that were let go.
-        self._past_connects = 0
-        # Starts that ended earlier ones, whose connections are to be closed.
-        self._later: list[ids.RunnerStart] = []
-        self._has_later = anyio.Event()
+        self._retired: list[_Retired] = []
+        # Connections opened by clients that were retired.
+        self._retired_connects = 0
+        # New starts, the connections of whose earlier starts are to be closed.
+        self._new_starts: list[ids.RunnerStart] = []
+        self._has_new_starts = anyio.Event()
 
     def find(self, entry: dialect.RunnerEntry) -> runnerclient.RunnerClient:
         """Return the client for a registered start."""
@@ -65,84 +64,85 @@
         return client
 
     def count_connects(self) -> float:
-        """Return the connections made to runners since the start."""
-        return self._past_connects + sum(
+        """Return the number of connections opened to runners so far."""
+        return self._retired_connects + sum(
             client.connects for client in self._clients.values()
         )
 
-    def end_earlier(
+    def retire_earlier(
         self, later: ids.RunnerStart
     ) -> dict[ids.RunnerStart, int]:
-        """Say that a start of a runner has ended all earlier ones.
+        """Retire the clients of all starts before this one.
 
-        Nothing is sent to them from here on; ``run`` closes what they have.
-        Returns, by earlier start, the requests that the later one has.
+        Nothing more is sent to them; ``run`` closes their connections.
+        Returns, by earlier start, the number of requests that reached the
+        later one.
         """
         birth = ids.read_birth(later)
         if birth is None:
             return {}
         for endpoint in list(self._clients):
             if ids.has_run_before(endpoint[0], later):
-                self._let_go(endpoint)
-        kept: dict[ids.RunnerStart, int] = {}
-        for leaving in self._leaving:
-            if not ids.has_run_before(leaving.start, later):
+                self._retire(endpoint)
+        counts: dict[ids.RunnerStart, int] = {}
+        for retired in self._retired:
+            if not ids.has_run_before(retired.start, later):
                 continue
-            count = leaving.client.count_made_since(birth / 1000)
-            kept[leaving.start] = kept.get(leaving.start, 0) + count
-        self._later.append(later)
-        self._has_later.set()
-        return kept
+            count = retired.client.count_made_since(birth / 1000)
+            counts[retired.start] = counts.get(retired.start, 0) + count
+        self._new_starts.append(later)
+        self._has_new_starts.set()
+        return counts
 
     async def run(self) -> None:
-        """Close connections of starts that end, for as long as it runs."""
+        """Close the connections of earlier starts until cancelled."""
         while True:
-            await self._has_later.wait()
-            self._has_later = anyio.Event()
-            while self._later:
-                await self._close_earlier(self._later.pop())
+            await self._has_new_starts.wait()
+            self._has_new_starts = anyio.Event()
+            while self._new_starts:
+                await self._close_earlier(self._new_starts.pop())
 
-    async def tidy(
+    async def prune(
         self, entries: list[dialect.RunnerEntry], now: float
     ) -> None:
-        """Close idle connections, and let go of runners that are gone."""
+        """Close expired connections, and retire clients of past runners."""
         known = {(entry.start, entry.address) for entry in entries}
         for endpoint, client in list(self._clients.items()):
             await client.close_expired(now)
             if endpoint not in known and endpoint in self._clients:
-                self._let_go(endpoint)
-        for leaving in self._leaving:
-            await leaving.client.close()
-        # Kept while they are used: the end of the start may yet be told.
-        self._leaving = [
-            leaving for leaving in self._leaving if leaving.client.is_used()
+                self._retire(endpoint)
+        for retired in self._retired:
+            await retired.client.close()
+        # Kept while busy: a later start of the runner may still be reported.
+        self._retired = [
+            retired for retired in self._retired if retired.client.is_busy()
         ]
 
     async def close(self) -> None:
         """Close all idle connections."""
-        # A list, for a request in progress may still add a client.
+        # A copy, because a request in progress may still add a client.
         for client in list(self._clients.values()):
             await client.close()
 
-    def _let_go(self, endpoint: _Endpoint) -> None:
+    def _retire(self, endpoint: _Endpoint) -> None:
         client = self._clients.pop(endpoint)
         client.stop()
-        self._past_connects += client.connects
-        self._leaving.append(_Leaving(endpoint[0], client))
+        self._retired_connects += client.connects
+        self._retired.append(_Retired(endpoint[0], client))
 
     async def _close_earlier(self, later: ids.RunnerStart) -> None:
         birth = ids.read_birth(later)
         if birth is None:
             return
-        for leaving in list(self._leaving):
-            if not ids.has_run_before(leaving.start, later):
+        for retired in list(self._retired):
+            if not ids.has_run_before(retired.start, later):
                 continue
-            await leaving.client.close()
-            cut = await leaving.client.close_made_before(birth / 1000)
+            await retired.client.close()
+            cut = await retired.client.close_made_before(birth / 1000)
             eliot.log_message(
                 'gateway:runner_restarted',
                 runner=ids.find_runner(later),
                 born=birth,
-                born_before=ids.read_birth(leaving.start),
+                born_before=ids.read_birth(retired.start),
                 cut_requests=cut,
             )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/observations.py
@@ -1,8 +1,8 @@
-"""What a host sees of a runner, as one type that hosts also report.
+"""Observations of runners, which hosts make and report to each other.
 
-A host that sends a runner one request a minute learns little of it. So each
-observation counts at the host that made it, and is reported to the host that
-schedules the runner, where those of all hosts come together.
+A host that sends a runner one request a minute learns little about it. So
+each observation counts at the host that made it and is also reported to the
+host that schedules the runner, which combines those of all hosts.
 """
 
 import collections.abc
@@ -11,38 +11,38 @@
 
 from apricotlanding import ids
 from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import latency
 
 __all__ = ['Kind', 'Observation', 'apply']
 
 
 class Kind(enum.Enum):
-    """What was seen."""
+    """What was observed."""
 
-    # Seconds to the first event of a prompt with so many tokens.
+    # Seconds to the first event; the amount is the prompt's tokens.
     FIRST = 1
-    # Seconds from the first event to the last, of so many events.
+    # Seconds from the first event to the last; the amount is the events.
     REST = 2
-    # An answer as it should be.
+    # A valid answer.
     SUCCESS = 3
-    # An error, a broken answer or none.
+    # An error, a malformed answer or a missing one.
     FAILURE = 4
-    # A connection that could not be made.
+    # A failed connection attempt.
     UNREACHABLE = 5
-    # Another runner has its address.
+    # Another runner answers at its address.
     GONE = 6
-    # Seconds for which a request that ended well held its place.
+    # Seconds for which a request that succeeded occupied its slot.
     HOLD = 7
 
 
 class Observation(ty.NamedTuple):
-    """One thing that was seen of a runner."""
+    """One observation of a runner."""
 
     kind: Kind
     # Tokens or events.
     amount: int = 0
     seconds: float = 0.0
-    # Last part of the prompt that the runner has read.
+    # Digest of the last part of the prompt that the runner has processed.
     part: str = ''
 
 
@@ -51,7 +51,7 @@
         Observation,
         ids.Pool,
         ids.RunnerStart,
-        pace.Paces,
+        latency.LatencyEstimates,
         health.Health,
         float,
     ],
@@ -61,94 +61,100 @@
 
 
 def apply(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
-    fitness: health.Health,
+    latencies: latency.LatencyEstimates,
+    runner_health: health.Health,
     now: float,
 ) -> None:
-    """Learn from what was seen of a runner of a service."""
-    applier = _appliers.get(seen.kind)
+    """Learn from an observation of a runner of a service."""
+    applier = _appliers.get(observation.kind)
     if applier is not None:
-        applier(seen, service, start, paces, fitness, now)
+        applier(observation, service, start, latencies, runner_health, now)
 
 
-def _applies(kind: Kind) -> collections.abc.Callable[[_Applier], _Applier]:
-    def file_applier(applier: _Applier) -> _Applier:
+def _register_applier(
+    kind: Kind,
+) -> collections.abc.Callable[[_Applier], _Applier]:
+    def add_applier(applier: _Applier) -> _Applier:
         _appliers[kind] = applier
         return applier
 
-    return file_applier
+    return add_applier
 
 
-@_applies(Kind.FIRST)
+@_register_applier(Kind.FIRST)
 def _apply_first(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
-    fitness: health.Health,
+    latencies: latency.LatencyEstimates,
+    runner_health: health.Health,
     now: float,
 ) -> None:
-    paces.note_first(service, start, seen.amount, seen.seconds)
+    latencies.note_first_event(
+        service, start, observation.amount, observation.seconds
+    )
 
 
-@_applies(Kind.REST)
+@_register_applier(Kind.REST)
 def _apply_rest(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
-    fitness: health.Health,
+    latencies: latency.LatencyEstimates,
+    runner_health: health.Health,
     now: float,
 ) -> None:
-    paces.note_rest(service, start, seen.amount, seen.seconds)
+    latencies.note_later_events(
+        service, start, observation.amount, observation.seconds
+    )
 
 
-@_applies(Kind.SUCCESS)
+@_register_applier(Kind.SUCCESS)
 def _apply_success(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
-    fitness: health.Health,
+    latencies: latency.LatencyEstimates,
+    runner_health: health.Health,
     now: float,
 ) -> None:
-    fitness.note_success(start)
+    runner_health.note_success(start)
 
 
-@_applies(Kind.FAILURE)
+@_register_applier(Kind.FAILURE)
 def _apply_failure(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
-    fitness: health.Health,
+    latencies: latency.LatencyEstimates,
+    runner_health: health.Health,
     now: float,
 ) -> None:
-    fitness.note_failure(start, now)
+    runner_health.note_failure(start, now)
 
 
-@_applies(Kind.UNREACHABLE)
+@_register_applier(Kind.UNREACHABLE)
 def _apply_unreachable(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
-    fitness: health.Health,
+    latencies: latency.LatencyEstimates,
+    runner_health: health.Health,
     now: float,
 ) -> None:
-    fitness.note_unreachable(start, now)
+    runner_health.note_unreachable(start, now)
 
 
-@_applies(Kind.GONE)
+@_register_applier(Kind.GONE)
 def _apply_gone(
-    seen: Observation,
+    observation: Observation,
     service: ids.Pool,
     start: ids.RunnerStart,
-    paces: pace.Paces,
-    fitness: health.Health,
+    latencies: latency.LatencyEstimates,
+    runner_health: health.Health,
     now: float,
 ) -> None:
-    fitness.note_gone(start)
+    runner_health.note_gone(start)
--- a/tests/placesimulation.py
+++ b/tests/placesimulation.py
@@ -25,8 +25,8 @@
 from apricotlandingd.gateway.hosts import placemessages
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import gatewayparts
 
 __all__ = ['Load', 'Outcome', 'Simulation']
@@ -202,12 +202,12 @@
         name = ids.Host(f'host-{number}')
         address = addresses.Address('127.0.0.1', 1000 + number)
         process = ids.Incarnation(f'{name}/1')
-        paces, fitness = pace.Paces(), health.Health()
-        local = self.make_scheduler(paces, fitness)
+        latencies, fitness = latency.LatencyEstimates(), health.Health()
+        local = self.make_scheduler(latencies, fitness)
         own = coordinator.Coordinator(
             name,
             self.known,
-            paces,
+            latencies,
             fitness,
             self.rng,
             lambda: False,
@@ -222,7 +222,7 @@
             local,
             own,
             self.known,
-            paces,
+            latencies,
             fitness,
             hosts,
             candidates.Candidates(name, hosts),
@@ -232,14 +232,14 @@
 
     def make_scheduler(
         self,
-        paces: pace.Paces | None = None,
+        latencies: latency.LatencyEstimates | None = None,
         fitness: health.Health | None = None,
     ) -> scheduler.Scheduler:
         """Return the scheduler of a host that reaches no coordinator."""
         count = max(1, round(self.load.hosts / PARTITION_HOSTS))
         return scheduler.Scheduler(
             self.known,
-            paces or pace.Paces(),
+            latencies or latency.LatencyEstimates(),
             fitness or health.Health(),
             _NoPeers(count),
             self.rng,
--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -33,8 +33,8 @@
 from apricotlandingd.gateway.requests import streams
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import fuzzing
 import gatewayparts
 import placesimulation
@@ -217,7 +217,7 @@
         found = coordinator.Coordinator(
             ids.Host('host-1'),
             self.make_runners(),
-            pace.Paces(),
+            latency.LatencyEstimates(),
             health.Health(),
             random.Random(1),
             lambda: False,
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -20,7 +20,7 @@
 from apricotlandingd.gateway.requests import streams
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import latency
 from apricotstandins import processes
 import gatewayparts
 
@@ -56,10 +56,10 @@
         for name in ('r1', 'r2'):
             self.runners.update(gatewayparts.make_entry(name))
         self.health = health.Health()
-        self.paces = pace.Paces()
+        self.latencies = latency.LatencyEstimates()
         self.scheduler = scheduler.Scheduler(
             self.runners,
-            self.paces,
+            self.latencies,
             self.health,
             self.others,
             random.Random(1),
@@ -223,10 +223,10 @@
 
     def test_faster_runner_is_taken_first(self) -> None:
         for _ in range(5):
-            self.paces.note_first(
+            self.latencies.note_first_event(
                 gatewayparts.POOL, gatewayparts.make_start('r1'), 100, 0.5
             )
-            self.paces.note_first(
+            self.latencies.note_first_event(
                 gatewayparts.POOL, gatewayparts.make_start('r2'), 100, 0.05
             )
         grant = self.enter(0.0).decision
@@ -428,15 +428,15 @@
         # registration remains for a while.
         runner = gatewayparts.make_start('r1')
         self.health.note_unreachable(runner, 0.0)
-        self.assertTrue(self.health.is_closed(runner, 0.4))
-        self.assertFalse(self.health.is_closed(runner, 0.6))
+        self.assertTrue(self.health.is_unreachable(runner, 0.4))
+        self.assertFalse(self.health.is_unreachable(runner, 0.6))
         self.health.note_unreachable(runner, 0.6)
-        self.assertTrue(self.health.is_closed(runner, 1.5))
+        self.assertTrue(self.health.is_unreachable(runner, 1.5))
 
     def test_runner_that_was_replaced_stays_closed(self) -> None:
         self.health.note_gone(gatewayparts.make_start('r1'))
         self.assertTrue(
-            self.health.is_closed(gatewayparts.make_start('r1'), 99.0)
+            self.health.is_unreachable(gatewayparts.make_start('r1'), 99.0)
         )
 
     def test_nobody_is_avoided_if_all_fail_alike(self) -> None:
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -20,7 +20,7 @@
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import latency
 import gatewayparts
 import test_foreign_messages
 
@@ -238,7 +238,7 @@
         bounds = dict.fromkeys(records.TOPICS, 1.0)
         schedule = scheduler.Scheduler(
             directory.Directory(2.0),
-            pace.Paces(),
+            latency.LatencyEstimates(),
             health.Health(),
             others,
             random.Random(1),
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -15,8 +15,8 @@
 from apricotlandingd.gateway.hosts import placemessages
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import gatewayparts
 import placesimulation
 
@@ -171,11 +171,11 @@
         entry = gatewayparts.make_entry('i-1')
         known.update(entry)
         self.runner = entry.start
-        self.paces = pace.Paces()
+        self.latencies = latency.LatencyEstimates()
         self.coordinator = coordinator.Coordinator(
             ids.Host('host-1'),
             known,
-            self.paces,
+            self.latencies,
             self.health,
             random.Random(1),
             lambda: False,
@@ -209,18 +209,18 @@
         # Guards against a host whose link is down, and closes runners for all.
         for number in range(5):
             self.report('host-2', observations.Kind.UNREACHABLE, number * 0.1)
-        self.assertFalse(self.health.is_closed(self.runner, 0.5))
+        self.assertFalse(self.health.is_unreachable(self.runner, 0.5))
 
     def test_runner_that_two_hosts_cannot_reach_is_closed(self) -> None:
         self.report('host-2', observations.Kind.UNREACHABLE, 0.0)
         self.report('host-3', observations.Kind.UNREACHABLE, 0.1)
-        self.assertTrue(self.health.is_closed(self.runner, 0.2))
+        self.assertTrue(self.health.is_unreachable(self.runner, 0.2))
 
     def test_speed_is_learned_from_all_hosts(self) -> None:
         for number in range(6):
             self.report(f'host-{number + 2}', observations.Kind.FIRST, 0.0)
-        found = self.paces.find(gatewayparts.POOL, self.runner)
-        self.assertGreater(found.start_s, 2.0)
+        found = self.latencies.find(gatewayparts.POOL, self.runner)
+        self.assertGreater(found.base_s, 2.0)
 
 
 class TestHolds(testtools.TestCase):
