--- a/packages/apricotlanding/src/apricotlanding/errors.py
+++ b/packages/apricotlanding/src/apricotlanding/errors.py
@@ -21,7 +21,7 @@
     'Problem',
     'Refused',
     'make_problem',
-    'weaken',
+    'mark_outcome_unknown',
 ]
 
 
@@ -458,7 +458,7 @@
     )
 
 
-def weaken(problem: Problem) -> Problem:
+def mark_outcome_unknown(problem: Problem) -> Problem:
     """Return a problem that does not say that the request was not run.
 
     For refusals of at-most-once work before its claim owner was heard: this
--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -103,7 +103,7 @@
         config = self.find_bundle()
         if config is None:
             # Nobody here knows the route, nor what became of the key.
-            return errors.weaken(
+            return errors.mark_outcome_unknown(
                 errors.make_problem(errors.Kind.NO_BUNDLE, 1.0)
             )
         if scope['method'] != 'POST':
@@ -208,7 +208,7 @@
     head: admission.Head, problem: errors.Problem
 ) -> errors.Problem:
     if head.route.repeat is bundle.Repeat.AT_MOST_ONCE:
-        return errors.weaken(problem)
+        return errors.mark_outcome_unknown(problem)
     return problem
 
 
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -224,7 +224,7 @@
             eliot.write_traceback()
             problem = self._describe_fault(run, error)
         if problem is not None and run.may_have_run:
-            problem = errors.weaken(problem)
+            problem = errors.mark_outcome_unknown(problem)
         self._finish(run, problem)
         span.set_attribute('outcome', _name_outcome(problem))
         span.end()
