--- a/packages/apricotlanding/src/apricotlanding/retrybudget.py
+++ b/packages/apricotlanding/src/apricotlanding/retrybudget.py
@@ -38,7 +38,7 @@
         self._slack = slack
         self._window = window_s
 
-    def note_request(self, pool: ids.Pool, now: float) -> None:
+    def record_request(self, pool: ids.Pool, now: float) -> None:
         """Count a request of a caller."""
         self._file(self._requests, pool, now)
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -111,7 +111,7 @@
         limit = min(self.given_s, self.route.timeout_s)
         self.limit_at = self.arrived_at + limit
         self._parts.habits.note_given(self.route.name, self.given_s)
-        self._parts.retry_budget.note_request(self.service, now)
+        self._parts.retry_budget.record_request(self.service, now)
 
     async def _take_units(self, now: float) -> errors.Problem | None:
         holder = self.organisation
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -356,7 +356,7 @@
     async def _dispatch(
         self, run: Run, ticket: poolclient.Ticket
     ) -> errors.Problem | None:
-        self._budget.note_request(ticket.pool, clocks.read_monotonic())
+        self._budget.record_request(ticket.pool, clocks.read_monotonic())
         while True:
             run.state = RunState.WAITING
             with self._start_span('schedule', run):
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -460,7 +460,7 @@
 
     def test_share_of_the_requests_is_added(self) -> None:
         for _ in range(100):
-            self.budget.note_request(gatewayparts.POOL, 0.0)
+            self.budget.record_request(gatewayparts.POOL, 0.0)
         taken = sum(
             self.budget.take(gatewayparts.POOL, 1, 0.0) for _ in range(100)
         )
