--- a/packages/apricotlanding/src/apricotlanding/retrybudget.py
+++ b/packages/apricotlanding/src/apricotlanding/retrybudget.py
@@ -19,7 +19,7 @@
 
 # Part of the budget that is used. The rest covers a host that restarts and
 # forgets what it sent in the window, and hosts not yet known here.
-USED_PART = 0.8
+USABLE_SHARE = 0.8
 
 
 @ty.final
@@ -50,7 +50,7 @@
         requests = self._count(self._requests, pool, now)
         retries = self._count(self._retries, pool, now)
         allowed = self._share * requests + self._slack / max(1, hosts)
-        if retries + 1 > allowed * USED_PART:
+        if retries + 1 > allowed * USABLE_SHARE:
             return False
         self._file(self._retries, pool, now)
         return True
