--- a/packages/apricotlanding/src/apricotlanding/shutdown.py
+++ b/packages/apricotlanding/src/apricotlanding/shutdown.py
@@ -24,7 +24,7 @@
 NOTICE_S = 2.5
 # Part of the grace that the notice may use where the grace is short. The rest
 # is for what is in progress.
-NOTICE_PART = 2 / 3
+NOTICE_SHARE = 2 / 3
 # Part of the grace after which requests in progress are given up. What their
 # callers are told then needs the rest to leave.
 GIVE_UP_PART = 0.9
@@ -58,7 +58,7 @@
 
 def make_plan(grace_s: float, now: float) -> Plan:
     """Return the times of a stop asked for now, with a grace in seconds."""
-    notice_s = min(NOTICE_S, grace_s * NOTICE_PART)
+    notice_s = min(NOTICE_S, grace_s * NOTICE_SHARE)
     return Plan(
         close_at=now + notice_s,
         give_up_at=now + grace_s * GIVE_UP_PART,
