--- a/packages/apricotlanding/src/apricotlanding/shutdown.py
+++ b/packages/apricotlanding/src/apricotlanding/shutdown.py
@@ -27,7 +27,7 @@
 NOTICE_SHARE = 2 / 3
 # Part of the grace after which requests in progress are given up. What their
 # callers are told then needs the rest to leave.
-GIVE_UP_PART = 0.9
+ABORT_SHARE = 0.9
 # Part of the grace after which the process ends although connections are
 # open: the kill that follows would end them without a line in the log.
 END_PART = 0.95
@@ -61,7 +61,7 @@
     notice_s = min(NOTICE_S, grace_s * NOTICE_SHARE)
     return Plan(
         close_at=now + notice_s,
-        give_up_at=now + grace_s * GIVE_UP_PART,
+        give_up_at=now + grace_s * ABORT_SHARE,
         end_at=now + grace_s * END_PART,
     )
 
