--- a/packages/apricotlanding/src/apricotlanding/shutdown.py
+++ b/packages/apricotlanding/src/apricotlanding/shutdown.py
@@ -30,7 +30,7 @@
 ABORT_SHARE = 0.9
 # Part of the grace after which the process ends although connections are
 # open: the kill that follows would end them without a line in the log.
-END_PART = 0.95
+EXIT_SHARE = 0.95
 
 
 @ty.final
@@ -62,7 +62,7 @@
     return Plan(
         close_at=now + notice_s,
         give_up_at=now + grace_s * ABORT_SHARE,
-        end_at=now + grace_s * END_PART,
+        end_at=now + grace_s * EXIT_SHARE,
     )
 
 
