--- a/packages/apricotlanding/src/apricotlanding/shutdown.py
+++ b/packages/apricotlanding/src/apricotlanding/shutdown.py
@@ -41,7 +41,7 @@
     # The listener closes.
     close_at: float
     # Requests in progress are given up.
-    give_up_at: float
+    abort_at: float
     # The process ends with what is open.
     end_at: float
 
@@ -61,7 +61,7 @@
     notice_s = min(NOTICE_S, grace_s * NOTICE_SHARE)
     return Plan(
         close_at=now + notice_s,
-        give_up_at=now + grace_s * ABORT_SHARE,
+        abort_at=now + grace_s * ABORT_SHARE,
         end_at=now + grace_s * EXIT_SHARE,
     )
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -666,7 +666,7 @@
         self._log_stop('gateway:stopping')
         await anyio.sleep(plan.close_at - clocks.read_monotonic())
         self._log_stop('gateway:listener_closing')
-        left_s = plan.give_up_at - clocks.read_monotonic()
+        left_s = plan.abort_at - clocks.read_monotonic()
         if not await shutdown.finish(self._server, left_s):
             self._log_stop('gateway:grace_over')
             self._listener.end_requests()
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -42,7 +42,7 @@
     ) -> None:
         for grace_s in (0.5, 1.0, 2.0, 4.0, 8.0, 60.0):
             plan = shutdown.make_plan(grace_s, now=100.0)
-            left_s = plan.end_at - plan.give_up_at
+            left_s = plan.end_at - plan.abort_at
             self.assertTrue(left_s >= grace_s / 25, left_s)
 
     def test_short_grace_leaves_time_for_what_is_in_progress(self) -> None:
@@ -50,7 +50,7 @@
         # killed with its listener open and requests in progress.
         for grace_s in (0.5, 1.0, 2.0):
             plan = shutdown.make_plan(grace_s, now=100.0)
-            left_s = plan.give_up_at - plan.close_at
+            left_s = plan.abort_at - plan.close_at
             self.assertTrue(left_s >= grace_s / 5, left_s)
 
     def test_end_waits_for_the_last_connection(self) -> None:
