--- a/packages/apricotlanding/src/apricotlanding/shutdown.py
+++ b/packages/apricotlanding/src/apricotlanding/shutdown.py
@@ -43,7 +43,7 @@
     # Requests in progress are given up.
     abort_at: float
     # The process ends with what is open.
-    end_at: float
+    exit_at: float
 
 
 class Intake(ty.Protocol):
@@ -62,7 +62,7 @@
     return Plan(
         close_at=now + notice_s,
         abort_at=now + grace_s * ABORT_SHARE,
-        end_at=now + grace_s * EXIT_SHARE,
+        exit_at=now + grace_s * EXIT_SHARE,
     )
 
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -670,7 +670,7 @@
         if not await shutdown.finish(self._server, left_s):
             self._log_stop('gateway:grace_over')
             self._listener.end_requests()
-            left_s = plan.end_at - clocks.read_monotonic()
+            left_s = plan.exit_at - clocks.read_monotonic()
             await shutdown.finish(self._server, left_s)
         self._log_stop('gateway:drained')
 
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -35,14 +35,14 @@
         # SIGKILL in the middle of an answer leaves no log line.
         for grace_s in (0.5, 1.0, 2.0, 4.0, 8.0, 60.0):
             plan = shutdown.make_plan(grace_s, now=100.0)
-            self.assertTrue(plan.end_at < 100.0 + grace_s)
+            self.assertTrue(plan.exit_at < 100.0 + grace_s)
 
     def test_answers_have_time_to_leave_when_requests_are_given_up(
         self,
     ) -> None:
         for grace_s in (0.5, 1.0, 2.0, 4.0, 8.0, 60.0):
             plan = shutdown.make_plan(grace_s, now=100.0)
-            left_s = plan.end_at - plan.abort_at
+            left_s = plan.exit_at - plan.abort_at
             self.assertTrue(left_s >= grace_s / 25, left_s)
 
     def test_short_grace_leaves_time_for_what_is_in_progress(self) -> None:
