--- a/packages/apricotlanding/src/apricotlanding/shutdown.py
+++ b/packages/apricotlanding/src/apricotlanding/shutdown.py
@@ -17,7 +17,7 @@
 
 import anyio
 
-__all__ = ['Listener', 'Plan', 'finish', 'make_plan']
+__all__ = ['Listener', 'Plan', 'close_listener', 'make_plan']
 
 # Seconds after the signal in which new connections may still arrive: the
 # balancer asks once a second and acts on the second answer.
@@ -66,7 +66,7 @@
     )
 
 
-async def finish(intake: Listener, left_s: float) -> bool:
+async def close_listener(intake: Listener, left_s: float) -> bool:
     """Close an intake; False if connections are left after so many seconds."""
     intake.stop()
     with anyio.move_on_after(left_s) as limit:
--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -338,7 +338,7 @@
         # Nothing is in progress; what callers have not read yet still leaves.
         async with anyio.create_task_group() as group:
             for listener in (self._callers, self._operators):
-                group.start_soon(shutdown.finish, listener, LAST_WORDS)
+                group.start_soon(shutdown.close_listener, listener, LAST_WORDS)
         eliot.log_message('daemon:stopped')
 
     async def _hand_over(self) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -667,11 +667,11 @@
         await anyio.sleep(plan.close_at - clocks.read_monotonic())
         self._log_stop('gateway:listener_closing')
         left_s = plan.abort_at - clocks.read_monotonic()
-        if not await shutdown.finish(self._server, left_s):
+        if not await shutdown.close_listener(self._server, left_s):
             self._log_stop('gateway:grace_over')
             self._listener.end_requests()
             left_s = plan.exit_at - clocks.read_monotonic()
-            await shutdown.finish(self._server, left_s)
+            await shutdown.close_listener(self._server, left_s)
         self._log_stop('gateway:drained')
 
     def _log_stop(self, kind: str) -> None:
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -58,7 +58,9 @@
             intake = FakeIntake()
             async with anyio.create_task_group() as group:
                 group.start_soon(end_later, intake)
-                self.assertTrue(await shutdown.finish(intake, left_s=5.0))
+                self.assertTrue(
+                    await shutdown.close_listener(intake, left_s=5.0)
+                )
             self.assertTrue(intake.is_stopped)
 
         async def end_later(intake: FakeIntake) -> None:
@@ -70,7 +72,9 @@
     def test_shutdown_ends_although_a_caller_never_reads(self) -> None:
         async def run_scenario() -> None:
             with anyio.fail_after(2.0):
-                self.assertFalse(await shutdown.finish(FakeIntake(), 0.05))
+                self.assertFalse(
+                    await shutdown.close_listener(FakeIntake(), 0.05)
+                )
 
         anyio.run(run_scenario)
 
@@ -79,7 +83,7 @@
         async def run_scenario() -> None:
             intake = FakeIntake()
             with anyio.fail_after(2.0):
-                self.assertFalse(await shutdown.finish(intake, -1.0))
+                self.assertFalse(await shutdown.close_listener(intake, -1.0))
             self.assertTrue(intake.is_stopped)
 
         anyio.run(run_scenario)
--- a/tests/test_listener_end.py
+++ b/tests/test_listener_end.py
@@ -66,7 +66,7 @@
         # was complete for the program, which waited half a second more and
         # ended; the rest of it still waited for the caller to read.
         async def scene(server: asgi.Server, caller: socket.socket) -> None:
-            self.assertFalse(await shutdown.finish(server, 0.8))
+            self.assertFalse(await shutdown.close_listener(server, 0.8))
             self.assertNotEqual(0, server.count_unsent())
             received = await anyio.to_thread.run_sync(systems.read_all, caller)
             await server.wait_ended()
@@ -78,6 +78,6 @@
         # One stuck caller must not keep a host from being replaced.
         async def scene(server: asgi.Server, caller: socket.socket) -> None:
             with anyio.fail_after(2.0):
-                self.assertFalse(await shutdown.finish(server, 0.3))
+                self.assertFalse(await shutdown.close_listener(server, 0.3))
 
         self.play(scene)
