--- a/packages/apricotlanding/src/apricotlanding/asgi.py
+++ b/packages/apricotlanding/src/apricotlanding/asgi.py
@@ -255,7 +255,7 @@
         """Close the listener and what is idle; answers under way go on."""
         self._server.should_exit = True
 
-    async def wait_ended(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until ``stop`` was called and no connection is left.
 
         A connection is gone when the socket has taken all that was sent.
--- a/packages/apricotlanding/src/apricotlanding/shutdown.py
+++ b/packages/apricotlanding/src/apricotlanding/shutdown.py
@@ -52,7 +52,7 @@
     def stop(self) -> None:
         """Take nothing new, and close what is idle."""
 
-    async def wait_ended(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until no connection is left."""
 
 
@@ -70,5 +70,5 @@
     """Close an intake; False if connections are left after so many seconds."""
     intake.stop()
     with anyio.move_on_after(left_s) as limit:
-        await intake.wait_ended()
+        await intake.wait_closed()
     return not limit.cancelled_caught
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -17,7 +17,7 @@
     def stop(self) -> None:
         self.is_stopped = True
 
-    async def wait_ended(self) -> None:
+    async def wait_closed(self) -> None:
         await self.ended.wait()
 
 
--- a/tests/test_listener_end.py
+++ b/tests/test_listener_end.py
@@ -69,7 +69,7 @@
             self.assertFalse(await shutdown.close_listener(server, 0.8))
             self.assertNotEqual(0, server.count_unsent())
             received = await anyio.to_thread.run_sync(systems.read_all, caller)
-            await server.wait_ended()
+            await server.wait_closed()
             self.assertTrue(received.endswith(BODY))
 
         self.play(scene)
