--- a/packages/apricotlanding/src/apricotlanding/sockets.py
+++ b/packages/apricotlanding/src/apricotlanding/sockets.py
@@ -10,7 +10,7 @@
 import socket
 import typing as ty
 
-__all__ = ['WATCH_OPTIONS', 'watch_socket']
+__all__ = ['WATCH_OPTIONS', 'enable_keepalive']
 
 # Seconds of silence before the first probe, and between probes; probes
 # without an answer until the connection breaks. Together about three
@@ -30,7 +30,7 @@
 ]
 
 
-def watch_socket(connected: socket.socket) -> None:
+def enable_keepalive(connected: socket.socket) -> None:
     """Set the options on a connected TCP socket."""
     for level, option, value in WATCH_OPTIONS:
         connected.setsockopt(level, option, value)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -90,7 +90,7 @@
         async with await anyio.connect_tcp(
             address.host, address.port
         ) as stream:
-            sockets.watch_socket(
+            sockets.enable_keepalive(
                 stream.extra(anyio.abc.SocketAttribute.raw_socket)
             )
             link = frames.FrameStream(stream)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclient.py
@@ -209,7 +209,7 @@
                 stream = await anyio.connect_tcp(
                     self._address.host, self._address.port
                 )
-            sockets.watch_socket(
+            sockets.enable_keepalive(
                 stream.extra(anyio.abc.SocketAttribute.raw_socket)
             )
         except (OSError, TimeoutError) as error:
