--- a/packages/apricotlanding/src/apricotlanding/sockets.py
+++ b/packages/apricotlanding/src/apricotlanding/sockets.py
@@ -10,7 +10,7 @@
 import socket
 import typing as ty
 
-__all__ = ['WATCH_OPTIONS', 'enable_keepalive']
+__all__ = ['KEEPALIVE_OPTIONS', 'enable_keepalive']
 
 # Seconds of silence before the first probe, and between probes; probes
 # without an answer until the connection breaks. Together about three
@@ -21,7 +21,7 @@
 # Milliseconds for which sent data may stay unacknowledged.
 UNACKED_MS = 2500
 
-WATCH_OPTIONS: ty.Final[list[tuple[int, int, int]]] = [
+KEEPALIVE_OPTIONS: ty.Final[list[tuple[int, int, int]]] = [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL),
@@ -32,5 +32,5 @@
 
 def enable_keepalive(connected: socket.socket) -> None:
     """Set the options on a connected TCP socket."""
-    for level, option, value in WATCH_OPTIONS:
+    for level, option, value in KEEPALIVE_OPTIONS:
         connected.setsockopt(level, option, value)
--- a/packages/apricotlanding/src/apricotlanding/webclient.py
+++ b/packages/apricotlanding/src/apricotlanding/webclient.py
@@ -109,7 +109,7 @@
             # a request on a connection that the other side has just closed
             # would be Broken although it was never read.
             keepalive_expiry=2.0,
-            socket_options=sockets.WATCH_OPTIONS if is_watched else None,
+            socket_options=sockets.KEEPALIVE_OPTIONS if is_watched else None,
         )
 
     @contextlib.asynccontextmanager
