--- a/packages/apricotlanding/src/apricotlanding/sockets.py
+++ b/packages/apricotlanding/src/apricotlanding/sockets.py
@@ -15,7 +15,7 @@
 # Seconds of silence before the first probe, and between probes; probes
 # without an answer until the connection breaks. Together about three
 # seconds: a lossy link loses one probe now and then, not three in a row.
-PROBE_AFTER = 1
+KEEPALIVE_IDLE_S = 1
 PROBE_INTERVAL = 1
 PROBES = 2
 # Milliseconds for which sent data may stay unacknowledged.
@@ -23,7 +23,7 @@
 
 KEEPALIVE_OPTIONS: ty.Final[list[tuple[int, int, int]]] = [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS),
