--- a/packages/apricotlanding/src/apricotlanding/sockets.py
+++ b/packages/apricotlanding/src/apricotlanding/sockets.py
@@ -16,7 +16,7 @@
 # without an answer until the connection breaks. Together about three
 # seconds: a lossy link loses one probe now and then, not three in a row.
 KEEPALIVE_IDLE_S = 1
-PROBE_INTERVAL = 1
+KEEPALIVE_INTERVAL_S = 1
 PROBES = 2
 # Milliseconds for which sent data may stay unacknowledged.
 UNACKED_MS = 2500
@@ -24,7 +24,7 @@
 KEEPALIVE_OPTIONS: ty.Final[list[tuple[int, int, int]]] = [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS),
 ]
