--- a/packages/apricotlanding/src/apricotlanding/sockets.py
+++ b/packages/apricotlanding/src/apricotlanding/sockets.py
@@ -17,7 +17,7 @@
 # seconds: a lossy link loses one probe now and then, not three in a row.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
-PROBES = 2
+KEEPALIVE_PROBES = 2
 # Milliseconds for which sent data may stay unacknowledged.
 UNACKED_MS = 2500
 
@@ -25,7 +25,7 @@
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS),
 ]
 
