--- a/packages/apricotlanding/src/apricotlanding/webclient.py
+++ b/packages/apricotlanding/src/apricotlanding/webclient.py
@@ -91,7 +91,7 @@
         address: addresses.Address,
         max_connections: int = 1000,
         read_timeout: float = 30.0,
-        is_watched: bool = False,
+        has_tcp_keepalive: bool = False,
     ) -> None:
         """Prepare a pool; no connection is made yet.
 
@@ -109,7 +109,9 @@
             # a request on a connection that the other side has just closed
             # would be Broken although it was never read.
             keepalive_expiry=2.0,
-            socket_options=sockets.KEEPALIVE_OPTIONS if is_watched else None,
+            socket_options=sockets.KEEPALIVE_OPTIONS
+            if has_tcp_keepalive
+            else None,
         )
 
     @contextlib.asynccontextmanager
