--- a/packages/apricotlanding/src/apricotlanding/codec.py
+++ b/packages/apricotlanding/src/apricotlanding/codec.py
@@ -33,7 +33,7 @@
 
 # Characters of an error about a message. Parts of the message stand in it,
 # which a stranger may make as long as a frame.
-DETAIL_LENGTH: ty.Final = 200
+DETAIL_LIMIT_CHARS: ty.Final = 200
 
 T = ty.TypeVar('T')
 
@@ -134,7 +134,7 @@
 
 def refuse_frame(detail: str) -> errors.Refused:
     """Return the error for data that cannot be read."""
-    short = detail[:DETAIL_LENGTH]
+    short = detail[:DETAIL_LIMIT_CHARS]
     return errors.Refused(
         errors.make_problem(errors.Kind.BAD_FRAME, detail=short)
     )
