--- a/packages/apricotlanding/src/apricotlanding/codec.py
+++ b/packages/apricotlanding/src/apricotlanding/codec.py
@@ -105,7 +105,7 @@
         return self.unpack(unpack_data(data))
 
     def _refuse(self, detail: str) -> errors.Refused:
-        return refuse_frame(detail)
+        return make_frame_error(detail)
 
 
 def pack_data(value: ty.Any) -> bytes:
@@ -129,10 +129,10 @@
         TypeError,
         msgpack.UnpackException,
     ) as error:
-        raise refuse_frame(f'not msgpack ({error})') from error
+        raise make_frame_error(f'not msgpack ({error})') from error
 
 
-def refuse_frame(detail: str) -> errors.Refused:
+def make_frame_error(detail: str) -> errors.Refused:
     """Return the error for data that cannot be read."""
     short = detail[:DETAIL_LIMIT_CHARS]
     return errors.Refused(
--- a/packages/apricotlanding/src/apricotlanding/frames.py
+++ b/packages/apricotlanding/src/apricotlanding/frames.py
@@ -62,7 +62,7 @@
         header = await self._buffered.receive_exactly(_HEADER.size)
         (length,) = _HEADER.unpack(header)
         if length > self.limit:
-            raise codec.refuse_frame(
+            raise codec.make_frame_error(
                 f'{length} bytes, {self.limit} are allowed'
             )
         data = await self._buffered.receive_exactly(length)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -132,14 +132,14 @@
 
 def _check_query(message: object) -> messages.RecordQuery:
     if not isinstance(message, messages.RecordQuery):
-        raise codec.refuse_frame('no question for records')
+        raise codec.make_frame_error('no question for records')
     _check_topics(len(message.positions))
     return message
 
 
 def _check_page(message: object) -> messages.RecordPage:
     if not isinstance(message, messages.RecordPage):
-        raise codec.refuse_frame('no page of records')
+        raise codec.make_frame_error('no page of records')
     _check_topics(len(message.positions))
     _check_topics(len(message.topics))
     return message
@@ -148,4 +148,4 @@
 def _check_topics(count: int) -> None:
     expected = len(records.TOPICS)
     if count != expected:
-        raise codec.refuse_frame(f'{count} topics, {expected} are known')
+        raise codec.make_frame_error(f'{count} topics, {expected} are known')
--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -215,7 +215,9 @@
     def _take_push(self, message: object) -> None:
         handler = self._router.pushes.get(type(message))
         if handler is None:
-            raise codec.refuse_frame(f'unexpected {type(message).__name__}')
+            raise codec.make_frame_error(
+                f'unexpected {type(message).__name__}'
+            )
         handler(message, self.incarnation)
 
     async def _answer(self, number: int, message: object) -> None:
@@ -227,7 +229,7 @@
             slow = self._router.slow.get(type(message))
             if slow is None:
                 name = type(message).__name__
-                raise codec.refuse_frame(f'unexpected {name}')
+                raise codec.make_frame_error(f'unexpected {name}')
             reply = await slow(message, self.incarnation)
         except errors.Refused as error:
             reply = wire.Failed(error.problem.code, error.problem.text)
@@ -250,12 +252,12 @@
 
 def _read_frame(frame: ty.Any) -> tuple[_FrameKind, int, object]:
     if not isinstance(frame, list) or len(frame) != 3:
-        raise codec.refuse_frame('not [kind, number, message]')
+        raise codec.make_frame_error('not [kind, number, message]')
     kind, number, packed = frame
     if not isinstance(number, int):
-        raise codec.refuse_frame('the number is not a number')
+        raise codec.make_frame_error('the number is not a number')
     try:
         found = _FrameKind(kind)
     except ValueError:
-        raise codec.refuse_frame(f'unknown kind {kind!r}') from None
+        raise codec.make_frame_error(f'unknown kind {kind!r}') from None
     return found, number, wire.registry.unpack(packed)
