--- a/packages/apricotlanding/src/apricotlanding/codec.py
+++ b/packages/apricotlanding/src/apricotlanding/codec.py
@@ -54,7 +54,7 @@
     ) -> collections.abc.Callable[[type[T]], type[T]]:
         """Return a decorator that files a dataclass under a number."""
 
-        def file_type(cls: type[T]) -> type[T]:
+        def register_type(cls: type[T]) -> type[T]:
             if number in self._adapters:
                 raise ValueError(f'{self.name} {number} is taken')
             fields = dataclasses.fields(cls)  # type: ignore[arg-type]
@@ -63,7 +63,7 @@
             self._numbers[cls] = number
             return cls
 
-        return file_type
+        return register_type
 
     def pack(self, message: object) -> list[ty.Any]:
         """Return the array that stands for a message."""
