--- a/packages/apricotlanding/src/apricotlanding/frames.py
+++ b/packages/apricotlanding/src/apricotlanding/frames.py
@@ -28,7 +28,7 @@
 _HEADER = struct.Struct('>I')
 # Longest frame that a peer may send, in bytes. The longest that we send is
 # a report of claims, which is cut into parts well below this.
-FRAME_LIMIT = 4 * 1024 * 1024
+FRAME_LIMIT_BYTES = 4 * 1024 * 1024
 # Longest frame before a peer has proved who it is.
 HANDSHAKE_LIMIT = 4 * 1024
 
--- a/packages/apricotlanding/src/apricotlanding/handshake.py
+++ b/packages/apricotlanding/src/apricotlanding/handshake.py
@@ -108,7 +108,7 @@
         expected = _make_digest(key, their_role, theirs, mine)
         if not hmac.compare_digest(proof.digest, expected):
             raise _refuse_peer('the proof does not match')
-    stream.limit = frames.FRAME_LIMIT
+    stream.limit = frames.FRAME_LIMIT_BYTES
     return theirs
 
 
