--- a/packages/apricotlanding/src/apricotlanding/frames.py
+++ b/packages/apricotlanding/src/apricotlanding/frames.py
@@ -30,7 +30,7 @@
 # a report of claims, which is cut into parts well below this.
 FRAME_LIMIT_BYTES = 4 * 1024 * 1024
 # Longest frame before a peer has proved who it is.
-HANDSHAKE_LIMIT = 4 * 1024
+HANDSHAKE_LIMIT_BYTES = 4 * 1024
 
 
 @ty.final
@@ -44,7 +44,7 @@
             stream
         )
         self._send_lock = anyio.Lock()
-        self.limit = HANDSHAKE_LIMIT
+        self.limit = HANDSHAKE_LIMIT_BYTES
 
     async def send(self, value: ty.Any) -> None:
         """Send one frame; anyio.BrokenResourceError if the peer is gone."""
