--- a/packages/apricotlanding/src/apricotlanding/handshake.py
+++ b/packages/apricotlanding/src/apricotlanding/handshake.py
@@ -28,7 +28,7 @@
 # Raised by one whenever an older daemon could misread a newer one.
 PROTOCOL = 1
 # Seconds that a stranger may take to prove itself.
-HANDSHAKE_TIMEOUT = 3.0
+HANDSHAKE_TIMEOUT_S = 3.0
 
 _DIALER = b'dialer'
 _ACCEPTOR = b'acceptor'
@@ -93,7 +93,7 @@
     my_role: bytes,
     their_role: bytes,
 ) -> Greeting:
-    with anyio.fail_after(HANDSHAKE_TIMEOUT):
+    with anyio.fail_after(HANDSHAKE_TIMEOUT_S):
         await stream.send(_registry.pack(mine))
         theirs = _registry.unpack(await stream.receive())
         if not isinstance(theirs, Greeting):
--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -232,7 +232,7 @@
 
     async def _dial(self, entry: hostlist.HostEntry) -> None:
         assert entry.peers is not None
-        with anyio.fail_after(handshake.HANDSHAKE_TIMEOUT):
+        with anyio.fail_after(handshake.HANDSHAKE_TIMEOUT_S):
             raw = await anyio.connect_tcp(entry.peers.host, entry.peers.port)
         async with raw:
             stream = frames.FrameStream(raw)
