--- a/packages/apricotlanding/src/apricotlanding/handshake.py
+++ b/packages/apricotlanding/src/apricotlanding/handshake.py
@@ -26,7 +26,7 @@
 __all__ = ['Greeting', 'greet_acceptor', 'greet_dialer']
 
 # Raised by one whenever an older daemon could misread a newer one.
-PROTOCOL = 1
+PROTOCOL_VERSION = 1
 # Seconds that a stranger may take to prove itself.
 HANDSHAKE_TIMEOUT_S = 3.0
 
@@ -62,7 +62,7 @@
 ) -> Greeting:
     """Return a greeting with a fresh nonce."""
     return Greeting(
-        PROTOCOL, host, incarnation, domain, secrets.token_bytes(16)
+        PROTOCOL_VERSION, host, incarnation, domain, secrets.token_bytes(16)
     )
 
 
@@ -98,7 +98,7 @@
         theirs = _registry.unpack(await stream.receive())
         if not isinstance(theirs, Greeting):
             raise _refuse_peer('no greeting')
-        if theirs.protocol != PROTOCOL:
+        if theirs.protocol != PROTOCOL_VERSION:
             raise _refuse_peer(f'it speaks protocol {theirs.protocol}')
         digest = _make_digest(key, my_role, mine, theirs)
         await stream.send(_registry.pack(Proof(digest)))
