--- a/packages/apricotlanding/src/apricotlanding/ids.py
+++ b/packages/apricotlanding/src/apricotlanding/ids.py
@@ -47,7 +47,7 @@
     'make_incarnation',
     'make_runner_start',
     'parse_host',
-    'read_birth',
+    'parse_start_time',
     'read_issue_time',
 ]
 
@@ -120,7 +120,7 @@
     return Runner(start.partition('@')[2])
 
 
-def read_birth(start: RunnerStart) -> int | None:
+def parse_start_time(start: RunnerStart) -> int | None:
     """Return the Unix millisecond of a start; None if it is not known."""
     birth = start.partition('@')[0]
     return int(birth) if birth else None
@@ -131,7 +131,7 @@
 
     A start whose birth is not known is taken to be the first.
     """
-    birth, later_birth = read_birth(start), read_birth(later)
+    birth, later_birth = parse_start_time(start), parse_start_time(later)
     if find_runner(start) != find_runner(later) or later_birth is None:
         return False
     return birth is None or birth < later_birth
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -425,7 +425,7 @@
             except dialect.Unreadable as error:
                 self._retract(runner, str(error), now)
                 return
-            birth = ids.read_birth(entry.start)
+            birth = ids.parse_start_time(entry.start)
             state = 'draining' if entry.is_draining else 'open'
             news = self._directory.update(entry)
             if news is directory.News.START:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -78,7 +78,7 @@
         Nothing is sent to them from here on; ``run`` closes what they have.
         Returns, by earlier start, the requests that the later one has.
         """
-        birth = ids.read_birth(later)
+        birth = ids.parse_start_time(later)
         if birth is None:
             return {}
         for endpoint in list(self._clients):
@@ -131,7 +131,7 @@
         self._leaving.append(_Leaving(endpoint[0], client))
 
     async def _close_earlier(self, later: ids.RunnerStart) -> None:
-        birth = ids.read_birth(later)
+        birth = ids.parse_start_time(later)
         if birth is None:
             return
         for leaving in list(self._leaving):
@@ -143,6 +143,6 @@
                 'gateway:runner_restarted',
                 runner=ids.find_runner(later),
                 born=birth,
-                born_before=ids.read_birth(leaving.start),
+                born_before=ids.parse_start_time(leaving.start),
                 cut_requests=cut,
             )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -103,7 +103,7 @@
         """
         runner = ids.find_runner(entry.start)
         place = self._places.get(runner)
-        if ids.read_birth(entry.start) is None:
+        if ids.parse_start_time(entry.start) is None:
             if place is not None:
                 entry = dataclasses.replace(entry, start=place.entry.start)
         elif self._is_outdated(entry.start):
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -44,7 +44,7 @@
             for birth in (None, 0, 1_764_726_589_123):
                 start = ids.make_runner_start(ids.Runner(name), birth)
                 self.assertEqual(name, ids.find_runner(start))
-                self.assertEqual(birth, ids.read_birth(start))
+                self.assertEqual(birth, ids.parse_start_time(start))
 
     def test_order_of_starts(self) -> None:
         self.assertTrue(ids.has_run_before(EARLIER, LATER))
@@ -310,7 +310,7 @@
 
     def assert_running(self, **expected: int) -> None:
         found = {
-            ids.read_birth(start): count
+            ids.parse_start_time(start): count
             for start, count in self.places.running.items()
         }
         wanted = {EARLY: expected.get('early'), LATE: expected.get('late')}
