--- a/packages/apricotlanding/src/apricotlanding/ids.py
+++ b/packages/apricotlanding/src/apricotlanding/ids.py
@@ -41,7 +41,7 @@
     'Shard',
     'Tier',
     'Version',
-    'find_runner',
+    'parse_runner',
     'has_ended',
     'has_run_before',
     'make_incarnation',
@@ -115,7 +115,7 @@
     return RunnerStart(f'{"" if birth is None else birth}@{runner}')
 
 
-def find_runner(start: RunnerStart) -> Runner:
+def parse_runner(start: RunnerStart) -> Runner:
     """Return the id under which a start is registered."""
     return Runner(start.partition('@')[2])
 
@@ -132,7 +132,7 @@
     A start whose birth is not known is taken to be the first.
     """
     birth, later_birth = parse_start_time(start), parse_start_time(later)
-    if find_runner(start) != find_runner(later) or later_birth is None:
+    if parse_runner(start) != parse_runner(later) or later_birth is None:
         return False
     return birth is None or birth < later_birth
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -81,5 +81,5 @@
 def _rate_home(part: str, start: ids.RunnerStart) -> int:
     # By the registered id: the homes of other runners' parts stay as they are
     # when one of them starts again.
-    runner = ids.find_runner(start)
+    runner = ids.parse_runner(start)
     return xxhash.xxh3_64_intdigest(f'{part} {runner}'.encode())
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
@@ -55,7 +55,7 @@
     """Return the runners of a subset, out of those of its service."""
     # By the registered id: a runner that starts again stays in its subset.
     order = sorted(
-        entries, key=lambda entry: _rate(ids.find_runner(entry.start))
+        entries, key=lambda entry: _rate(ids.parse_runner(entry.start))
     )
     return [
         entry
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -355,7 +355,7 @@
     def list_open_runners(self) -> list[ids.Runner]:
         """Return the runners that accept new requests."""
         return [
-            ids.find_runner(entry.start)
+            ids.parse_runner(entry.start)
             for entry in self._directory.list_all()
             if not entry.is_draining
         ]
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -299,7 +299,7 @@
             self._detail = repr(error)
             if isinstance(error, (webclient.Garbled, streams.OutOfOrder)):
                 now = clocks.read_monotonic()
-                runner = ids.find_runner(entry.start)
+                runner = ids.parse_runner(entry.start)
                 self._parts.on_garbled(runner, str(error), now)
             self._note_bad(entry, is_reached=True)
             return _End.FAILED
@@ -316,7 +316,7 @@
             target=self._asked.target,
             headers=self._parts.spoken.write_request(
                 self._asked.head,
-                ids.find_runner(entry.start),
+                ids.parse_runner(entry.start),
                 None if organisation is None else organisation.name,
                 left,
                 last_event,
@@ -338,7 +338,7 @@
         eliot.log_message(
             'gateway:runner_failed',
             attempt=self._asked.head.attempt,
-            runner=ids.find_runner(entry.start),
+            runner=ids.parse_runner(entry.start),
             is_reached=is_reached,
             detail=self._detail,
         )
@@ -576,7 +576,7 @@
             first = round(self._first_at - self._asked.arrived_at, 4)
         runner = None
         if self._runner is not None:
-            runner = ids.find_runner(self._runner)
+            runner = ids.parse_runner(self._runner)
         kind = self._reply.outcome.partition(' ')[0]
         self._parts.telemetry.count('requests_total', outcome=kind)
         self._parts.telemetry.time('request_seconds', took, outcome=kind)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -141,7 +141,7 @@
             cut = await leaving.client.close_made_before(birth / 1000)
             eliot.log_message(
                 'gateway:runner_restarted',
-                runner=ids.find_runner(later),
+                runner=ids.parse_runner(later),
                 born=birth,
                 born_before=ids.parse_start_time(leaving.start),
                 cut_requests=cut,
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -101,7 +101,7 @@
 
         One that states no birth is taken to be of the start that is known.
         """
-        runner = ids.find_runner(entry.start)
+        runner = ids.parse_runner(entry.start)
         place = self._places.get(runner)
         if ids.parse_start_time(entry.start) is None:
             if place is not None:
@@ -149,7 +149,7 @@
 
     def find(self, start: ids.RunnerStart) -> dialect.RunnerEntry | None:
         """Return a start of a runner that is still known."""
-        place = self._places.get(ids.find_runner(start))
+        place = self._places.get(ids.parse_runner(start))
         if place is None or place.entry.start != start:
             return None
         return place.entry
@@ -176,7 +176,7 @@
         self.changes += 1
 
     def _is_outdated(self, start: ids.RunnerStart) -> bool:
-        runner = ids.find_runner(start)
+        runner = ids.parse_runner(start)
         place = self._places.get(runner)
         if place is not None:
             return ids.has_run_before(start, place.entry.start)
--- a/tests/test_foreign_input.py
+++ b/tests/test_foreign_input.py
@@ -31,7 +31,7 @@
         self.assertTrue(runners.retract(ids.Runner('r2'), 10.1))
         found = runners.list_open(gatewayparts.POOL)
         self.assertEqual(
-            ['r1'], [ids.find_runner(entry.start) for entry in found]
+            ['r1'], [ids.parse_runner(entry.start) for entry in found]
         )
         self.assertFalse(runners.retract(ids.Runner('r2'), 10.1))
 
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -43,7 +43,7 @@
         for name in ('r1', '', '@', '12@r1', 'ü'):
             for birth in (None, 0, 1_764_726_589_123):
                 start = ids.make_runner_start(ids.Runner(name), birth)
-                self.assertEqual(name, ids.find_runner(start))
+                self.assertEqual(name, ids.parse_runner(start))
                 self.assertEqual(birth, ids.parse_start_time(start))
 
     def test_order_of_starts(self) -> None:
