--- a/packages/apricotlanding/src/apricotlanding/asgi.py
+++ b/packages/apricotlanding/src/apricotlanding/asgi.py
@@ -43,7 +43,7 @@
     [Scope, Receive, Send], collections.abc.Awaitable[None]
 ]
 # Longest request line and headers, in bytes.
-HEAD_LIMIT = 64 * 1024
+HEAD_LIMIT_BYTES = 64 * 1024
 # Connections that may wait to be accepted.
 BACKLOG = 2048
 
@@ -179,9 +179,9 @@
         if not self._is_head_open or self.transport.is_closing():
             return
         self._head_bytes += len(data)
-        if self._head_bytes > HEAD_LIMIT:
+        if self._head_bytes > HEAD_LIMIT_BYTES:
             self.send_400_response(
-                f'The request line and headers are longer than {HEAD_LIMIT}'
+                f'The request line and headers are longer than {HEAD_LIMIT_BYTES}'
                 ' bytes; send only the headers that the interface names.'
             )
 
