--- a/packages/apricotlanding/src/apricotlanding/asgi.py
+++ b/packages/apricotlanding/src/apricotlanding/asgi.py
@@ -85,7 +85,7 @@
     }
 
 
-async def start_answer(
+async def start_response(
     send: Send, status: int, headers: HeaderList | None = None
 ) -> None:
     """Send status and headers."""
@@ -117,7 +117,7 @@
 ) -> None:
     """Send a whole JSON answer."""
     found = [(b'content-type', b'application/json'), *(headers or [])]
-    await start_answer(send, status, found)
+    await start_response(send, status, found)
     await send_part(send, json.dumps(value).encode() + b'\n', is_last=True)
 
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
@@ -82,5 +82,5 @@
         (b'content-type', b'text/plain; charset=utf-8'),
         (b'content-length', str(len(body)).encode()),
     ]
-    await asgi.start_answer(send, status, headers)
+    await asgi.start_response(send, status, headers)
     await asgi.send_part(send, body, is_last=True)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -41,7 +41,7 @@
         headers = [*head.passed, *self._list_closing()]
         if length is not None:
             headers.append((b'content-length', str(length).encode()))
-        await asgi.start_answer(self._send, head.status, headers)
+        await asgi.start_response(self._send, head.status, headers)
 
     async def pass_part(self, data: bytes) -> None:
         """Send a part of a runner's body."""
@@ -77,7 +77,7 @@
             (b'content-length', str(len(body)).encode()),
             *self._list_closing(),
         ]
-        await asgi.start_answer(self._send, problem.status, headers)
+        await asgi.start_response(self._send, problem.status, headers)
         await asgi.send_part(self._send, body, is_last=True)
 
     def _list_closing(self) -> dialect.HeaderList:
--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -235,7 +235,7 @@
     if request.kind is bundle.RunnerKind.SERVICE:
         await _send_whole(send, request, answer)
         return
-    await asgi.start_answer(
+    await asgi.start_response(
         send, 200, [_LINES, *_name_request(request, answer)]
     )
     async for part in answer.iterate():
@@ -254,7 +254,7 @@
         (b'content-length', str(len(body)).encode()),
         *_name_request(request, answer),
     ]
-    await asgi.start_answer(send, answer.status, headers)
+    await asgi.start_response(send, answer.status, headers)
     await asgi.send_part(send, body, is_last=True)
 
 
--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -335,7 +335,7 @@
         is_malformed = self.faults.malformed > 0
         if is_malformed:
             self.faults.malformed -= 1
-        await asgi.start_answer(
+        await asgi.start_response(
             send, 200, [(b'content-type', b'application/x-ndjson')]
         )
         position = start
--- a/tests/test_listener_end.py
+++ b/tests/test_listener_end.py
@@ -22,7 +22,7 @@
 ) -> None:
     """Answer with a large body, all at once."""
     length = str(len(BODY)).encode()
-    await asgi.start_answer(send, 200, [(b'content-length', length)])
+    await asgi.start_response(send, 200, [(b'content-length', length)])
     await asgi.send_part(send, BODY, is_last=True)
 
 
