--- a/packages/apricotlanding/src/apricotlanding/asgi.py
+++ b/packages/apricotlanding/src/apricotlanding/asgi.py
@@ -98,7 +98,9 @@
     )
 
 
-async def send_part(send: Send, data: bytes, is_last: bool = False) -> None:
+async def send_body_part(
+    send: Send, data: bytes, is_last: bool = False
+) -> None:
     """Send a part of the body."""
     await send(
         {
@@ -118,7 +120,9 @@
     """Send a whole JSON answer."""
     found = [(b'content-type', b'application/json'), *(headers or [])]
     await start_response(send, status, found)
-    await send_part(send, json.dumps(value).encode() + b'\n', is_last=True)
+    await send_body_part(
+        send, json.dumps(value).encode() + b'\n', is_last=True
+    )
 
 
 async def send_problem(
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/listener.py
@@ -83,4 +83,4 @@
         (b'content-length', str(len(body)).encode()),
     ]
     await asgi.start_response(send, status, headers)
-    await asgi.send_part(send, body, is_last=True)
+    await asgi.send_body_part(send, body, is_last=True)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -45,18 +45,18 @@
 
     async def pass_part(self, data: bytes) -> None:
         """Send a part of a runner's body."""
-        await asgi.send_part(self._send, data)
+        await asgi.send_body_part(self._send, data)
 
     async def finish(self, head: dialect.AnswerHead) -> None:
         """Send the final mark of a runner's answer."""
-        await asgi.send_part(self._send, b'', is_last=True)
+        await asgi.send_body_part(self._send, b'', is_last=True)
         self.outcome = f'answered {head.status}'
 
     async def deliver(self, head: dialect.AnswerHead, body: bytes) -> None:
         """Send a runner's whole answer."""
         self.outcome = f'answered {head.status}'
         await self.begin(head, len(body))
-        await asgi.send_part(self._send, body, is_last=True)
+        await asgi.send_body_part(self._send, body, is_last=True)
 
     async def fail(self, attempt: str, problem: errors.Problem) -> None:
         """End with an error of ours, or cut what has begun."""
@@ -78,7 +78,7 @@
             *self._list_closing(),
         ]
         await asgi.start_response(self._send, problem.status, headers)
-        await asgi.send_part(self._send, body, is_last=True)
+        await asgi.send_body_part(self._send, body, is_last=True)
 
     def _list_closing(self) -> dialect.HeaderList:
         # Tells the caller to open its next connection elsewhere.
--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -239,10 +239,10 @@
         send, 200, [_LINES, *_name_request(request, answer)]
     )
     async for part in answer.iterate():
-        await asgi.send_part(send, part)
+        await asgi.send_body_part(send, part)
     assert answer.end is not None
     last = _describe_end(request, answer.end.problem)
-    await asgi.send_part(send, _encode_line(last), is_last=True)
+    await asgi.send_body_part(send, _encode_line(last), is_last=True)
 
 
 async def _send_whole(
@@ -255,7 +255,7 @@
         *_name_request(request, answer),
     ]
     await asgi.start_response(send, answer.status, headers)
-    await asgi.send_part(send, body, is_last=True)
+    await asgi.send_body_part(send, body, is_last=True)
 
 
 def _name_request(
--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -351,12 +351,12 @@
                     line = line.replace(work.request.encode(), b'another')
                 if is_malformed:
                     line = line[: len(line) // 2] + b'\n'
-                await asgi.send_part(send, line)
+                await asgi.send_body_part(send, line)
                 continue
             if work.is_done or work.is_cancelled:
                 break
             await work.news.wait()
-        await asgi.send_part(send, b'', is_last=True)
+        await asgi.send_body_part(send, b'', is_last=True)
 
     async def _cancel(self, name: str, send: asgi.Send) -> None:
         work = self._works.get(name)
--- a/tests/test_listener_end.py
+++ b/tests/test_listener_end.py
@@ -23,7 +23,7 @@
     """Answer with a large body, all at once."""
     length = str(len(BODY)).encode()
     await asgi.start_response(send, 200, [(b'content-length', length)])
-    await asgi.send_part(send, BODY, is_last=True)
+    await asgi.send_body_part(send, BODY, is_last=True)
 
 
 class TestListenerEnd(testtools.TestCase):
