--- a/packages/apricotlanding/src/apricotlanding/asgi.py
+++ b/packages/apricotlanding/src/apricotlanding/asgi.py
@@ -202,7 +202,7 @@
 
 
 @ty.final
-class _QuietServer(uvicorn.Server):
+class _SignalFreeServer(uvicorn.Server):
     # The daemon decides what a signal means: uvicorn would cut the requests
     # that a graceful stop lets finish.
     @contextlib.contextmanager
@@ -243,7 +243,7 @@
             # The owner bounds the wait, by ending the task of ``serve``.
             timeout_graceful_shutdown=None,
         )
-        self._server = _QuietServer(config)
+        self._server = _SignalFreeServer(config)
         self._ended = anyio.Event()
 
     async def serve(self) -> None:
