--- a/packages/apricotlanding/src/apricotlanding/clocks.py
+++ b/packages/apricotlanding/src/apricotlanding/clocks.py
@@ -11,7 +11,7 @@
 import pathlib
 import time
 
-__all__ = ['read_boot', 'read_monotonic', 'read_wall']
+__all__ = ['read_boot_id', 'read_monotonic', 'read_wall']
 
 _BOOT_ID = pathlib.Path('/proc/sys/kernel/random/boot_id')
 
@@ -21,7 +21,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def read_boot() -> str:
+def read_boot_id() -> str:
     """Return a name for this boot of this host's kernel."""
     return _BOOT_ID.read_text().strip()
 
--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -82,7 +82,7 @@
         self._peer_socket = asgi.bind_address(config.peers)
         self.incarnation = ids.make_incarnation(
             self.host,
-            f'{clocks.read_boot()} {config.peers}',
+            f'{clocks.read_boot_id()} {config.peers}',
             clocks.read_monotonic(),
         )
         self.metrics = metrics.Metrics(config.statsd)
