--- a/packages/apricotlanding/src/apricotlanding/metrics.py
+++ b/packages/apricotlanding/src/apricotlanding/metrics.py
@@ -14,7 +14,7 @@
 
 __all__ = ['Metrics']
 
-FLUSH_INTERVAL = 1.0
+FLUSH_INTERVAL_S = 1.0
 
 
 @ty.final
@@ -49,6 +49,6 @@
     async def flush_forever(self) -> None:
         """Send what was counted, once a second."""
         while True:
-            await anyio.sleep(FLUSH_INTERVAL)
+            await anyio.sleep(FLUSH_INTERVAL_S)
             if self._pipeline is not None:
                 self._pipeline.send()
