--- a/packages/apricotlanding/src/apricotlanding/platformlog.py
+++ b/packages/apricotlanding/src/apricotlanding/platformlog.py
@@ -19,7 +19,7 @@
 
 __all__ = ['LogBatch', 'LogDoubt', 'LogUnreachable', 'PlatformLog']
 
-APPEND_TIMEOUT = 2.0
+APPEND_TIMEOUT_S = 2.0
 # How long the service holds a read that finds nothing, in milliseconds.
 POLL_WAIT_MS = 1000
 _READ_TIMEOUT = 5.0
@@ -64,7 +64,7 @@
         """
         try:
             status, _ = await self._client.call(
-                'POST', '/append', body=data, read_timeout=APPEND_TIMEOUT
+                'POST', '/append', body=data, read_timeout=APPEND_TIMEOUT_S
             )
         except webclient.NotSent as error:
             raise LogUnreachable(str(error)) from error
