--- a/packages/apricotlanding/src/apricotlanding/platformlog.py
+++ b/packages/apricotlanding/src/apricotlanding/platformlog.py
@@ -22,7 +22,7 @@
 APPEND_TIMEOUT_S = 2.0
 # How long the service holds a read that finds nothing, in milliseconds.
 POLL_WAIT_MS = 1000
-_READ_TIMEOUT = 5.0
+_READ_TIMEOUT_S = 5.0
 
 
 @ty.final
@@ -81,7 +81,7 @@
         path = f'/records?from={start}&wait_ms={POLL_WAIT_MS}'
         try:
             status, reply = await self._client.call_json(
-                'GET', path, read_timeout=_READ_TIMEOUT
+                'GET', path, read_timeout=_READ_TIMEOUT_S
             )
         except webclient.WebError as error:
             raise LogUnreachable(str(error)) from error
