--- a/packages/apricotlanding/src/apricotlanding/supervisor.py
+++ b/packages/apricotlanding/src/apricotlanding/supervisor.py
@@ -18,7 +18,7 @@
 
 Child = collections.abc.Callable[[], collections.abc.Awaitable[None]]
 
-FIRST_DELAY = 0.1
+MIN_RESTART_DELAY_S = 0.1
 LAST_DELAY = 5.0
 
 
@@ -78,7 +78,7 @@
     async def _run(
         self, name: str, child: Child, scope: anyio.CancelScope
     ) -> None:
-        delay = FIRST_DELAY
+        delay = MIN_RESTART_DELAY_S
         with scope:
             while True:
                 try:
