--- a/packages/apricotlanding/src/apricotlanding/supervisor.py
+++ b/packages/apricotlanding/src/apricotlanding/supervisor.py
@@ -19,7 +19,7 @@
 Child = collections.abc.Callable[[], collections.abc.Awaitable[None]]
 
 MIN_RESTART_DELAY_S = 0.1
-LAST_DELAY = 5.0
+MAX_RESTART_DELAY_S = 5.0
 
 
 async def run_guarded(
@@ -93,6 +93,6 @@
                     delay_s=delay,
                 )
                 await anyio.sleep(delay)
-                delay = min(2 * delay, LAST_DELAY)
+                delay = min(2 * delay, MAX_RESTART_DELAY_S)
         if self._scopes.get(name) is scope:
             del self._scopes[name]
