--- a/packages/apricotlanding/src/apricotlanding/tracing.py
+++ b/packages/apricotlanding/src/apricotlanding/tracing.py
@@ -80,7 +80,7 @@
     return provider.get_tracer('apricotlanding'), provider.shutdown
 
 
-def read_parent(headers: dict[str, str]) -> context.Context:
+def extract_context(headers: dict[str, str]) -> context.Context:
     """Return the context that a caller's headers name."""
     return _propagator.extract(headers)
 
--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -84,7 +84,7 @@
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
     ) -> None:
         headers = asgi.read_headers(scope)
-        parent = tracing.read_parent(headers)
+        parent = tracing.extract_context(headers)
         with self._tracer.start_as_current_span('caller', parent) as span:
             admitted = await self._admit(scope, headers, receive)
             if isinstance(admitted, errors.Problem):
