--- a/packages/apricotlanding/src/apricotlanding/tracing.py
+++ b/packages/apricotlanding/src/apricotlanding/tracing.py
@@ -85,7 +85,7 @@
     return _propagator.extract(headers)
 
 
-def write_parent(where: context.Context) -> list[tuple[bytes, bytes]]:
+def inject_context(where: context.Context) -> list[tuple[bytes, bytes]]:
     """Return the headers that carry a context on."""
     carrier: dict[str, str] = {}
     _propagator.inject(carrier, where)
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -399,7 +399,7 @@
         started_at = clocks.read_monotonic()
         with self._start_span('runner', run) as span:
             span.set_attribute('runner', runner)
-            headers = tracing.write_parent(trace.set_span_in_context(span))
+            headers = tracing.inject_context(trace.set_span_in_context(span))
             run.state = RunState.SENT
             answer.runner = runner
             scope = anyio.CancelScope()
