--- a/packages/apricotlanding/src/apricotlanding/webclient.py
+++ b/packages/apricotlanding/src/apricotlanding/webclient.py
@@ -30,7 +30,7 @@
 Headers = list[tuple[bytes, bytes]]
 
 # Seconds to connect: our hosts are milliseconds apart.
-CONNECT_TIMEOUT = 1.0
+CONNECT_TIMEOUT_S = 1.0
 
 
 class WebError(Exception):
@@ -128,10 +128,10 @@
         Raises NotSent or Broken.
         """
         timeout = {
-            'connect': CONNECT_TIMEOUT,
+            'connect': CONNECT_TIMEOUT_S,
             'read': read_timeout or self._read_timeout,
             'write': 10.0,
-            'pool': CONNECT_TIMEOUT,
+            'pool': CONNECT_TIMEOUT_S,
         }
         try:
             context = self._pool.stream(
