--- a/packages/apricotctl/src/apricotctl/command.py
+++ b/packages/apricotctl/src/apricotctl/command.py
@@ -66,7 +66,7 @@
     pem = signatures.make_private_key()
     path.touch(mode=0o600)
     path.write_bytes(pem)
-    click.echo(signatures.write_public_key(pem))
+    click.echo(signatures.format_public_key(pem))
 
 
 @main.group()
--- a/packages/apricotlanding/src/apricotlanding/signatures.py
+++ b/packages/apricotlanding/src/apricotlanding/signatures.py
@@ -19,7 +19,7 @@
     'make_private_key',
     'read_public_key',
     'sign_bundle',
-    'write_public_key',
+    'format_public_key',
 ]
 
 _AUTHOR = b'author'
@@ -37,7 +37,7 @@
     )
 
 
-def write_public_key(private_pem: bytes) -> str:
+def format_public_key(private_pem: bytes) -> str:
     """Return the public half in hex, as settings name it."""
     public = _read_private_key(private_pem).public_key()
     return public.public_bytes_raw().hex()
--- a/packages/apricotstandins/src/apricotstandins/deployment.py
+++ b/packages/apricotstandins/src/apricotstandins/deployment.py
@@ -413,7 +413,7 @@
             'operators': [
                 {
                     'name': name,
-                    'public_key': signatures.write_public_key(pem),
+                    'public_key': signatures.format_public_key(pem),
                 }
                 for name, pem in keys
             ],
