--- a/packages/apricotlanding/src/apricotlanding/signatures.py
+++ b/packages/apricotlanding/src/apricotlanding/signatures.py
@@ -17,7 +17,7 @@
 __all__ = [
     'describe_bad_signature',
     'make_private_key',
-    'read_public_key',
+    'parse_public_key',
     'sign_bundle',
     'format_public_key',
 ]
@@ -43,7 +43,7 @@
     return public.public_bytes_raw().hex()
 
 
-def read_public_key(text: str) -> ed25519.Ed25519PublicKey:
+def parse_public_key(text: str) -> ed25519.Ed25519PublicKey:
     """Return the key in 64 hex digits; ValueError if it is none."""
     return ed25519.Ed25519PublicKey.from_public_bytes(bytes.fromhex(text))
 
--- a/packages/apricotlandingd/src/apricotlandingd/settings.py
+++ b/packages/apricotlandingd/src/apricotlandingd/settings.py
@@ -34,7 +34,7 @@
     @classmethod
     def _check_key(cls, value: str) -> str:
         try:
-            signatures.read_public_key(value)
+            signatures.parse_public_key(value)
         except ValueError:
             raise ValueError(
                 'write the 64 hex digits that "apricotctl keygen" printed'
@@ -87,7 +87,7 @@
     def read_operator_keys(self) -> dict[str, ed25519.Ed25519PublicKey]:
         """Return the operators' public keys by name."""
         return {
-            item.name: signatures.read_public_key(item.public_key)
+            item.name: signatures.parse_public_key(item.public_key)
             for item in self.operators
         }
 
