--- a/packages/apricotctl/src/apricotctl/command.py
+++ b/packages/apricotctl/src/apricotctl/command.py
@@ -115,7 +115,7 @@
     """Submit PATH (a .signed file) and say what the log decided."""
     record = bundlefiles.read_signed(path)
     reply = target.call(
-        'POST', '/v1/bundle', submissions.write_submission(record)
+        'POST', '/v1/bundle', submissions.encode_submission(record)
     )
     state = 'in force' if reply['in_force'] else 'accepted and replaced since'
     click.echo(f'version {reply["version"]}: {state}')
--- a/packages/apricotlanding/src/apricotlanding/submissions.py
+++ b/packages/apricotlanding/src/apricotlanding/submissions.py
@@ -7,10 +7,10 @@
 from apricotlanding import ids
 from apricotlanding import records
 
-__all__ = ['read_submission', 'write_submission']
+__all__ = ['read_submission', 'encode_submission']
 
 
-def write_submission(record: records.BundleRecord) -> bytes:
+def encode_submission(record: records.BundleRecord) -> bytes:
     """Return a signed bundle as JSON."""
     value = {
         'version': record.version,
--- a/packages/apricotstandins/src/apricotstandins/deployment.py
+++ b/packages/apricotstandins/src/apricotstandins/deployment.py
@@ -249,7 +249,7 @@
             place.host,
             'POST',
             '/v1/bundle',
-            submissions.write_submission(self.sign(value, author)),
+            submissions.encode_submission(self.sign(value, author)),
         )
 
     # Looking and disturbing.
