--- a/packages/apricotctl/src/apricotctl/bundlefiles.py
+++ b/packages/apricotctl/src/apricotctl/bundlefiles.py
@@ -74,7 +74,7 @@
 def read_signed(path: pathlib.Path) -> records.BundleRecord:
     """Return a bundle that both have signed."""
     try:
-        return submissions.read_submission(path.read_bytes())
+        return submissions.decode_submission(path.read_bytes())
     except errors.Refused as error:
         raise click.ClickException(
             f'{path}: {error}; both author and approver must run "apricotctl'
--- a/packages/apricotlanding/src/apricotlanding/submissions.py
+++ b/packages/apricotlanding/src/apricotlanding/submissions.py
@@ -7,7 +7,7 @@
 from apricotlanding import ids
 from apricotlanding import records
 
-__all__ = ['read_submission', 'encode_submission']
+__all__ = ['decode_submission', 'encode_submission']
 
 
 def encode_submission(record: records.BundleRecord) -> bytes:
@@ -24,7 +24,7 @@
     return json.dumps(value).encode()
 
 
-def read_submission(body: bytes) -> records.BundleRecord:
+def decode_submission(body: bytes) -> records.BundleRecord:
     """Return the bundle in JSON; Refused (BUNDLE_REFUSED) if none."""
     try:
         value = json.loads(body)
--- a/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
+++ b/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
@@ -137,7 +137,7 @@
 @_handle('POST', '/v1/bundle')
 async def submit_bundle(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
     """Append a bundle and say what the log decided."""
-    record = submissions.read_submission(body)
+    record = submissions.decode_submission(body)
     checked = api.store.check_record(record)
     if checked.is_error():
         raise errors.Refused(checked.error)
