--- a/packages/apricotlanding/src/apricotlanding/retrybudget.py
+++ b/packages/apricotlanding/src/apricotlanding/retrybudget.py
@@ -1,13 +1,13 @@
-"""The budget for retries: requests that are sent to another runner.
+"""The retry budget: a limit on requests that are sent to another runner.
 
-When runners fail, every host sends again, and the runners that are left get
-the load of those that failed on top of their own. So retries are bound to a
-share of the requests plus a slack in a window, over all hosts. Each host
-keeps to its own part of that, which needs no messages: the share of its own
-requests, and an equal part of the slack.
+When runners fail, every host retries, and the remaining runners get the load
+of the failed ones in addition to their own. The retries of all hosts within a
+sliding window are therefore limited to a share of the requests plus a slack.
+Each host enforces its own fraction without exchanging messages: the share of
+its own requests and an equal part of the slack.
 
-Each pool has a budget of its own: one whose runners all fail must not use up
-the retries of the others.
+Each pool has its own budget, so that a pool whose runners all fail does not
+use up the retries of the others.
 """
 
 import collections
@@ -17,35 +17,39 @@
 
 __all__ = ['RetryBudget']
 
-# Part of the budget that is used. The rest covers a host that restarts and
-# forgets what it sent in the window, and hosts not yet known here.
+# Share of the budget that a host may use. The rest covers hosts that restart
+# and lose their counts of the window, and hosts not yet known to this one.
 USABLE_SHARE = 0.8
 
 
 @ty.final
 class RetryBudget:
-    """Retries of this host, by pool."""
+    """Retry budgets of this host, by pool."""
 
     def __init__(self, share: float, slack: float, window_s: float) -> None:
-        """Take the bounds: a share, a count, and seconds."""
+        """Create budgets with these limits; see ``set_bounds``."""
         self.set_bounds(share, slack, window_s)
         self._requests: dict[ids.Pool, collections.deque[float]] = {}
         self._retries: dict[ids.Pool, collections.deque[float]] = {}
 
     def set_bounds(self, share: float, slack: float, window_s: float) -> None:
-        """Take the bounds: a share, a count, and seconds."""
+        """Set the limits.
+
+        ``share`` is the allowed ratio of retries to requests, ``slack`` the
+        number of retries that all hosts together may send in addition.
+        """
         self._share = share
         self._slack = slack
         self._window = window_s
 
     def record_request(self, pool: ids.Pool, now: float) -> None:
-        """Count a request of a caller."""
+        """Count a request from a caller."""
         self._file(self._requests, pool, now)
 
     def take(self, pool: ids.Pool, hosts: int, now: float) -> bool:
-        """Use one retry; False if this host's part is used up.
+        """Consume one retry; return False if the budget is exhausted.
 
-        ``hosts`` counts all hosts that may be sending.
+        ``hosts`` is the number of hosts that may be sending requests.
         """
         requests = self._count(self._requests, pool, now)
         retries = self._count(self._retries, pool, now)
