--- a/packages/apricotlanding/src/apricotlanding/records.py
+++ b/packages/apricotlanding/src/apricotlanding/records.py
@@ -1,16 +1,17 @@
 """Records of the platform's log.
 
-The log is the only arbiter: what is agreed stands in it, every daemon reads
-it in the order of its offsets, and each decides alike which record is valid
+The log is the single source of truth for agreed state: every daemon reads it
+in offset order, and all apply the same rules to decide which records are valid
 (see ``shardview`` for owners and ``bundlestore`` for configuration). Records
-tell of *changes* of owner and of configuration. No record is written for a
+describe *changes* of owner and of configuration. No record is written for a
 request.
 
-Each record travels in an ``Envelope`` with its sender's incarnation and a
-number that this sender counts up. An append can take effect long after its
-sender gave it up; a reader therefore drops a record that arrives behind a
-higher number of the same sender. A sender that does not know what became of
-an append appends another, and knows once it has read that one back.
+Each record is sent in an ``Envelope`` with the incarnation of its sender and a
+sequence number. An append can take effect long after it timed out at the
+sender; readers therefore drop a record that follows one with a higher sequence
+number from the same sender. A sender that does not know the result of an
+append appends another record, and knows the result once it has read that
+record back.
 """
 
 import dataclasses
@@ -41,23 +42,23 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mark:
-    """Says nothing; read back, it proves how far its sender has read."""
+    """A marker without content; reading it back proves the read position."""
 
 
 @registry.register(2)
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Take:
-    """The sender makes itself the owner of a shard."""
+    """The sender becomes the owner of a shard."""
 
     shard: ids.Shard
     # One more than the epoch it replaces.
     epoch: ids.Epoch
-    # Who may take over after a short wait; None if nobody is there.
+    # Who may take over after a short wait; None if there is no candidate.
     successor: ids.Incarnation | None
-    # The timing that binds this epoch, in seconds. It stands here and not
-    # only in the bundle: an owner and the one that replaces it may have
-    # different bundles in force, and must wait by the same numbers.
+    # The timing of this epoch, in seconds. It is part of the record because
+    # an owner and its replacement may have different bundles in force and
+    # must wait for the same times.
     lease_s: float
     outage_limit_s: float
 
@@ -66,7 +67,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Serving:
-    """The owner has waited long enough and grants from now on."""
+    """The owner has finished waiting and grants from now on."""
 
     shard: ids.Shard
     epoch: ids.Epoch
@@ -87,7 +88,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Release:
-    """The sender was the owner in this epoch and will not grant again."""
+    """The sender was the owner in this epoch and grants nothing more."""
 
     shard: ids.Shard
     epoch: ids.Epoch
@@ -112,11 +113,11 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class PastEpoch:
-    """An owner that was replaced and has not released its shard."""
+    """A replaced owner that has not released its shard."""
 
     epoch: ids.Epoch
     owner: ids.Incarnation
-    # Whose promises this owner needs; None if it needs nobody's.
+    # Whose promises this owner needs; None if it needs none.
     successor: ids.Incarnation | None
     lease_s: float
     outage_limit_s: float
@@ -125,7 +126,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class ShardState:
-    """What a reader of the whole log knows of one shard."""
+    """State of one shard after reading the whole log."""
 
     shard: ids.Shard
     epoch: ids.Epoch
@@ -143,7 +144,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class BundleRestated:
-    """The bundle in force, said again before retention drops it."""
+    """The bundle in force, repeated before retention drops its record."""
 
     # The sender had read every record before this offset.
     as_of: ids.Offset
@@ -154,7 +155,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnersRestated:
-    """The owners of all shards, said again before retention drops them."""
+    """The owners of all shards, repeated before retention drops them."""
 
     as_of: ids.Offset
     shards: list[ShardState]
@@ -166,7 +167,7 @@
     """A record with its sender."""
 
     sender: ids.Incarnation
-    # Counted up by the sender from 1, over all kinds of record.
+    # Incremented by the sender, from 1, over all types of record.
     sequence: int
     body: ty.Any
 
@@ -189,7 +190,7 @@
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """Return the record in these bytes; Refused (BAD_FRAME) if none."""
+    """Decode a record; raises Refused (BAD_FRAME) if it is invalid."""
     packed = _envelopes.decode(data)
     body = registry.unpack(packed.body)
     return Envelope(packed.sender, packed.sequence, body)
