--- a/packages/apricotlanding/src/apricotlanding/wire.py
+++ b/packages/apricotlanding/src/apricotlanding/wire.py
@@ -1,10 +1,10 @@
 """Messages between daemons.
 
 A *call* is answered by one message with the same call number; a *push* has
-call number 0 and is not answered. ``peerlink`` carries both over one
-connection. All times are durations in seconds, since no two hosts share a
-monotonic clock; the only wall clock times are those in ``Ping`` and
-``Pong``, which exist to compare clocks.
+call number 0 and is not answered. ``peerlink`` sends both over one
+connection. All times are durations in seconds, because hosts do not share a
+monotonic clock. The only wall clock times are those in ``Ping`` and ``Pong``,
+which are used to compare clocks.
 """
 
 import dataclasses
@@ -55,7 +55,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ping:
-    """Heartbeat of the dialer."""
+    """Heartbeat from the peer that opened the connection."""
 
     wall: float
     version: ids.Version
@@ -66,7 +66,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pong:
-    """Answer to a heartbeat."""
+    """Reply to a heartbeat."""
 
     wall: float
     version: ids.Version
@@ -78,14 +78,14 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ack:
-    """Done; nothing to say."""
+    """Acknowledges a call that returns no data."""
 
 
 @registry.register(4)
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """The call was refused."""
+    """The call was rejected."""
 
     code: str
     text: str
@@ -105,30 +105,30 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Promise:
-    """The sender will not send a Take for these shards for a lease."""
+    """The sender appends no Take for these shards for a lease."""
 
     shards: list[tuple[ids.Shard, ids.Epoch]]
-    # How old the sender's latest proof is that it had read the log to its
-    # end; None if it never had one.
+    # Age of the latest proof that the sender had read the log to its end;
+    # None if there was none.
     confirmed_age_s: float | None
 
 
 class ClaimState(enum.Enum):
-    """What the claim owner knows of a key."""
+    """State of a key as the claim owner knows it."""
 
     HELD = 'held'
     FINISHED = 'finished'
     # Not run; may be claimed again.
     RELEASED = 'released'
-    # May have run; nobody will ever know better.
+    # May have run; this can no longer be determined.
     UNKNOWN = 'unknown'
 
 
 class ClaimVerdict(enum.Enum):
-    """Answer to a claim."""
+    """Result of a claim."""
 
     GRANTED = 'granted'
-    # Another daemon holds the key; its answer can be attached to.
+    # Another daemon holds the key and can stream its answer; see ``Attach``.
     HELD = 'held'
     FINISHED = 'finished'
     UNKNOWN = 'unknown'
@@ -136,7 +136,7 @@
     KEY_FROM_FUTURE = 'key-from-future'
     KEY_EXPIRED = 'key-expired'
     CLOCK_OFF = 'clock-off'
-    # The receiver may not grant now.
+    # The receiver is not allowed to grant at present.
     NOT_OWNER = 'not-owner'
 
 
@@ -144,16 +144,16 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """An entry daemon asks for the right to run a key."""
+    """An entry daemon requests the exclusive right to run a key."""
 
     shard: ids.Shard
     organisation: ids.Organisation
     key: ids.Key
-    # Of route and body: one key stands for one request.
+    # Over route and body: a key identifies one request.
     digest: bytes
-    # Unique to this attempt. Without it a release that was delayed could
-    # undo a later grant to the same daemon, and a third claim would be
-    # granted while the second runs.
+    # Unique to this attempt. Without it, a delayed release could undo a
+    # later grant to the same daemon, and a third claim would be granted
+    # while the second runs.
     ticket: str
 
 
@@ -161,14 +161,14 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """Answer to a claim, or to a question about one."""
+    """Reply to a claim or to a query for one."""
 
     verdict: ClaimVerdict
     epoch: ids.Epoch
     holder: ids.Incarnation | None = None
     # For KEY_FROM_FUTURE, seconds ahead; for KEY_EXPIRED, the window.
     seconds: float = 0.0
-    # The holder's attempt.
+    # Ticket of the attempt that holds the key.
     ticket: str = ''
 
 
@@ -176,7 +176,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimEnd:
-    """The holder says what became of a key."""
+    """The holder reports the final state of a key."""
 
     shard: ids.Shard
     organisation: ids.Organisation
@@ -188,7 +188,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldClaim:
-    """One claim, as its holder reports it."""
+    """One claim, as reported by its holder."""
 
     organisation: ids.Organisation
     key: ids.Key
@@ -202,18 +202,18 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimReport:
-    """Claims of a shard, for an owner that begins to serve.
+    """Claims of a shard, sent to an owner that begins to serve.
 
-    Entry daemons report what they hold; an owner that stops as planned
-    hands its whole table to its successor before it releases the shard.
+    Entry daemons report the claims that they hold. An owner that stops
+    gracefully sends its whole table to its successor before it releases the
+    shard.
     """
 
     shard: ids.Shard
-    # The epoch that the receiver serves, or, of a hand-over, the epoch
-    # that ends.
+    # The epoch that the receiver serves; in a handover, the epoch that ends.
     epoch: ids.Epoch
     claims: list[HeldClaim]
-    # True in the last part.
+    # True in the last message of a report.
     is_last: bool
     is_handover: bool = False
 
@@ -222,7 +222,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimQuery:
-    """An operator asks through a daemon what became of a key."""
+    """A daemon asks for the state of a key on behalf of an operator."""
 
     shard: ids.Shard
     organisation: ids.Organisation
@@ -232,7 +232,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Registration:
-    """What a pool scheduler has to know of one request."""
+    """What a pool scheduler needs to know of one request."""
 
     # Unique over all daemons: ``incarnation/number``.
     ticket: str
@@ -241,18 +241,18 @@
     weight: float
     prompt_tokens: int
     output_tokens: int
-    # Seconds left until the answer is useless.
+    # Seconds left until the deadline.
     deadline_s: float
-    # Hash chain over the blocks of the prompt, first block first.
+    # Hash chain over the blocks of the prompt, in order.
     prefix: list[int]
-    # Runners that failed this request already.
+    # Runners on which this request has failed.
     avoid: list[ids.Runner]
-    # Where it runs already, when registered again with a new scheduler.
+    # Where it is running when it is registered with a new scheduler.
     runner: ids.Runner | None = None
-    # Seconds that it has waited already.
+    # Seconds that it has waited so far.
     waited_s: float = 0.0
-    # False while it waits for its claim: it has a place in the queue, so
-    # that it can be shed, and is not granted a runner.
+    # False while the claim is pending: the request is queued, so that it can
+    # be shed, but is not granted a runner.
     is_ready: bool = True
 
 
@@ -260,11 +260,11 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Register:
-    """Requests that wait or run, for the owner of a pool.
+    """Waiting and running requests, sent to the owner of a pool.
 
-    The first one to an owner carries all that the sender has, says so, and
-    is a call: a scheduler sheds only once every live daemon has made it.
-    Later ones are pushed.
+    The first message to an owner contains all requests of the sender and is
+    a call: a scheduler sheds only after every live daemon has sent it. Later
+    messages are pushed.
     """
 
     pool: ids.Pool
@@ -276,7 +276,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """A runner has room for a request."""
+    """Assigns a runner to a request."""
 
     pool: ids.Pool
     epoch: ids.Epoch
@@ -289,14 +289,14 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shed:
-    """The request will not be run; its caller is told at once."""
+    """Rejects a queued request; its caller is told immediately."""
 
     pool: ids.Pool
     epoch: ids.Epoch
     ticket: str
     retry_after_s: float
-    # True if no runner could have ended it before its deadline, whatever
-    # else waits.
+    # True if no runner could have finished it before its deadline, even with
+    # an empty queue.
     is_late: bool = False
 
 
@@ -304,14 +304,14 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """A grant is void unless the request was started with it."""
+    """Revokes a grant unless the request was already started with it."""
 
     pool: ids.Pool
     epoch: ids.Epoch
     ticket: str
     runner: ids.Runner
     # True if the runner no longer answers: a request that was started there
-    # and may run twice goes elsewhere.
+    # is retried on another runner if it may run twice.
     is_lost: bool = False
 
 
@@ -319,7 +319,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Started:
-    """The entry daemon uses a grant."""
+    """The entry daemon has started a request with its grant."""
 
     pool: ids.Pool
     ticket: str
@@ -334,7 +334,7 @@
 
     pool: ids.Pool
     ticket: str
-    # False if the runner refused it or failed.
+    # False if the runner rejected it or failed.
     is_good: bool
     # Seconds from start to first byte; None if there was none.
     first_s: float | None
@@ -346,7 +346,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withdraw:
-    """The entry daemon no longer wants a runner for this request."""
+    """The entry daemon no longer needs a runner for this request."""
 
     pool: ids.Pool
     ticket: str
@@ -356,12 +356,12 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attach:
-    """Send the answer to this key, from its beginning."""
+    """Requests the answer to this key, from its beginning."""
 
     organisation: ids.Organisation
     key: ids.Key
     shard: ids.Shard
-    # The attempt that the claim owner knows of.
+    # Ticket of the attempt that the claim owner has recorded.
     ticket: str
 
 
@@ -392,14 +392,14 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drain:
-    """Stop gracefully, as if by SIGTERM."""
+    """Asks the receiver to stop gracefully, as on SIGTERM."""
 
 
 @registry.register(50)
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class FetchState:
-    """Ask for the bundle in force if it is newer than this version."""
+    """Requests the bundle in force if it is newer than this version."""
 
     version: ids.Version
 
@@ -408,7 +408,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateReply:
-    """The bundle in force, and the owners as far as the sender knows."""
+    """The bundle in force and the shard owners known to the sender."""
 
     bundle: records.BundleRecord | None
     shards: list[records.ShardState]
