--- a/packages/apricotlanding/src/apricotlanding/codec.py
+++ b/packages/apricotlanding/src/apricotlanding/codec.py
@@ -1,12 +1,11 @@
-"""Typed messages to and from msgpack.
+"""Encoding and decoding of typed messages with msgpack.
 
 ``wire`` and ``records`` declare small frozen dataclasses and register each
-under a number with a ``Registry``. A message travels as the msgpack array
+under a number with a ``Registry``. A message is encoded as the msgpack array
 ``[number, field, field, ...]`` in the order of the declaration. Decoding
-checks the shape with pydantic, so that a peer or a log record of the wrong
-shape is one clear error at the border and never a surprise further in.
-Fields at the end that have a default may be missing: that is how a newer
-daemon talks to an older one.
+validates the array with pydantic, so that malformed data from a peer or the
+log is rejected here and does not reach other code. Trailing fields that have a
+default may be missing, so that daemons of different versions can communicate.
 
     registry = Registry('peer message')
 
@@ -31,8 +30,8 @@
 
 __all__ = ['Registry']
 
-# Characters of an error about a message. Parts of the message stand in it,
-# which a stranger may make as long as a frame.
+# Longest error detail. It quotes parts of the message, which an untrusted
+# peer can make as long as a frame.
 DETAIL_LIMIT_CHARS: ty.Final = 200
 
 T = ty.TypeVar('T')
@@ -43,7 +42,7 @@
     """Message types by number."""
 
     def __init__(self, name: str) -> None:
-        """Start without any type; the name is used in errors."""
+        """Create an empty registry; the name is used in errors."""
         self.name = name
         self._adapters: dict[int, pydantic.TypeAdapter[ty.Any]] = {}
         self._fields: dict[int, list[str]] = {}
@@ -52,11 +51,11 @@
     def register(
         self, number: int
     ) -> collections.abc.Callable[[type[T]], type[T]]:
-        """Return a decorator that files a dataclass under a number."""
+        """Return a decorator that registers a dataclass under a number."""
 
         def register_type(cls: type[T]) -> type[T]:
             if number in self._adapters:
-                raise ValueError(f'{self.name} {number} is taken')
+                raise ValueError(f'{self.name} {number} is already registered')
             fields = dataclasses.fields(cls)  # type: ignore[arg-type]
             self._adapters[number] = pydantic.TypeAdapter(cls)
             self._fields[number] = [field.name for field in fields]
@@ -66,7 +65,7 @@
         return register_type
 
     def pack(self, message: object) -> list[ty.Any]:
-        """Return the array that stands for a message."""
+        """Convert a message to an array."""
         number = self._numbers[type(message)]
         names = self._fields[number]
         adapter = self._adapters[number]
@@ -74,16 +73,16 @@
         return [number, *(fields[name] for name in names)]
 
     def unpack(self, array: ty.Any) -> ty.Any:
-        """Return the message that an array stands for.
+        """Convert an array to a message.
 
-        Raises Refused (BAD_FRAME) for anything else.
+        Raises Refused (BAD_FRAME) if the array is not a valid message.
         """
         if not isinstance(array, list) or not array:
             raise self._refuse('not an array')
         number = array[0]
         if not isinstance(number, int) or number not in self._adapters:
-            # Cut short also in depth: the writing of a list within a list
-            # within a list ends in a RecursionError.
+            # reprlib also limits the depth: repr of a deeply nested list
+            # raises RecursionError.
             raise self._refuse(f'unknown {self.name} {reprlib.repr(number)}')
         names = self._fields[number]
         if len(array) - 1 > len(names):
@@ -97,11 +96,11 @@
             raise self._refuse(f'{where}: {first["msg"]}') from error
 
     def encode(self, message: object) -> bytes:
-        """Return a message as msgpack."""
+        """Encode a message as msgpack."""
         return pack_data(self.pack(message))
 
     def decode(self, data: bytes) -> ty.Any:
-        """Return the message in msgpack data; Refused (BAD_FRAME) if bad."""
+        """Decode a message; raises Refused (BAD_FRAME) if it is invalid."""
         return self.unpack(unpack_data(data))
 
     def _refuse(self, detail: str) -> errors.Refused:
@@ -109,7 +108,7 @@
 
 
 def pack_data(value: ty.Any) -> bytes:
-    """Return a plain value as msgpack; enums go by their values."""
+    """Encode a plain value as msgpack; enums are encoded by value."""
     return ty.cast(bytes, msgpack.packb(value, default=_simplify))
 
 
@@ -120,12 +119,12 @@
 
 
 def unpack_data(data: bytes) -> ty.Any:
-    """Return the plain value in msgpack data; Refused if there is none."""
+    """Decode msgpack data; raises Refused (BAD_FRAME) if it is invalid."""
     try:
         return msgpack.unpackb(data, strict_map_key=False)
     except (
         ValueError,
-        # A list or a map as the key of a map.
+        # Raised for a list or a map as the key of a map.
         TypeError,
         msgpack.UnpackException,
     ) as error:
@@ -133,7 +132,7 @@
 
 
 def make_frame_error(detail: str) -> errors.Refused:
-    """Return the error for data that cannot be read."""
+    """Return the error for data that cannot be decoded."""
     short = detail[:DETAIL_LIMIT_CHARS]
     return errors.Refused(
         errors.make_problem(errors.Kind.BAD_FRAME, detail=short)
