--- a/packages/apricotlanding/src/apricotlanding/errors.py
+++ b/packages/apricotlanding/src/apricotlanding/errors.py
@@ -1,14 +1,13 @@
-"""Every error that a caller or an operator can meet.
+"""All errors that are reported to callers and operators.
 
-The messages of the whole system are gathered here, each with a code that
-never changes meaning, so that they can be reviewed, documented and
-translated in one place. A ``Problem`` is a value: functions return it inside
-``expression.Result`` or carry it in a ``Refused`` exception when the stack
-has to unwind.
+The messages of the whole system are defined here, each with a code whose
+meaning never changes, so that they can be reviewed, documented and translated
+in one place. A ``Problem`` is a value: functions return it inside
+``expression.Result`` or raise it in a ``Refused`` exception.
 
-``Outcome`` is the promise that goes with an error. *not-run* means that no
-runner has worked on the request and that none will; *unknown* means that one
-may have.
+``Outcome`` is the guarantee that an error gives. *not-run* means that no
+runner has worked on the request and that none will; *unknown* means that a
+runner may have.
 """
 
 import dataclasses
@@ -26,7 +25,7 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a request, as its caller is told."""
+    """Outcome of a request, as reported to its caller."""
 
     COMPLETE = 'complete'
     NOT_RUN = 'not-run'
@@ -36,21 +35,21 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Template:
-    """Fixed part of an error."""
+    """Constant part of an error."""
 
     # Stable code, shown to callers and operators.
     code: str
-    # HTTP status of an answer that consists of this error.
+    # HTTP status of a response that reports this error.
     status: int
     outcome: Outcome
-    # What happened; may name fields in braces.
+    # What happened; may contain format fields.
     text: str
     # What the reader can do about it.
     remedy: str
 
 
 class Kind(enum.Enum):
-    """Kinds of error; the value is the template."""
+    """Kinds of error; the value is the message template."""
 
     BAD_CREDENTIALS = Template(
         'APL101',
@@ -402,15 +401,15 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One error, ready to be shown."""
+    """One error with its message."""
 
     kind: Kind
     # ``text`` of the template with its fields filled in.
     text: str
     remedy: str
-    # What the caller may rely on: the template's word, or a weaker one.
+    # The outcome of the template, or UNKNOWN; see ``mark_outcome_unknown``.
     outcome: Outcome
-    # Seconds after which asking again makes sense; None if never.
+    # Seconds after which a retry makes sense; None if never.
     retry_after_s: float | None = None
 
     @property
@@ -424,13 +423,13 @@
         return self.kind.value.status
 
     def __str__(self) -> str:
-        """Return one line for people."""
+        """Return one human-readable line."""
         return f'{self.code}: {self.text}; {self.remedy}'
 
 
 @ty.final
 class Refused(Exception):
-    """Carries a problem up the stack."""
+    """Raised to report a problem."""
 
     def __init__(self, problem: Problem) -> None:
         """Wrap a problem."""
@@ -443,10 +442,9 @@
     retry_after_s: float | None = None,
     **fields: object,
 ) -> Problem:
-    """Fill a template's fields.
+    """Create a problem from the template of its kind.
 
-    ``retry_after_s`` is in seconds. Raises KeyError if a field that the
-    template names is not given.
+    Raises KeyError if a format field of the template is missing.
     """
     template = kind.value
     return Problem(
@@ -459,11 +457,11 @@
 
 
 def mark_outcome_unknown(problem: Problem) -> Problem:
-    """Return a problem that does not say that the request was not run.
+    """Return the problem with the outcome UNKNOWN.
 
-    For refusals of at-most-once work before its claim owner was heard: this
-    call has run nothing, but an earlier one under the same key may have,
-    through another daemon. "Not run" would be believed, and a caller would
-    send the work again under a new key.
+    Used when an at-most-once request is rejected before its claim owner has
+    answered: this call has run nothing, but an earlier call with the same
+    key may have, through another daemon. If told "not run", a caller would
+    send the request again with a new key.
     """
     return dataclasses.replace(problem, outcome=Outcome.UNKNOWN)
