--- a/packages/apricotlanding/src/apricotlanding/bundle.py
+++ b/packages/apricotlanding/src/apricotlanding/bundle.py
@@ -1,13 +1,13 @@
 """The versioned configuration bundle.
 
-A bundle is one YAML file that says who may ask for what and where it runs:
-*tiers* in order of importance, *organisations* with credentials and weights,
-*routes* that callers post to, and *pools* of runners. Operators change the
-whole file, never a part of it; ``signatures`` says who wrote and approved it
-and ``bundlestore`` (in the daemon) which version is in force.
+A bundle is one YAML file that defines who may send which requests and where
+they run: *tiers* in order of importance, *organisations* with credentials and
+weights, *routes* that callers post to, and *pools* of runners. Operators
+always replace the whole file; ``signatures`` verifies who wrote and approved
+it, and ``bundlestore`` (in the daemon) decides which version is in force.
 
-``check_bundle`` finds all mistakes of a text in one run. ``Bundle`` is what
-the rest of the system works with: the same data with look-up tables.
+``check_bundle`` reports all errors of a text in one run. ``Bundle`` is the
+form that the rest of the system uses: the same data with lookup tables.
 
     version: 2
     base: 1
@@ -68,7 +68,7 @@
 
 
 def _read_enum(kind: type[enum.Enum]) -> pydantic.BeforeValidator:
-    # YAML has no enums: strict mode takes their values as they are written.
+    # YAML has no enums, and strict mode does not convert values to them.
     def read(value: ty.Any) -> ty.Any:
         for member in kind:
             if member.value == value:
@@ -87,7 +87,7 @@
 
 
 class RunnerKind(enum.Enum):
-    """What stands behind a runner's address."""
+    """Type of backend server at the address of a runner."""
 
     # A model engine that streams tokens.
     ENGINE = 'engine'
@@ -97,30 +97,30 @@
 
 @ty.final
 class Limits(_Model):
-    """What callers may send."""
+    """Limits on the requests of callers."""
 
     body_bytes: _Positive = 1_048_576
     headers: _Positive = 64
     deadline_ms: _Positive = 3_600_000
-    # How long a key is remembered, in seconds.
+    # Retention period of idempotency keys, in seconds.
     claim_window_s: _Seconds = 3600.0
-    # How far the wall clock of an entry host may be off, in seconds.
+    # Largest clock error of an entry host, in seconds.
     clock_skew_s: _Seconds = 0.25
-    # How far ahead of ours a caller's clock may be, in seconds. Its keys
-    # are granted once our clock has reached their issue time.
+    # How far a caller's clock may be ahead of a daemon's, in seconds. Its keys
+    # are granted once the daemon's clock has reached their issue time.
     key_ahead_s: _Seconds = 3.0
 
 
 @ty.final
 class Ownership(_Model):
-    """How owners of shards change; docs/design/ownership.md."""
+    """Timing of shard ownership; see docs/design/ownership.md."""
 
     claim_shards: ty.Annotated[int, pydantic.Field(gt=0, le=256)] = 8
     # How long a promise lasts.
     lease_s: _Seconds = 1.0
-    # Silence after which a successor takes over; longer than a lease.
+    # Silence after which a successor takes over; longer than the lease.
     takeover_after_s: _Seconds = 2.0
-    # How long owner and successor may go on without the log.
+    # How long owner and successor may continue without the log.
     outage_limit_s: _Seconds = 300.0
 
     @pydantic.model_validator(mode='after')
@@ -141,27 +141,27 @@
     """A customer."""
 
     name: _Name
-    # Share within a tier, relative to the other organisations.
+    # Weight within a tier, relative to the other organisations.
     weight: ty.Annotated[float, pydantic.Field(gt=0, le=1000)] = 1.0
-    # Best tier that its requests get; the route's tier if not given.
+    # Highest tier of its requests; the tier of the route if not given.
     tier: str | None = None
-    # SHA-256 of each token in force, in hex. Two while one replaces another.
+    # SHA-256 of each valid token, in hex; two during a token rotation.
     token_sha256: ty.Annotated[list[_Digest], pydantic.Field(min_length=1)]
-    # Routes that it may use; all if not given.
+    # Routes that it may use; all routes if not given.
     routes: list[str] | None = None
 
 
 @ty.final
 class RouteModel(_Model):
-    """Something that callers can ask for."""
+    """A route that callers post requests to."""
 
     name: _Name
     pool: str
     tier: str
     repeat: ty.Annotated[Repeat, _read_enum(Repeat)]
-    # Deadline of a request that names none.
+    # Deadline of requests that do not set one.
     deadline_ms: _Positive
-    # Output tokens of a request that names none.
+    # Output token limit of requests that do not set one.
     max_tokens: _Positive = 256
 
 
@@ -174,40 +174,40 @@
     address: addresses.AddressField
     generation: _Name
     domain: _Name
-    # Whether it refuses orders with an old fencing number.
+    # Whether it rejects orders with an outdated fencing number.
     checks_fencing: bool = False
-    # What the engine is ordered to have loaded: a model, adapter or version.
-    # Nothing is ordered if not given.
+    # Model, adapter or version that the engine is ordered to load; no order
+    # is sent if not given.
     load: str | None = None
-    # Role that it is ordered to take, such as prefill or decode.
+    # Role that the engine is ordered to take, such as prefill or decode.
     role: str | None = None
-    # Most requests at a time.
+    # Limit on concurrent requests.
     slots: _Positive = 8
-    # Most tokens, prompt and output, in the batch at a time.
+    # Limit on the tokens in a batch, prompt and output.
     batch_tokens: _Positive = 65_536
 
 
 @ty.final
 class PoolModel(_Model):
-    """Runners that stand in for each other."""
+    """Interchangeable runners."""
 
     name: _Name
-    # Name of a placement policy; see docs/design/scheduling.md.
+    # Placement policy; see docs/design/scheduling.md.
     policy: str = 'prefix-aware'
-    # Most requests that wait in the whole pool.
+    # Limit on queued requests in the whole pool.
     queue_requests: _Positive = 1000
-    # Most tokens that wait in the whole pool.
+    # Limit on the tokens of queued requests in the whole pool.
     queue_tokens: _Positive = 10_000_000
-    # A request of at most so many tokens, prompt and output, is short.
+    # Most tokens of a short request, prompt and output.
     short_tokens: _Positive = 256
-    # Part of the pool's slots that only short requests may take.
+    # Share of the pool's slots that is reserved for short requests.
     short_part: ty.Annotated[float, pydantic.Field(ge=0, le=0.5)] = 0.125
     runners: ty.Annotated[list[RunnerModel], pydantic.Field(min_length=1)]
 
 
 @ty.final
 class BundleModel(_Model):
-    """The file as operators write it."""
+    """Content of a bundle file."""
 
     version: _Positive
     # The version that this one replaces; 0 for the first.
@@ -225,10 +225,10 @@
 
 @ty.final
 class Bundle:
-    """A checked bundle with its look-up tables."""
+    """A checked bundle with lookup tables."""
 
     def __init__(self, model: BundleModel) -> None:
-        """Index a checked model."""
+        """Build the lookup tables of a checked model."""
         self.model = model
         self.version = ids.Version(model.version)
         self.limits = model.limits
@@ -248,13 +248,13 @@
         }
 
     def find_organisation(self, token: str) -> ids.Organisation | None:
-        """Return whose token this is; None if nobody's."""
+        """Return the organisation of a token; None if it is unknown."""
         return self._tokens.get(hash_token(token))
 
     def find_tier(
         self, organisation: ids.Organisation, route: RouteModel
     ) -> ids.Tier:
-        """Return the tier of a request: the lesser of the two named."""
+        """Return the lower tier of the route and the organisation."""
         rank = self.tiers[route.tier]
         best = self.organisations[organisation].tier
         if best is None:
@@ -267,16 +267,16 @@
 
 
 def hash_token(token: str) -> str:
-    """Return what a bundle keeps in place of a token."""
+    """Return the SHA-256 of a token, in hex, as stored in bundles."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def check_bundle(
     text: bytes | str, policies: collections.abc.Collection[str]
 ) -> expression.Result[Bundle, list[yamlfiles.Finding]]:
-    """Check a text; return the bundle or every mistake, in line order.
+    """Check a text; return the bundle or all errors, in line order.
 
-    ``policies`` are the names of the placement policies that exist.
+    ``policies`` are the names of the available placement policies.
     """
     loaded = yamlfiles.load_model(text, BundleModel)
     if loaded.is_error():
@@ -291,7 +291,7 @@
 
 @ty.final
 class _Checker:
-    """Finds what does not fit together in a well-formed file."""
+    """Checks a well-formed file for inconsistencies."""
 
     def __init__(
         self,
