--- a/packages/apricotlanding/src/apricotlanding/__init__.py
+++ b/packages/apricotlanding/src/apricotlanding/__init__.py
@@ -1,12 +1,13 @@
-"""What the processes of apricotlanding share.
+"""Library shared by all processes of apricotlanding.
 
 Start reading with ``ids`` and ``errors``, then ``bundle`` (what operators
-configure), ``records`` (what the platform's log carries) and ``wire`` (what
-daemons tell each other). The daemon itself is the package
-``apricotlandingd``, the operators' client ``apricotctl``.
+configure), ``records`` (records of the platform's log) and ``wire`` (messages
+between daemons). The daemon is the package ``apricotlandingd``, the client for
+operators is ``apricotctl``.
 
-Only what every process needs is re-exported: importing ``bundle`` here would
-load the signature library into hosts of a platform that signs nothing.
+Only names that every process needs are re-exported: importing ``bundle`` here
+would load the signature library on hosts of a platform that does not sign
+bundles.
 """
 
 from apricotlanding.errors import Kind
