--- a/packages/apricotlanding/src/apricotlanding/addresses.py
+++ b/packages/apricotlanding/src/apricotlanding/addresses.py
@@ -1,7 +1,7 @@
-"""Network addresses by IP number.
+"""Network addresses: an IP address and a port.
 
-Our hosts reach each other by IP number only; a name in a file would need a
-resolver, which is one more thing that can be down.
+Host names are not accepted: they would add a resolver as a dependency that
+can fail.
 """
 
 import dataclasses
@@ -16,20 +16,20 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return ``IP:PORT``, with brackets around an IPv6 number."""
+        """Return ``IP:PORT``, with brackets around an IPv6 address."""
         if ':' in self.host:
             return f'[{self.host}]:{self.port}'
         return f'{self.host}:{self.port}'
 
 
 def parse_address(text: str) -> Address:
-    """Return the address in ``IP:PORT``; ValueError with the remedy."""
+    """Parse ``IP:PORT``; raises ValueError with a hint."""
     host, colon, port = text.rpartition(':')
     if not colon or not port.isdecimal() or not 0 <= int(port) < 65536:
         raise ValueError('write IP:PORT, such as 10.0.0.1:7000')
