--- a/packages/apricotlanding/src/apricotlanding/clocks.py
+++ b/packages/apricotlanding/src/apricotlanding/clocks.py
@@ -1,11 +1,11 @@
-"""Reading the clocks.
+"""Access to the system clocks.
 
-Functions that decide take the present time as an argument; only the tasks
-around them read a clock, and they read it here.
+Functions with decision logic take the current time as an argument; only the
+tasks that call them read a clock, with these functions.
 
-``read_monotonic`` is CLOCK_BOOTTIME: it goes on while the machine sleeps. A
-lease measured with CLOCK_MONOTONIC would seem unexpired to a holder whose
-host was suspended, and two owners would grant at once.
+``read_monotonic`` uses CLOCK_BOOTTIME, which also advances while the host is
+suspended. A lease measured with CLOCK_MONOTONIC would not expire for a holder
+on a suspended host, and two owners would grant at the same time.
 """
 
 import pathlib
@@ -17,15 +17,15 @@
 
 
 def read_monotonic() -> float:
-    """Return seconds on a clock of which only differences have meaning."""
+    """Return monotonic time in seconds; only differences are meaningful."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def read_boot_id() -> str:
-    """Return a name for this boot of this host's kernel."""
+    """Return the boot id of the kernel, which changes with each boot."""
     return _BOOT_ID.read_text().strip()
 
 
 def read_wall() -> float:
-    """Return Unix time in seconds, as right as this host's clock is."""
+    """Return Unix time in seconds, according to the clock of this host."""
     return time.time()
