--- a/packages/apricotlanding/src/apricotlanding/frames.py
+++ b/packages/apricotlanding/src/apricotlanding/frames.py
@@ -1,8 +1,8 @@
 """Length-prefixed msgpack frames over a byte stream.
 
-A frame is four bytes of length, most significant first, and that many bytes
-of msgpack. The limit on the length is checked before anything is read, so a
-peer that is not one of ours cannot make a daemon set memory aside.
+A frame consists of its length in four bytes, big-endian, and that many bytes
+of msgpack. The length is checked before the body is read, so that an untrusted
+peer cannot make a daemon allocate memory.
 """
 
 import struct
@@ -15,7 +15,7 @@
 
 __all__ = ['CONNECTION_ERRORS', 'FrameStream']
 
-# What using a connection raises when it has broken or was closed.
+# Raised by operations on a connection that is broken or closed.
 CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
@@ -26,16 +26,16 @@
 )
 
 _HEADER = struct.Struct('>I')
-# Longest frame that a peer may send, in bytes. The longest that we send is
-# a report of claims, which is cut into parts well below this.
+# Largest frame that a peer may send. The largest frames of a daemon are claim
+# reports, which are split into messages well below this limit.
 FRAME_LIMIT_BYTES = 4 * 1024 * 1024
-# Longest frame before a peer has proved who it is.
+# Largest frame before the peer is authenticated.
 HANDSHAKE_LIMIT_BYTES = 4 * 1024
 
 
 @ty.final
 class FrameStream:
-    """Frames over one connection; one reader, any number of writers."""
+    """Frames over a connection, for one reader and any number of writers."""
 
     def __init__(self, stream: anyio.abc.ByteStream) -> None:
         """Wrap a connected stream."""
@@ -47,13 +47,13 @@
         self.limit = HANDSHAKE_LIMIT_BYTES
 
     async def send(self, value: ty.Any) -> None:
-        """Send one frame; anyio.BrokenResourceError if the peer is gone."""
+        """Send a frame; anyio.BrokenResourceError if the peer is gone."""
         data = codec.pack_data(value)
         async with self._send_lock:
             await self._stream.send(_HEADER.pack(len(data)) + data)
 
     async def receive(self) -> ty.Any:
-        """Return the next frame's value.
+        """Receive a frame and return its value.
 
         Raises anyio.EndOfStream or anyio.IncompleteRead at the end of the
         stream and Refused (BAD_FRAME) for a frame that is too long or not
