--- a/packages/apricotlanding/src/apricotlanding/handshake.py
+++ b/packages/apricotlanding/src/apricotlanding/handshake.py
@@ -1,13 +1,13 @@
-"""How two peers prove to each other that they share a key.
+"""Mutual authentication of two peers with a shared key.
 
 Both send a greeting with a nonce, then a proof: HMAC-SHA256 over the role of
-its sender and both greetings. Nothing else is read before the proof has been
-checked. The role keeps a proof from being sent back to its maker as the
-other side's; the nonces keep one from being used twice.
+its sender and both greetings. No other message is read before the proof has
+been verified. The role prevents reflection of a proof to its sender; the
+nonces prevent replay.
 
-Known limit: the frames after the handshake are neither encrypted nor
-authenticated one by one. The entry hosts' network has to be trusted with
-the requests' metadata (docs/design/peers.md).
+Known limitation: the frames after the handshake are neither encrypted nor
+authenticated individually. The network of the entry hosts must be trusted
+with the metadata of requests (docs/design/peers.md).
 """
 
 import dataclasses
@@ -25,9 +25,8 @@
 
 __all__ = ['Greeting', 'greet_acceptor', 'greet_dialer']
 
-# Raised by one whenever an older daemon could misread a newer one.
+# Incremented with each change that older daemons would misinterpret.
 PROTOCOL_VERSION = 1
-# Seconds that a stranger may take to prove itself.
 HANDSHAKE_TIMEOUT_S = 3.0
 
 _DIALER = b'dialer'
@@ -39,7 +38,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Greeting:
-    """What a peer says of itself."""
+    """Identifies a peer."""
 
     protocol: int
     host: ids.Host
@@ -52,7 +51,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proof:
-    """Shows that the sender of a greeting has the shared key."""
+    """Proves that the sender of a greeting has the shared key."""
 
     digest: bytes
 
@@ -69,7 +68,7 @@
 async def greet_acceptor(
     stream: frames.FrameStream, mine: Greeting, key: bytes
 ) -> Greeting:
-    """Run the dialer's half; return the acceptor's greeting.
+    """Run the handshake as dialer; return the greeting of the acceptor.
 
     Raises Refused (BAD_PEER or BAD_FRAME) or TimeoutError.
     """
@@ -79,7 +78,7 @@
 async def greet_dialer(
     stream: frames.FrameStream, mine: Greeting, key: bytes
 ) -> Greeting:
-    """Run the acceptor's half; return the dialer's greeting.
+    """Run the handshake as acceptor; return the greeting of the dialer.
 
     Raises Refused (BAD_PEER or BAD_FRAME) or TimeoutError.
     """
