--- a/packages/apricotlanding/src/apricotlanding/hostlist.py
+++ b/packages/apricotlanding/src/apricotlanding/hostlist.py
@@ -1,8 +1,8 @@
 """Client of the platform's list of live and leaving hosts.
 
-The list lags: a host on it may be dead already and one that is missing may
-be live. It is used to find peers and to stop sending work to hosts that are
-leaving; nothing that must be safe rests on it.
+The list is eventually consistent: a listed host may be dead and a missing one
+may be live. It is used to find peers and to stop sending requests to hosts
+that are leaving; no safety property depends on it.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 class HostState(enum.Enum):
-    """What the platform says of a host."""
+    """State of a host according to the platform."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -25,13 +25,13 @@
 
 @ty.final
 class HostListUnreachable(Exception):
-    """The list could not be read; the last one read stands."""
+    """The list could not be read; the last one read remains valid."""
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostEntry:
-    """One host."""
+    """One host on the list."""
 
     # Name of an entry host, or of a runner.
     name: str
@@ -43,14 +43,14 @@
 
 @ty.final
 class HostList:
-    """The list at one address."""
+    """Client of the list at one address."""
 
     def __init__(self, address: addresses.Address) -> None:
-        """Prepare a client; no connection is made yet."""
+        """Create a client; connections are opened on demand."""
         self._client = webclient.WebClient(address, max_connections=2)
 
     async def read(self) -> list[HostEntry]:
-        """Return the list; raises HostListUnreachable."""
+        """Fetch the list; raises HostListUnreachable."""
         try:
             status, reply = await self._client.call_json(
                 'GET', '/hosts', read_timeout=2.0
@@ -65,7 +65,7 @@
             raise HostListUnreachable(f'bad answer: {error!r}') from error
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self._client.close()
 
 
