--- a/packages/apricotlanding/src/apricotlanding/ids.py
+++ b/packages/apricotlanding/src/apricotlanding/ids.py
@@ -1,23 +1,23 @@
 """Identifiers that the processes exchange.
 
-Every identifier is a ``NewType``, so that a checker finds a host given
-where a runner is expected. Values are plain strings and integers on the
-wire; see ``wire`` and ``records`` for the messages that carry them.
+Every identifier is a ``NewType``, so that a type checker finds a host passed
+in place of a runner. Values are plain strings and integers on the wire; see
+``wire`` and ``records`` for the messages that contain them.
 
 One *host* runs one daemon process at a time. An *incarnation* is one run of
 one daemon process: a restarted daemon has the same host and a new
-incarnation, and nothing that an earlier incarnation promised binds it.
-
-A *runner start* is one run of a runner's process, which may start again under
-its registered id. What is held for a runner is held for one start of it; the
-registered id alone is for the wire, for logs, and for choices that must not
-change when a runner starts again.
-
-An incarnation's name tells which earlier ones are dead. It contains a digest
-of the kernel's boot and of the address that the daemon listens on, and the
-time of its start on that kernel's clock. Two processes cannot listen on one
-address of one running kernel, so the later of two such names proves that the
-earlier process has ended.
+incarnation, and is not bound by promises of an earlier incarnation.
+
+A *runner start* is one run of a runner's process, which may restart under the
+same registered id. State about a runner belongs to one start of it; the
+registered id alone is used on the wire, in logs, and for decisions that must
+not change when a runner restarts.
+
+The name of an incarnation shows which earlier ones have ended. It contains a
+digest of the kernel's boot id and of the address that the daemon listens on,
+and the start time on the kernel's monotonic clock. Two processes cannot
+listen on the same address of one running kernel, so the later of two names
+with the same digest proves that the earlier process has ended.
 """
 
 import secrets
@@ -55,7 +55,7 @@
 Route = ty.NewType('Route', str)
 Pool = ty.NewType('Pool', str)
 Runner = ty.NewType('Runner', str)
-# One run of a runner's process: ``BIRTH@RUNNER``; see ``make_runner_start``.
+# ``TIME@RUNNER``; see ``make_runner_start``.
 RunnerStart = ty.NewType('RunnerStart', str)
 Host = ty.NewType('Host', str)
 Domain = ty.NewType('Domain', str)
@@ -78,10 +78,11 @@
 
 
 def make_incarnation(host: Host, place: str, started_at: float) -> Incarnation:
-    """Return a name for this run of this process.
+    """Return the incarnation of a daemon process.
 
-    ``place`` names kernel boot and listening address, ``started_at`` is the
-    monotonic time in seconds after the address was bound.
+    ``place`` identifies the kernel boot and the listening address;
+    ``started_at`` is the monotonic time in seconds after the address was
+    bound.
     """
     digest = xxhash.xxh3_64_hexdigest(place.encode())
     start = int(started_at * 1000)
@@ -89,7 +90,7 @@
 
 
 def has_ended(earlier: Incarnation, later: Incarnation) -> bool:
-    """Tell whether ``later`` proves that ``earlier`` has ended."""
+    """Return whether ``later`` proves that ``earlier`` has ended."""
     place, start = _split_incarnation(earlier)
     other_place, other_start = _split_incarnation(later)
     return place == other_place and start < other_start
@@ -101,35 +102,36 @@
 
 
 def parse_host(incarnation: Incarnation) -> Host:
-    """Return the host that runs this incarnation."""
+    """Return the host of an incarnation."""
     return Host(incarnation.rpartition('/')[0])
 
 
 def make_runner_start(runner: Runner, birth: int | None) -> RunnerStart:
-    """Return the identity of one start of a runner.
+    """Return the identifier of one start of a runner.
 
-    ``birth`` is the Unix millisecond of the start; None if the runner does
-    not state it, and all its starts are then taken for one. The birth goes
-    first, because a runner's id may contain any character.
+    ``birth`` is the Unix time of the start in milliseconds; None if the
+    runner does not report it, in which case all its starts have the same
+    identifier. The time comes first, because a runner's id may contain any
+    character.
     """
     return RunnerStart(f'{"" if birth is None else birth}@{runner}')
 
 
 def parse_runner(start: RunnerStart) -> Runner:
-    """Return the id under which a start is registered."""
+    """Return the registered id of the runner."""
     return Runner(start.partition('@')[2])
 
 
 def parse_start_time(start: RunnerStart) -> int | None:
-    """Return the Unix millisecond of a start; None if it is not known."""
+    """Return the Unix time of a start in milliseconds; None if unknown."""
     birth = start.partition('@')[0]
     return int(birth) if birth else None
 
 
 def has_run_before(start: RunnerStart, later: RunnerStart) -> bool:
-    """Tell whether two starts are of one runner, and which was first.
+    """Return whether ``start`` is an earlier start of the same runner.
 
-    A start whose birth is not known is taken to be the first.
+    A start whose time is not known counts as earlier than any other.
     """
     birth, later_birth = parse_start_time(start), parse_start_time(later)
     if parse_runner(start) != parse_runner(later) or later_birth is None:
@@ -138,10 +140,10 @@
 
 
 def read_issue_time(key: Key) -> float | None:
-    """Return when a key was issued, in Unix seconds.
+    """Return the issue time of a key as Unix time in seconds.
 
-    Only a UUIDv7 (RFC 9562) carries its time: the first 48 bits count
-    milliseconds. Returns None for any other UUID.
+    Only a UUIDv7 (RFC 9562) contains its issue time, in milliseconds in the
+    first 48 bits. Returns None for any other UUID.
     """
     value = uuid.UUID(key)
     if value.version != _UUIDV7:
