--- a/packages/apricotlanding/src/apricotlanding/logs.py
+++ b/packages/apricotlanding/src/apricotlanding/logs.py
@@ -1,7 +1,7 @@
-"""Logs: JSON lines by eliot, one task tree for each request.
+"""Structured logs: JSON lines by eliot, one task tree for each request.
 
-Every line is written to standard error; the platform collects it. Nothing is
-logged for a chunk of an answer.
+Log lines are written to standard error, from where the platform collects
+them. Individual chunks of an answer are not logged.
 """
 
 import collections.abc
@@ -13,9 +13,9 @@
 
 
 def write_logs(**fields: str) -> collections.abc.Callable[[], None]:
-    """Send log lines to standard error, each with these fields.
+    """Write log lines to standard error, each with these fields.
 
-    Returns a function that ends it.
+    Returns a function that stops the output.
     """
     destination = eliot.FileDestination(file=sys.stderr)
     eliot.add_global_fields(**fields)
