--- a/packages/apricotlanding/src/apricotlanding/metrics.py
+++ b/packages/apricotlanding/src/apricotlanding/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics by statsd, counted in process and sent by time.
+"""Metrics that are sent to statsd.
 
-A count or a timing costs an addition to a pipeline in memory; once a second
-the pipeline goes out over UDP. A metrics host that is off, slow or gone is
-not noticed by any request: UDP to nobody is dropped.
+Counts and timings are added to a pipeline in memory, which is sent over UDP
+once a second. A metrics host that is slow or unreachable does not delay any
+request: its packets are dropped.
 """
 
 import typing as ty
@@ -22,7 +22,7 @@
     """Counters and timings of one process."""
 
     def __init__(self, address: addresses.Address | None) -> None:
-        """Send to a statsd address, or count in process only."""
+        """Send to a statsd address, or only count in memory if None."""
         self.counts: dict[str, int] = {}
         self._pipeline: ty.Any = None
         if address is None:
@@ -42,12 +42,12 @@
             self._pipeline.incr(name, amount)
 
     def time(self, name: str, seconds: float) -> None:
-        """Report a duration in seconds."""
+        """Record a duration in seconds."""
         if self._pipeline is not None:
             self._pipeline.timing(name, seconds * 1000.0)
 
     async def flush_forever(self) -> None:
-        """Send what was counted, once a second."""
+        """Send the collected metrics once a second."""
         while True:
             await anyio.sleep(FLUSH_INTERVAL_S)
             if self._pipeline is not None:
