--- a/packages/apricotlanding/src/apricotlanding/platformlog.py
+++ b/packages/apricotlanding/src/apricotlanding/platformlog.py
@@ -1,12 +1,12 @@
 """Client of the platform's append-only log.
 
-The log service speaks HTTP: ``POST /append`` takes the bytes of one record
-and answers with its offset; ``GET /records?from=N&wait_ms=M`` answers with
-the records from an offset on, waiting for the first one if there is none.
+The log service uses HTTP: ``POST /append`` takes the bytes of one record and
+returns its offset; ``GET /records?from=N&wait_ms=M`` returns the records from
+an offset on and is a long poll if there are none.
 
-An append whose reply is lost may have taken effect, now or later. This
-module only reports the doubt (``LogDoubt``); ``logfollower`` in the daemon
-settles it.
+An append whose reply is lost may take effect immediately or later. This
+module only reports the unknown result (``LogDoubt``); ``logfollower`` in the
+daemon resolves it.
 """
 
 import base64
@@ -20,19 +20,19 @@
 __all__ = ['LogBatch', 'LogDoubt', 'LogUnreachable', 'PlatformLog']
 
 APPEND_TIMEOUT_S = 2.0
-# How long the service holds a read that finds nothing, in milliseconds.
+# Long-poll timeout of the service when there are no records.
 POLL_WAIT_MS = 1000
 _READ_TIMEOUT_S = 5.0
 
 
 @ty.final
 class LogUnreachable(Exception):
-    """Nothing was read, or nothing can have been appended."""
+    """The log could not be read, or the append has not taken effect."""
 
 
 @ty.final
 class LogDoubt(Exception):
-    """An append may or may not take effect, now or later."""
+    """An append may have taken effect or may take effect later."""
 
 
 @ty.final
@@ -40,27 +40,28 @@
 class LogBatch:
     """Consecutive records."""
 
-    # Oldest offset that the log still has.
+    # Oldest offset that the log retains.
     first: ids.Offset
-    # Offset after the last record of this batch.
+    # Offset after the last record of the batch.
     next: ids.Offset
-    # True if the log had nothing behind this batch when it was read.
+    # True if the batch reached the end of the log when it was read.
     is_end: bool
     records: list[tuple[ids.Offset, bytes]]
 
 
 @ty.final
 class PlatformLog:
-    """The log at one address."""
+    """Client of the log at one address."""
 
     def __init__(self, address: addresses.Address) -> None:
-        """Prepare a client; no connection is made yet."""
+        """Create a client; connections are opened on demand."""
         self._client = webclient.WebClient(address, max_connections=8)
 
     async def append(self, data: bytes) -> None:
-        """Append a record; returns once the service says that it stands.
+        """Append a record; returns once the service has confirmed it.
 
-        Raises LogUnreachable if nothing was sent, else LogDoubt.
+        Raises LogUnreachable if nothing was sent, and LogDoubt for any other
+        failure.
         """
         try:
             status, _ = await self._client.call(
@@ -76,7 +77,8 @@
     async def read(self, start: ids.Offset) -> LogBatch:
         """Return records from ``start`` on; raises LogUnreachable.
 
-        Records that retention dropped are skipped: compare ``first``.
+        Records dropped by retention are skipped; ``first`` is then greater
+        than ``start``.
         """
         path = f'/records?from={start}&wait_ms={POLL_WAIT_MS}'
         try:
@@ -93,7 +95,7 @@
             raise LogUnreachable(f'bad answer: {error!r}') from error
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self._client.close()
 
 
