--- a/packages/apricotlanding/src/apricotlanding/asgi.py
+++ b/packages/apricotlanding/src/apricotlanding/asgi.py
@@ -1,8 +1,8 @@
-"""What our HTTP applications share: bodies, answers, and a server to run.
+"""Helpers for ASGI applications: request bodies, responses and a server.
 
 ``uvicorn`` parses HTTP and calls an ASGI application; the daemon's two
-listeners and the stand-ins are such applications. ``Server`` runs one inside
-an anyio task and leaves the signals to its owner.
+listeners and the stand-ins are such applications. ``Server`` runs one in an
+anyio task and leaves signal handling to its owner.
 """
 
 import collections.abc
@@ -42,7 +42,7 @@
 App = collections.abc.Callable[
     [Scope, Receive, Send], collections.abc.Awaitable[None]
 ]
-# Longest request line and headers, in bytes.
+# Limit on the size of the request line and headers.
 HEAD_LIMIT_BYTES = 64 * 1024
 # Connections that may wait to be accepted.
 BACKLOG = 2048
@@ -52,16 +52,16 @@
 
 @ty.final
 class BodyTooLarge(Exception):
-    """The body is longer than allowed."""
+    """The request body exceeds the limit."""
 
 
 @ty.final
 class Disconnected(Exception):
-    """The caller went away before its whole body had arrived."""
+    """The caller disconnected before its whole body had arrived."""
 
 
 async def read_body(receive: Receive, limit: int) -> bytes:
-    """Return the whole body; raises BodyTooLarge or Disconnected."""
+    """Return the request body; raises BodyTooLarge or Disconnected."""
     parts: list[bytes] = []
     size = 0
     while True:
@@ -78,7 +78,7 @@
 
 
 def read_headers(scope: Scope) -> dict[str, str]:
-    """Return the headers with names in lower case."""
+    """Return the request headers with names in lower case."""
     return {
         name.decode('latin-1').lower(): value.decode('latin-1')
         for name, value in scope['headers']
@@ -88,7 +88,7 @@
 async def start_response(
     send: Send, status: int, headers: HeaderList | None = None
 ) -> None:
-    """Send status and headers."""
+    """Send the status and the headers."""
     await send(
         {
             'type': 'http.response.start',
@@ -101,7 +101,7 @@
 async def send_body_part(
     send: Send, data: bytes, is_last: bool = False
 ) -> None:
-    """Send a part of the body."""
+    """Send a part of the response body."""
     await send(
         {
             'type': 'http.response.body',
@@ -117,7 +117,7 @@
     value: ty.Any,
     headers: HeaderList | None = None,
 ) -> None:
-    """Send a whole JSON answer."""
+    """Send a complete JSON response."""
     found = [(b'content-type', b'application/json'), *(headers or [])]
     await start_response(send, status, found)
     await send_body_part(
@@ -131,7 +131,7 @@
     headers: HeaderList | None = None,
     **fields: ty.Any,
 ) -> None:
-    """Answer with an error, its remedy, and when to come back."""
+    """Send an error with its remedy and retry delay as the response."""
     found = list(headers or [])
     value = fields | {
         'outcome': problem.outcome.value,
@@ -150,20 +150,22 @@
 
 @ty.final
 class _BoundedProtocol(httptools_impl.HttpToolsProtocol):
-    # The parser keeps every byte of a request's head until the head ends. A
-    # caller that never ends it would fill the memory of the daemon, which
-    # would be killed with all the requests that it carries.
+    # The parser buffers the request line and headers until they are complete.
+    # Without a limit, a caller that never completes them would exhaust the
+    # memory of the daemon, which would be killed with all its requests.
 
     _is_head_open = False
     _head_bytes = 0
-    # The server closes; what has come is still read and answered.
+    # The server is closing; data that has already arrived is still read and
+    # the request is answered.
     _is_last = False
 
     def shutdown(self) -> None:
-        # A connection that is idle for the program may hold a request: in
-        # the socket, because the process did not run for a while, or as half
-        # of a head. Closed now, its caller would get a reset and no word.
-        # Anything that comes later meets a closed connection.
+        # A connection without a request in progress may still hold one: unread
+        # in the socket, because the process was not scheduled for a while, or
+        # with incomplete headers. If it were closed now, the caller would get
+        # a reset and no response. Data that arrives later finds the connection
+        # closed.
         is_idle = self.cycle is None or self.cycle.response_complete
         if is_idle and (self._is_head_open or self._has_unread()):
             self._is_last = True
@@ -185,8 +187,9 @@
         self._head_bytes += len(data)
         if self._head_bytes > HEAD_LIMIT_BYTES:
             self.send_400_response(
-                f'The request line and headers are longer than {HEAD_LIMIT_BYTES}'
-                ' bytes; send only the headers that the interface names.'
+                'The request line and headers are longer than'
+                f' {HEAD_LIMIT_BYTES} bytes; send only the headers that the'
+                ' interface names.'
             )
 
     def on_message_begin(self) -> None:
@@ -203,15 +206,15 @@
 
 @ty.final
 class _SignalFreeServer(uvicorn.Server):
-    # The daemon decides what a signal means: uvicorn would cut the requests
-    # that a graceful stop lets finish.
+    # The daemon handles signals itself: uvicorn would abort requests that a
+    # graceful stop lets finish.
     @contextlib.contextmanager
     def capture_signals(self) -> collections.abc.Iterator[None]:
         yield
 
 
 def bind_address(address: addresses.Address) -> socket.socket:
-    """Return a listening socket; OSError if that cannot be."""
+    """Return a listening socket; raises OSError if it cannot be bound."""
     family = socket.AF_INET6 if ':' in address.host else socket.AF_INET
     return socket.create_server(
         (address.host, address.port), family=family, backlog=BACKLOG
@@ -223,7 +226,7 @@
     """An HTTP listener."""
 
     def __init__(self, app: App, *places: addresses.Address) -> None:
-        """Bind the addresses; OSError if that cannot be."""
+        """Bind the addresses; raises OSError if one cannot be bound."""
         self._sockets = [bind_address(address) for address in places]
         self._config = config = uvicorn.Config(
             app,
@@ -231,7 +234,7 @@
             http=_BoundedProtocol,
             ws='none',
             interface='asgi3',
-            # Nothing stands between callers and us that rewrites addresses.
+            # There is no proxy in front that rewrites client addresses.
             proxy_headers=False,
             lifespan='off',
             log_config=None,
@@ -240,38 +243,38 @@
             date_header=False,
             backlog=BACKLOG,
             timeout_keep_alive=10,
-            # The owner bounds the wait, by ending the task of ``serve``.
+            # The owner limits the wait by cancelling the task of ``serve``.
             timeout_graceful_shutdown=None,
         )
         self._server = _SignalFreeServer(config)
         self._ended = anyio.Event()
 
     async def serve(self) -> None:
-        """Serve until ``stop`` is called and no connection is left."""
+        """Serve until ``stop`` is called and all connections are closed."""
         await self._server.serve(sockets=self._sockets)
         self._ended.set()
 
     def set_idle_timeout(self, seconds: float) -> None:
-        """Set how long connections made from now on may stay unused."""
+        """Set the idle timeout of new connections."""
         self._config.timeout_keep_alive = math.ceil(seconds)
 
     def stop(self) -> None:
-        """Close the listener and what is idle; answers under way go on."""
+        """Close the listener and idle connections; others are completed."""
         self._server.should_exit = True
 
     async def wait_closed(self) -> None:
-        """Wait until ``stop`` was called and no connection is left.
+        """Wait until ``stop`` was called and all connections are closed.
 
-        A connection is gone when the socket has taken all that was sent.
+        A connection is closed once the socket has accepted all data sent.
         """
         await self._ended.wait()
 
     def count_connections(self) -> int:
-        """Return the connections that are open, idle ones included."""
+        """Return the number of open connections, including idle ones."""
         return len(self._server.server_state.connections)
 
     def count_unsent(self) -> int:
-        """Return the bytes of answers that no socket has taken yet."""
+        """Return the bytes that are not yet written to the sockets."""
         return sum(
             connection.transport.get_write_buffer_size()
             for connection in self._server.server_state.connections
