--- a/packages/apricotlanding/src/apricotlanding/shutdown.py
+++ b/packages/apricotlanding/src/apricotlanding/shutdown.py
@@ -1,15 +1,16 @@
-"""The planned end of a process: what is closed when, and what is waited for.
-
-    asked        not ready any more; answers tell callers to go elsewhere
-    notice over  the listener closes, and with it each idle connection
-    all closed   the process ends
-    grace over   what is left is given up, each request with a true answer
-    last words   the process ends, just before it is killed
-
-The end follows the connections. Requests in progress are the wrong thing to
-ask for: one that was just read is not counted yet, and one that is answered
-may have bytes that its caller has not taken. Either would be cut. A
-connection is gone only when nothing can come on it and all has left.
+"""Graceful shutdown of a process.
+
+    stop requested  readiness fails; responses send callers to other hosts
+    notice over     the listener and all idle connections are closed
+    all closed      the process exits
+    grace over      remaining requests are aborted, each with a truthful answer
+    exit            the process exits, just before it is killed
+
+The process exits when all connections are closed, not when no request is in
+progress: a request that was just read is not counted yet, and an answered
+request may have bytes that its caller has not received. Both would be
+truncated. A connection is closed only when no data can arrive on it and all
+data has been sent.
 """
 
 import dataclasses
@@ -19,45 +20,45 @@
 
 __all__ = ['Listener', 'Plan', 'close_listener', 'make_plan']
 
-# Seconds after the signal in which new connections may still arrive: the
-# balancer asks once a second and acts on the second answer.
+# New connections may still arrive for this time after the signal: the load
+# balancer checks readiness once a second and acts on the second failure.
 NOTICE_S = 2.5
-# Part of the grace that the notice may use where the grace is short. The rest
-# is for what is in progress.
+# Largest share of the grace period that the notice may use. The rest is left
+# for requests in progress.
 NOTICE_SHARE = 2 / 3
-# Part of the grace after which requests in progress are given up. What their
-# callers are told then needs the rest to leave.
+# Share of the grace period after which requests in progress are aborted. The
+# rest is needed to send the error responses.
 ABORT_SHARE = 0.9
-# Part of the grace after which the process ends although connections are
-# open: the kill that follows would end them without a line in the log.
+# Share of the grace period after which the process exits with open
+# connections: the kill that follows would end them without a log line.
 EXIT_SHARE = 0.95
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """When a stop does what, on the steady clock."""
+    """Times of the steps of a shutdown, on the monotonic clock."""
 
-    # The listener closes.
+    # The listener is closed.
     close_at: float
-    # Requests in progress are given up.
+    # Requests in progress are aborted.
     abort_at: float
-    # The process ends with what is open.
+    # The process exits even with open connections.
     exit_at: float
 
 
 class Listener(ty.Protocol):
-    """The listeners of a process and their connections."""
+    """A listener and its connections."""
 
     def stop(self) -> None:
-        """Take nothing new, and close what is idle."""
+        """Accept no new connections and close idle ones."""
 
     async def wait_closed(self) -> None:
-        """Wait until no connection is left."""
+        """Wait until all connections are closed."""
 
 
 def make_plan(grace_s: float, now: float) -> Plan:
-    """Return the times of a stop asked for now, with a grace in seconds."""
+    """Return the times of a shutdown that is requested now."""
     notice_s = min(NOTICE_S, grace_s * NOTICE_SHARE)
     return Plan(
         close_at=now + notice_s,
@@ -67,7 +68,7 @@
 
 
 async def close_listener(intake: Listener, left_s: float) -> bool:
-    """Close an intake; False if connections are left after so many seconds."""
+    """Close a listener; False if connections are open after the timeout."""
     intake.stop()
     with anyio.move_on_after(left_s) as limit:
         await intake.wait_closed()
