--- a/packages/apricotlanding/src/apricotlanding/signatures.py
+++ b/packages/apricotlanding/src/apricotlanding/signatures.py
@@ -1,9 +1,9 @@
-"""Signing bundles: one operator writes, another approves.
+"""Signatures of bundles by an author and an approver.
 
-Both sign the same bytes with Ed25519: the role, the two names and the text.
-The role is part of what is signed, so that an approval cannot be shown as
-authorship. Daemons know the operators' public keys from their settings, not
-from a bundle: a bundle must not be able to admit its own signers.
+Both sign the role, the two names and the text with Ed25519. The role is
+included so that an approval cannot be used as the author's signature. Daemons
+take the operators' public keys from their settings, not from a bundle:
+otherwise a bundle could authorise its own signers.
 """
 
 import collections.abc
@@ -29,7 +29,7 @@
 
 
 def make_private_key() -> bytes:
-    """Return a new private key in PEM form."""
+    """Return a new private key in PEM format."""
     return ed25519.Ed25519PrivateKey.generate().private_bytes(
         serialization.Encoding.PEM,
         serialization.PrivateFormat.PKCS8,
@@ -38,13 +38,13 @@
 
 
 def format_public_key(private_pem: bytes) -> str:
-    """Return the public half in hex, as settings name it."""
+    """Return the public key in hex, as used in settings."""
     public = _read_private_key(private_pem).public_key()
     return public.public_bytes_raw().hex()
 
 
 def parse_public_key(text: str) -> ed25519.Ed25519PublicKey:
-    """Return the key in 64 hex digits; ValueError if it is none."""
+    """Parse a public key of 64 hex digits; raises ValueError."""
     return ed25519.Ed25519PublicKey.from_public_bytes(bytes.fromhex(text))
 
 
@@ -55,7 +55,7 @@
     approver: str,
     text: bytes,
 ) -> bytes:
-    """Return one of the two signatures of a bundle."""
+    """Return the author's or the approver's signature of a bundle."""
     role = _AUTHOR if is_author else _APPROVER
     signed = _make_signed(role, author, approver, text)
     return _read_private_key(private_pem).sign(signed)
@@ -64,7 +64,7 @@
 def describe_bad_signature(
     record: records.BundleRecord, keys: PublicKeys
 ) -> str | None:
-    """Return what is wrong with a record's signatures; None if nothing."""
+    """Return the error in a record's signatures; None if they are valid."""
     if record.author == record.approver:
         return 'author and approver are the same operator'
     for name, role, signature in (
