--- a/packages/apricotlanding/src/apricotlanding/sockets.py
+++ b/packages/apricotlanding/src/apricotlanding/sockets.py
@@ -1,10 +1,9 @@
-"""Socket options that show a silent connection.
+"""Socket options that detect dead connections.
 
-A connection can fall silent for good without a reset: a host lost power, a
-partition cut it, or a device in between forgot it. Nothing then tells the
-waiting side, which would wait until its own timeout, with every request that
-it sends on this connection. The kernel's own probes show it within seconds
-and cost no message of ours.
+A connection can die without a reset: a host loses power, the network is
+partitioned, or a middlebox drops its connection state. Each request on such a
+connection would wait until its own timeout. TCP keepalive detects it within
+seconds and needs no messages in the protocol.
 """
 
 import socket
@@ -12,13 +11,13 @@
 
 __all__ = ['KEEPALIVE_OPTIONS', 'enable_keepalive']
 
-# Seconds of silence before the first probe, and between probes; probes
-# without an answer until the connection breaks. Together about three
-# seconds: a lossy link loses one probe now and then, not three in a row.
+# Idle time before the first probe, interval between probes, and number of
+# unanswered probes that break the connection: about three seconds in total. A
+# lossy link occasionally loses one probe, but not three in a row.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-# Milliseconds for which sent data may stay unacknowledged.
+# How long sent data may remain unacknowledged.
 UNACKED_TIMEOUT_MS = 2500
 
 KEEPALIVE_OPTIONS: ty.Final[list[tuple[int, int, int]]] = [
@@ -31,6 +30,6 @@
 
 
 def enable_keepalive(connected: socket.socket) -> None:
-    """Set the options on a connected TCP socket."""
+    """Enable TCP keepalive on a connected socket."""
     for level, option, value in KEEPALIVE_OPTIONS:
         connected.setsockopt(level, option, value)
