--- a/packages/apricotlanding/src/apricotlanding/submissions.py
+++ b/packages/apricotlanding/src/apricotlanding/submissions.py
@@ -1,4 +1,4 @@
-"""A signed bundle on its way from ``apricotctl`` to a daemon, as JSON."""
+"""JSON encoding of signed bundles sent from ``apricotctl`` to a daemon."""
 
 import base64
 import json
@@ -11,7 +11,7 @@
 
 
 def encode_submission(record: records.BundleRecord) -> bytes:
-    """Return a signed bundle as JSON."""
+    """Encode a signed bundle as JSON."""
     value = {
         'version': record.version,
         'base': record.base,
@@ -25,7 +25,7 @@
 
 
 def decode_submission(body: bytes) -> records.BundleRecord:
-    """Return the bundle in JSON; Refused (BUNDLE_REFUSED) if none."""
+    """Decode a signed bundle; raises Refused (BUNDLE_REFUSED)."""
     try:
         value = json.loads(body)
         return records.BundleRecord(
