--- a/packages/apricotlanding/src/apricotlanding/supervisor.py
+++ b/packages/apricotlanding/src/apricotlanding/supervisor.py
@@ -1,10 +1,10 @@
-"""A supervisor: runs children, restarts those that fail.
+"""A supervisor that runs children and restarts those that fail.
 
-Each part of a daemon is a child: an async function that runs until it is
-cancelled. A child that raises is logged and started again after a delay that
-doubles up to a limit; a child that fails on and on does not take the others
-with it, and the daemon goes on with what works. Children may be supervisors
-themselves, which makes the tree.
+Each component of a daemon is a child: an async function that runs until it is
+cancelled. When a child raises, the exception is logged and the child is
+restarted with exponential backoff; a child that fails repeatedly does not
+affect the others. Children may be supervisors themselves, which forms a
+supervision tree.
 """
 
 import collections.abc
@@ -26,9 +26,9 @@
     work: collections.abc.Callable[..., collections.abc.Awaitable[object]],
     *arguments: ty.Any,
 ) -> None:
-    """Run a task of a group so that its failure ends only itself.
+    """Run a task of a task group and log its exceptions.
 
-    Without this one task's fault would cancel all others of its group.
+    Otherwise an exception in one task would cancel all others of its group.
     """
     try:
         await work(*arguments)
@@ -38,22 +38,22 @@
 
 @ty.final
 class Supervisor:
-    """One level of the tree."""
+    """One node of the supervision tree."""
 
     def __init__(self, name: str) -> None:
-        """Start without children; the name is used in logs."""
+        """Create a supervisor without children; the name is used in logs."""
         self.name = name
         self._group: anyio.abc.TaskGroup | None = None
         self._scopes: dict[str, anyio.CancelScope] = {}
 
     async def __aenter__(self) -> 'Supervisor':
-        """Open the group that the children run in."""
+        """Open the task group of the children."""
         self._group = anyio.create_task_group()
         await self._group.__aenter__()
         return self
 
     async def __aexit__(self, *details: ty.Any) -> bool | None:
-        """Cancel the children and wait for their end."""
+        """Cancel the children and wait until they have ended."""
         assert self._group is not None
         self._group.cancel_scope.cancel()
         return await self._group.__aexit__(*details)
@@ -66,13 +66,13 @@
         self._group.start_soon(self._run, name, child, scope, name=name)
 
     def stop(self, name: str) -> None:
-        """Cancel a child; nothing happens if there is none."""
+        """Cancel a child if it is running."""
         scope = self._scopes.pop(name, None)
         if scope is not None:
             scope.cancel()
 
     def list_children(self) -> list[str]:
-        """Return the names of the children that run."""
+        """Return the names of the running children."""
         return sorted(self._scopes)
 
     async def _run(
