--- a/packages/apricotlanding/src/apricotlanding/taskgroups.py
+++ b/packages/apricotlanding/src/apricotlanding/taskgroups.py
@@ -1,7 +1,8 @@
-"""Task groups that raise what their body raised.
+"""Task groups that raise single exceptions.
 
-A task group wraps every exception in a group. Code that uses one only to run
-a helper beside its body wants the body's exception, to match on its type.
+A task group wraps every exception in an exception group. Code that only runs a
+background task next to its body needs the original exception, to match on its
+type.
 """
 
 import collections.abc
@@ -15,9 +16,9 @@
 
 @contextlib.asynccontextmanager
 async def open_group() -> collections.abc.AsyncIterator[anyio.abc.TaskGroup]:
-    """Open a task group; its first exception is raised by itself.
+    """Open a task group that raises its first exception unwrapped.
 
-    The helpers are cancelled when the body ends.
+    The tasks are cancelled when the body ends.
     """
     try:
         async with anyio.create_task_group() as group:
