--- a/packages/apricotlanding/src/apricotlanding/tracing.py
+++ b/packages/apricotlanding/src/apricotlanding/tracing.py
@@ -1,10 +1,10 @@
-"""Traces: a span for each hop of a request, by OpenTelemetry.
+"""Distributed tracing with OpenTelemetry: a span for each hop of a request.
 
-The hops are caller, entry, claim, schedule and runner. Trace ids come from
-the caller's ``traceparent`` header (W3C Trace Context) and go on to the
-runner in the same header. Finished spans are written as JSON lines from a
-thread of the library's own; a full queue drops spans and a file that cannot
-be written drops them all, and no request waits for either.
+The hops are caller, entry, claim, schedule and runner. The trace context is
+taken from the caller's ``traceparent`` header (W3C Trace Context) and passed
+to the runner in the same header. Finished spans are written as JSON lines by a
+thread of the library. Spans are dropped if its queue is full or the file
+cannot be written; requests never wait for either.
 """
 
 import collections.abc
@@ -61,10 +61,9 @@
 def make_tracer(
     name: str, path: pathlib.Path | None
 ) -> tuple[Tracer, collections.abc.Callable[[], None]]:
-    """Return a tracer and a function that writes what is left.
+    """Return a tracer and a function that flushes it and shuts it down.
 
-    Without a path the tracer makes spans that cost next to nothing and go
-    nowhere.
+    Without a path, the tracer is a no-op.
     """
     if path is None:
         return trace.NoOpTracerProvider().get_tracer('apricotlanding'), _rest
@@ -81,12 +80,12 @@
 
 
 def extract_context(headers: dict[str, str]) -> context.Context:
-    """Return the context that a caller's headers name."""
+    """Return the trace context of a caller's headers."""
     return _propagator.extract(headers)
 
 
 def inject_context(where: context.Context) -> list[tuple[bytes, bytes]]:
-    """Return the headers that carry a context on."""
+    """Return the headers that propagate a trace context."""
     carrier: dict[str, str] = {}
     _propagator.inject(carrier, where)
     return [(name.encode(), value.encode()) for name, value in carrier.items()]
