--- a/packages/apricotlanding/src/apricotlanding/webclient.py
+++ b/packages/apricotlanding/src/apricotlanding/webclient.py
@@ -1,10 +1,9 @@
-"""HTTP calls to the platform, to backend servers and to daemons.
+"""HTTP client for the platform, backend servers and daemons.
 
-A thin layer over ``httpcore``: one connection pool for each address, time
-limits on every step, and errors narrowed to two kinds that matter to a
-scheduler. ``NotSent`` means that not a byte of the request has left this
-process, so the other side cannot have acted on it; ``Broken`` means that it
-may have.
+A thin layer over ``httpcore``: one connection pool for each address, timeouts
+on every step, and two kinds of error that a scheduler has to distinguish.
+``NotSent`` means that no byte of the request has left this process, so the
+server cannot have acted on it; ``Broken`` means that it may have.
 """
 
 import collections.abc
@@ -29,7 +28,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Seconds to connect: our hosts are milliseconds apart.
+# Hosts are milliseconds apart.
 CONNECT_TIMEOUT_S = 1.0
 
 
@@ -48,20 +47,20 @@
 
 @ty.final
 class Garbled(Broken):
-    """What came is no answer; the other side may be another program."""
+    """The response is malformed; the peer may be another program."""
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
 class Response:
-    """A status, headers, and a body that is still on its way."""
+    """A status, headers, and a body that is streamed."""
 
     status: int
     headers: dict[bytes, bytes]
     _raw: httpcore.Response
 
     async def iterate(self) -> collections.abc.AsyncIterator[bytes]:
-        """Yield the body as it arrives; Broken if it is cut."""
+        """Yield the body as it arrives; raises Broken if it is truncated."""
         try:
             async for part in self._raw.aiter_stream():
                 yield part
@@ -71,7 +70,7 @@
             raise Broken(repr(error)) from error
 
     async def read(self, limit: int) -> bytes:
-        """Return the whole body; Broken if it is longer than ``limit``."""
+        """Return the body; raises Broken if it is longer than ``limit``."""
         parts: list[bytes] = []
         size = 0
         async for part in self.iterate():
@@ -84,7 +83,7 @@
 
 @ty.final
 class WebClient:
-    """Calls to one address."""
+    """Client of the server at one address."""
 
     def __init__(
         self,
@@ -93,10 +92,10 @@
         read_timeout: float = 30.0,
         has_tcp_keepalive: bool = False,
     ) -> None:
-        """Prepare a pool; no connection is made yet.
+        """Create a connection pool; connections are opened on demand.
 
-        ``read_timeout`` bounds the wait for each part of an answer, in
-        seconds. A watched connection breaks soon after it falls silent; see
+        ``read_timeout`` limits the wait for each part of a response, in
+        seconds. With TCP keepalive, dead connections are detected soon; see
         ``sockets``.
         """
         self.address = address
@@ -105,9 +104,9 @@
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=max_connections,
             max_keepalive_connections=max_connections,
-            # Below the time after which uvicorn drops an idle connection:
-            # a request on a connection that the other side has just closed
-            # would be Broken although it was never read.
+            # Below the idle timeout of uvicorn: a request on a connection
+            # that the server has just closed would fail as Broken although it
+            # was never read.
             keepalive_expiry=2.0,
             socket_options=sockets.KEEPALIVE_OPTIONS
             if has_tcp_keepalive
@@ -170,7 +169,7 @@
         read_timeout: float | None = None,
         limit: int = 64 * 1024 * 1024,
     ) -> tuple[int, bytes]:
-        """Return status and whole body; raises NotSent or Broken."""
+        """Return status and body; raises NotSent or Broken."""
         async with self.open(
             method, path, headers, body, read_timeout
         ) as response:
@@ -195,5 +194,5 @@
             raise Broken(f'not JSON: {error}') from error
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self._pool.aclose()
