--- a/packages/apricotlanding/src/apricotlanding/yamlfiles.py
+++ b/packages/apricotlanding/src/apricotlanding/yamlfiles.py
@@ -1,8 +1,8 @@
-"""YAML files whose mistakes are found all at once, each with its line.
+"""Validation of YAML files that reports all errors with their lines.
 
-``load_model`` reads text into a pydantic model. A file that is not YAML is
-one finding; otherwise every unknown key, doubled key, missing field and bad
-value is found in the same run, with the line where it stands.
+``load_model`` loads text into a pydantic model. Invalid YAML is reported as
+one finding; otherwise all unknown keys, duplicate keys, missing fields and
+invalid values are reported in one run, each with its line.
 """
 
 import collections.abc
@@ -29,7 +29,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Finding:
-    """One mistake in a file."""
+    """One error in a file."""
 
     # Counted from 1.
     line: int
@@ -39,23 +39,23 @@
     remedy: str
 
     def __str__(self) -> str:
-        """Return one line for people."""
+        """Return one human-readable line."""
         return f'line {self.line}: {self.where}: {self.text}; {self.remedy}'
 
 
 @ty.final
 class LineMap:
-    """Lines of a YAML file by location."""
+    """Line numbers of a YAML file by location."""
 
     def __init__(self, root: yaml.Node | None) -> None:
-        """Walk the tree of nodes; None stands for an empty file."""
+        """Index the tree of nodes; None for an empty file."""
         self._lines: dict[Location, int] = {(): 1}
         self.duplicates: list[Finding] = []
         if root is not None:
             self._visit(root, ())
 
     def find_line(self, location: Location) -> int:
-        """Return the line of a location or of its nearest parent."""
+        """Return the line of a location or of its nearest ancestor."""
         while location not in self._lines:
             location = location[:-1]
         return self._lines[location]
@@ -96,7 +96,7 @@
 def load_model(
     text: bytes | str, model: type[M]
 ) -> expression.Result[tuple[M, LineMap], list[Finding]]:
-    """Read YAML into a model, or return every mistake, in line order."""
+    """Load YAML into a model, or return all errors, in line order."""
     try:
         root = yaml.compose(text, Loader=yaml.SafeLoader)
         plain = yaml.safe_load(text)
