--- a/packages/apricotctl/src/apricotctl/__init__.py
+++ b/packages/apricotctl/src/apricotctl/__init__.py
@@ -1,6 +1,5 @@
-"""The operators' client.
+"""Command-line client for operators.
 
-``command`` has the commands as people type them, ``client`` talks to a
-daemon's operator listener, and ``bundlefiles`` reads, signs and compares
-bundles on disk.
+``command`` defines the commands, ``client`` calls a daemon's operator
+listener, and ``bundlefiles`` reads, signs and compares bundles on disk.
 """
