--- a/packages/apricotctl/src/apricotctl/bundlefiles.py
+++ b/packages/apricotctl/src/apricotctl/bundlefiles.py
@@ -1,8 +1,8 @@
-"""Bundles on disk: checking, signing and comparing them.
+"""Checks, signs and compares bundles on disk.
 
-A bundle ``FILE`` is signed in ``FILE.signed``: a JSON file that holds the
-text and the signatures so far. The author makes it, the approver completes
-it, and anybody may submit it.
+The signatures of a bundle ``FILE`` are stored in ``FILE.signed``, a JSON file
+with the text and the signatures added so far. It can be submitted by anybody
+once both author and approver have signed.
 """
 
 import base64
@@ -29,14 +29,14 @@
 
 
 def check_file(path: pathlib.Path) -> bundle.Bundle:
-    """Return the bundle in a file; print every mistake and exit if bad."""
+    """Return the bundle in a file; print all errors and exit if invalid."""
     checked = bundle.check_bundle(path.read_bytes(), policies.list_names())
     if checked.is_ok():
         return checked.ok
     for finding in checked.error:
         click.echo(f'{path}: {finding}', err=True)
     count = len(checked.error)
-    raise click.ClickException(f'{count} mistakes; nothing was changed')
+    raise click.ClickException(f'{count} errors; nothing was changed')
 
 
 def sign_file(
@@ -60,7 +60,7 @@
     if signed_path.exists():
         before = json.loads(signed_path.read_text())
         if {name: before.get(name) for name in value} == value:
-            # The same text by the same people: keep the other signature.
+            # Same text, author and approver: keep the other signature.
             value = before
     signature = signatures.sign_bundle(
         private_pem, is_author, author, approver, text
@@ -72,7 +72,7 @@
 
 
 def read_signed(path: pathlib.Path) -> records.BundleRecord:
-    """Return a bundle that both have signed."""
+    """Return a bundle that author and approver have signed."""
     try:
         return submissions.decode_submission(path.read_bytes())
     except errors.Refused as error:
