--- a/packages/apricotctl/src/apricotctl/client.py
+++ b/packages/apricotctl/src/apricotctl/client.py
@@ -17,9 +17,9 @@
 def call_daemon(
     address: str, token: str, method: str, path: str, body: bytes = b''
 ) -> ty.Any:
-    """Return a daemon's JSON answer.
+    """Return a daemon's JSON response.
 
-    Raises click.ClickException with code and remedy for anything else.
+    Raises click.ClickException with code and remedy on any error.
     """
     try:
         parsed = addresses.parse_address(address)
@@ -42,13 +42,13 @@
         value = json.loads(data)
     except webclient.NotSent as error:
         raise click.ClickException(
-            f'no daemon answers at {address}; start it or name another one'
-            ' with --daemon'
+            f'cannot connect to a daemon at {address}; start it or choose'
+            ' another one with --daemon'
         ) from error
     except (webclient.WebError, ValueError) as error:
         raise click.ClickException(
-            f'the daemon at {address} broke off: {error}; find out with'
-            ' "apricotctl status" what it did before you try again'
+            f'the call to the daemon at {address} failed: {error}; check with'
+            ' "apricotctl status" what it did before you retry'
         ) from error
     finally:
         await client.close()
