--- a/packages/apricotctl/src/apricotctl/command.py
+++ b/packages/apricotctl/src/apricotctl/command.py
@@ -27,13 +27,13 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """The daemon to talk to."""
+    """The daemon that commands are sent to."""
 
     address: str
     token: str
 
     def call(self, method: str, path: str, body: bytes = b'') -> ty.Any:
-        """Return the daemon's answer."""
+        """Return the daemon's response."""
         return client.call_daemon(self.address, self.token, method, path, body)
 
 
@@ -60,9 +60,11 @@
 @main.command()
 @click.argument('path', type=click.Path(path_type=pathlib.Path))
 def keygen(path: pathlib.Path) -> None:
-    """Make a signing key in PATH and print its public half."""
+    """Create a signing key in PATH and print its public key."""
     if path.exists():
-        raise click.ClickException(f'{path} exists; name a new file')
+        raise click.ClickException(
+            f'{path} already exists; choose another file'
+        )
     pem = signatures.make_private_key()
     path.touch(mode=0o600)
     path.write_bytes(pem)
@@ -77,7 +79,7 @@
 @bundle.command()
 @click.argument('path', type=_FILE)
 def check(path: pathlib.Path) -> None:
-    """Name every mistake in PATH, with its line and the remedy."""
+    """List all errors in PATH, with line and remedy."""
     found = bundlefiles.check_file(path)
     click.echo(f'{path}: good, version {found.version}')
 
@@ -112,7 +114,7 @@
 @click.argument('path', type=_FILE)
 @click.pass_obj
 def submit(target: Target, path: pathlib.Path) -> None:
-    """Submit PATH (a .signed file) and say what the log decided."""
+    """Submit PATH (a .signed file) and print the result."""
     record = bundlefiles.read_signed(path)
     reply = target.call(
         'POST', '/v1/bundle', submissions.encode_submission(record)
@@ -146,7 +148,7 @@
 @click.option('--json', 'is_json', is_flag=True, help='For machines.')
 @click.pass_obj
 def status(target: Target, is_json: bool) -> None:
-    """Show who owns what, queues by tier, and runners."""
+    """Show shard owners, queues by tier, and runners."""
     reply = target.call('GET', '/v1/status')
     if is_json:
         click.echo(json.dumps(reply, indent=1))
@@ -191,7 +193,7 @@
 @click.argument('key')
 @click.pass_obj
 def explain(target: Target, organisation: str, key: str) -> None:
-    """Say what became of the request with this Idempotency-Key."""
+    """Show the state of the request with this Idempotency-Key."""
     query = urllib.parse.urlencode({'organisation': organisation, 'key': key})
     reply = target.call('GET', f'/v1/explain?{query}')
     click.echo(
@@ -208,7 +210,7 @@
     '--load', default=1.0, show_default=True, help='1.0 fills the engines.'
 )
 def trace(deployment: str, seed: int, seconds: float, load: float) -> None:
-    """Draw a trace of one of the users' deployments, as JSON lines."""
+    """Generate a trace of one of the users' deployments, as JSON lines."""
     plan = traces.DEPLOYMENTS[deployment]
     for line in traces.make_trace(plan, seed, seconds, load):
         click.echo(line.model_dump_json(exclude_none=True))
@@ -240,9 +242,9 @@
     storm: bool,
     is_json: bool,
 ) -> None:
-    """Replay the trace PATH and print what was measured.
+    """Replay the trace PATH and print the measurements.
 
-    Exits with 1 if a stated outcome was not met.
+    Exits with status 1 if an expected outcome was not met.
     """
     lines = traces.read_trace(path)
     daemons = [addresses.parse_address(text) for text in callers]
