--- a/packages/apricotctl/src/apricotctl/outcomes.py
+++ b/packages/apricotctl/src/apricotctl/outcomes.py
@@ -1,6 +1,6 @@
-"""Stated outcomes of a replay, and whether they were met.
+"""Expected outcomes of a replay and their check.
 
-A YAML file says what must come of a trace:
+A YAML file defines the expected results of a trace:
 
     goodput: {rebuild: 0.95, note: 0.5}    # at least, by route
     outcomes: {unknown: 0, cut: 0}         # at most, by outcome
@@ -20,7 +20,7 @@
 
 @ty.final
 class Outcomes(pydantic.BaseModel):
-    """What a replay must reach."""
+    """Expected results of a replay."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
@@ -30,7 +30,7 @@
 
 
 def load_outcomes(path: pathlib.Path) -> Outcomes:
-    """Read a file of outcomes; click.ClickException names each mistake."""
+    """Read a file of outcomes; click.ClickException lists all errors."""
     loaded = yamlfiles.load_model(path.read_bytes(), Outcomes)
     if loaded.is_error():
         lines = [f'{path}: {finding}' for finding in loaded.error]
@@ -41,7 +41,7 @@
 def check_outcomes(
     outcomes: Outcomes, measured: dict[str, ty.Any]
 ) -> list[str]:
-    """Return what was not met, one line each."""
+    """Return the expectations that were not met, one line each."""
     missed: list[str] = []
     for route, least in outcomes.goodput.items():
         found = measured['goodput'].get(route, 0.0)
