--- a/packages/apricotctl/src/apricotctl/replaying.py
+++ b/packages/apricotctl/src/apricotctl/replaying.py
@@ -1,10 +1,10 @@
-"""Replays a trace against running daemons and measures what came of it.
+"""Replays a trace against running daemons and measures the results.
 
-Each request is posted at its time through the daemons in turn. A caller that
-is refused comes back after Retry-After, under the same key, while its
-deadline allows; ``is_storming`` callers come back at once as well, the first
-time. Measured are goodput by tier (whole answers within the deadline), time
-to the first token and between tokens, and every outcome.
+Each request is posted at its time, to the daemons in round-robin order. A
+rejected request is retried after Retry-After with the same key until its
+deadline; with ``is_storming`` the first retry is sent immediately. Measured
+are goodput by tier (complete answers within the deadline), time to first
+token, time between tokens, and all outcomes.
 """
 
 import collections
@@ -24,7 +24,7 @@
 
 __all__ = ['Replay', 'Results', 'make_key']
 
-# Histograms in microseconds, up to two minutes, to two digits.
+# Histogram range, up to two minutes, and precision.
 _LOWEST = 1
 _HIGHEST = 120_000_000
 _DIGITS = 2
@@ -41,10 +41,10 @@
 
 @ty.final
 class Results:
-    """What was measured."""
+    """Measurements of a replay."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Create empty counters and histograms."""
         self.sent: collections.Counter[str] = collections.Counter()
         self.good: collections.Counter[str] = collections.Counter()
         self.outcomes: collections.Counter[str] = collections.Counter()
@@ -54,7 +54,7 @@
         self.between = _make_histogram()
 
     def describe(self) -> dict[str, ty.Any]:
-        """Return everything for machines."""
+        """Return the results as JSON-serialisable data."""
         return {
             'sent': dict(self.sent),
             'good': dict(self.good),
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Attempt:
-    # One HTTP call: how it ended and when to come back.
+    # Result of one HTTP call.
     outcome: str = 'cut'
     code: str = ''
     retry_after_s: float = 0.0
@@ -90,7 +90,7 @@
         tokens: dict[str, str],
         is_storming: bool = False,
     ) -> None:
-        """Prepare; ``tokens`` are credentials by organisation."""
+        """Create a replay; ``tokens`` are credentials by organisation."""
         self.results = Results()
         self.done = 0
         self._lines = lines
@@ -102,7 +102,7 @@
         ]
 
     async def run(self) -> Results:
-        """Send everything at its time; return when all has ended."""
+        """Send each request at its time; return when all have ended."""
         started = time.monotonic()
         try:
             async with anyio.create_task_group() as group:
