--- a/packages/apricotctl/src/apricotctl/traces.py
+++ b/packages/apricotctl/src/apricotctl/traces.py
@@ -1,4 +1,4 @@
-"""Traces: requests with their times, to be replayed.
+"""Traces of requests with their arrival times, for replays.
 
 A trace is a file of JSON lines, one request each, in order of arrival:
 
@@ -6,12 +6,12 @@
      "prompt_tokens": 1800, "output_tokens": 240, "prefix": "festin-3",
      "prefix_tokens": 640, "deadline_ms": 20000}
 
-``prefix`` names a prompt beginning that requests share. A ``key`` may be
-given; otherwise each request gets a fresh one when it is sent.
+``prefix`` identifies a prompt prefix that requests share. ``key`` is optional;
+without it each request gets a new key when it is sent.
 
-``make_trace`` draws the two deployments of the users' brief from a seed:
-Poisson arrivals with a burst in the first third, a few large organisations,
-and work a hundred times longer than the shortest.
+``make_trace`` generates traces of the two deployments of the users' brief from
+a seed: Poisson arrivals with a burst in the first third, a few large
+organisations, and requests up to a hundred times longer than the shortest.
 """
 
 import collections.abc
@@ -44,7 +44,7 @@
     key: str | None = None
 
     def make_prompt(self, number: int) -> str:
-        """Return a prompt of the right length; ``number`` makes it unique."""
+        """Return a prompt of ``prompt_tokens``, made unique by ``number``."""
         shared = min(self.prefix_tokens, self.prompt_tokens)
         words = [f'{self.prefix}.{index}' for index in range(shared)]
         words += [
@@ -56,14 +56,14 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shape:
-    """How requests of one route look; ranges are inclusive."""
+    """Distribution of the requests of one route; ranges are inclusive."""
 
     route: str
-    # Part of all requests.
+    # Share of all requests.
     share: float
     prompt_tokens: tuple[int, int]
     output_tokens: tuple[int, int]
-    # Part of the prompt that is shared within an organisation.
+    # Share of the prompt that is common within an organisation.
     shared_part: float
     deadline_ms: int
 
@@ -71,13 +71,13 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """One deployment's requests."""
+    """Requests of one deployment."""
 
     shapes: tuple[Shape, ...]
-    # Requests a second that just fill its engines, as measured with the
-    # emulator's constants (docs/design/scheduling.md).
+    # Requests per second that saturate its engines with the constants of the
+    # emulator (docs/design/scheduling.md).
     full_rate: float
-    # Part of the requests by organisation; a few are large.
+    # Share of the requests by organisation; a few are large.
     organisations: tuple[tuple[str, float], ...]
 
 
@@ -108,7 +108,7 @@
         _ORGANISATIONS,
     ),
 }
-# The burst: this part of the trace has this many times the requests.
+# The burst takes this share of the trace at this multiple of the mean rate.
 _BURST_PART = 0.33
 _BURST_FACTOR = 1.5
 
@@ -116,12 +116,12 @@
 def make_trace(
     plan: Plan, seed: int, seconds: float, load: float
 ) -> collections.abc.Iterator[TraceLine]:
-    """Draw a trace; ``load`` 1.0 just fills the engines."""
+    """Generate a trace; a ``load`` of 1.0 saturates the engines."""
     draw = random.Random(seed)  # noqa: S311
     names = [name for name, _ in plan.organisations]
     weights = [weight for _, weight in plan.organisations]
     shares = [shape.share for shape in plan.shapes]
-    # The rest is so much quieter that the mean is what was asked for.
+    # The rest has a lower rate, so that the mean rate is as requested.
     quiet = (1 - _BURST_PART * _BURST_FACTOR) / (1 - _BURST_PART)
     at_s = 0.0
     while True:
@@ -146,7 +146,7 @@
 
 
 def read_trace(path: pathlib.Path) -> list[TraceLine]:
-    """Read a trace; click.ClickException names each bad line."""
+    """Read a trace; click.ClickException lists all invalid lines."""
     lines: list[TraceLine] = []
     wrong: list[str] = []
     for number, text in enumerate(path.read_text().splitlines(), 1):
