--- a/packages/apricotlanding/src/apricotlanding/shutdown.py
+++ b/packages/apricotlanding/src/apricotlanding/shutdown.py
@@ -67,9 +67,9 @@
     )
 
 
-async def close_listener(intake: Listener, left_s: float) -> bool:
+async def close_listener(listener: Listener, timeout_s: float) -> bool:
     """Close a listener; False if connections are open after the timeout."""
-    intake.stop()
-    with anyio.move_on_after(left_s) as limit:
-        await intake.wait_closed()
-    return not limit.cancelled_caught
+    listener.stop()
+    with anyio.move_on_after(timeout_s) as scope:
+        await listener.wait_closed()
+    return not scope.cancelled_caught
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -59,7 +59,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(end_later, intake)
                 self.assertTrue(
-                    await shutdown.close_listener(intake, left_s=5.0)
+                    await shutdown.close_listener(intake, timeout_s=5.0)
                 )
             self.assertTrue(intake.is_stopped)
 
