--- a/packages/apricotlanding/src/apricotlanding/asgi.py
+++ b/packages/apricotlanding/src/apricotlanding/asgi.py
@@ -118,8 +118,8 @@
     headers: HeaderList | None = None,
 ) -> None:
     """Send a complete JSON response."""
-    found = [(b'content-type', b'application/json'), *(headers or [])]
-    await start_response(send, status, found)
+    all_headers = [(b'content-type', b'application/json'), *(headers or [])]
+    await start_response(send, status, all_headers)
     await send_body_part(
         send, json.dumps(value).encode() + b'\n', is_last=True
     )
@@ -132,7 +132,7 @@
     **fields: ty.Any,
 ) -> None:
     """Send an error with its remedy and retry delay as the response."""
-    found = list(headers or [])
+    all_headers = list(headers or [])
     value = fields | {
         'outcome': problem.outcome.value,
         'code': problem.code,
@@ -141,11 +141,11 @@
     }
     if problem.retry_after_s is not None:
         seconds = math.ceil(problem.retry_after_s)
-        found.append((b'retry-after', str(seconds).encode()))
+        all_headers.append((b'retry-after', str(seconds).encode()))
         value['retry_after_s'] = problem.retry_after_s
     if problem.status == 401:
-        found.append((b'www-authenticate', b'Bearer'))
-    await send_json(send, problem.status, value, found)
+        all_headers.append((b'www-authenticate', b'Bearer'))
+    await send_json(send, problem.status, value, all_headers)
 
 
 @ty.final
@@ -154,11 +154,11 @@
     # Without a limit, a caller that never completes them would exhaust the
     # memory of the daemon, which would be killed with all its requests.
 
-    _is_head_open = False
+    _is_reading_head = False
     _head_bytes = 0
     # The server is closing; data that has already arrived is still read and
     # the request is answered.
-    _is_last = False
+    _is_closing = False
 
     def shutdown(self) -> None:
         # A connection without a request in progress may still hold one: unread
@@ -167,8 +167,8 @@
         # a reset and no response. Data that arrives later finds the connection
         # closed.
         is_idle = self.cycle is None or self.cycle.response_complete
-        if is_idle and (self._is_head_open or self._has_unread()):
-            self._is_last = True
+        if is_idle and (self._is_reading_head or self._has_unread()):
+            self._is_closing = True
             return
         super().shutdown()
 
@@ -176,13 +176,13 @@
         if self.transport.is_closing():
             return False
         poller = select.poll()
-        raw = self.transport.get_extra_info('socket')
-        poller.register(raw.fileno(), select.POLLIN)
+        raw_socket = self.transport.get_extra_info('socket')
+        poller.register(raw_socket.fileno(), select.POLLIN)
         return bool(poller.poll(0))
 
     def data_received(self, data: bytes) -> None:
         super().data_received(data)
-        if not self._is_head_open or self.transport.is_closing():
+        if not self._is_reading_head or self.transport.is_closing():
             return
         self._head_bytes += len(data)
         if self._head_bytes > HEAD_LIMIT_BYTES:
@@ -193,14 +193,14 @@
             )
 
     def on_message_begin(self) -> None:
-        self._is_head_open = True
+        self._is_reading_head = True
         self._head_bytes = 0
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        self._is_head_open = False
+        self._is_reading_head = False
         super().on_headers_complete()
-        if self._is_last:
+        if self._is_closing:
             self.cycle.keep_alive = False
 
 
@@ -225,9 +225,9 @@
 class Server:
     """An HTTP listener."""
 
-    def __init__(self, app: App, *places: addresses.Address) -> None:
+    def __init__(self, app: App, *listen_addresses: addresses.Address) -> None:
         """Bind the addresses; raises OSError if one cannot be bound."""
-        self._sockets = [bind_address(address) for address in places]
+        self._sockets = [bind_address(address) for address in listen_addresses]
         self._config = config = uvicorn.Config(
             app,
             loop='none',
@@ -247,12 +247,12 @@
             timeout_graceful_shutdown=None,
         )
         self._server = _SignalFreeServer(config)
-        self._ended = anyio.Event()
+        self._closed = anyio.Event()
 
     async def serve(self) -> None:
         """Serve until ``stop`` is called and all connections are closed."""
         await self._server.serve(sockets=self._sockets)
-        self._ended.set()
+        self._closed.set()
 
     def set_idle_timeout(self, seconds: float) -> None:
         """Set the idle timeout of new connections."""
@@ -267,7 +267,7 @@
 
         A connection is closed once the socket has accepted all data sent.
         """
-        await self._ended.wait()
+        await self._closed.wait()
 
     def count_connections(self) -> int:
         """Return the number of open connections, including idle ones."""
--- a/packages/apricotlanding/src/apricotlanding/bundle.py
+++ b/packages/apricotlanding/src/apricotlanding/bundle.py
@@ -312,10 +312,10 @@
                 f'{model.version} is not above base {model.base}',
                 'count the version up',
             )
-        self._check_doubles(('tiers',), model.tiers)
-        for part in ('organisations', 'routes', 'pools'):
-            names = [item.name for item in getattr(model, part)]
-            self._check_doubles((part,), names, 'name')
+        self._check_duplicates(('tiers',), model.tiers)
+        for section in ('organisations', 'routes', 'pools'):
+            names = [item.name for item in getattr(model, section)]
+            self._check_duplicates((section,), names, 'name')
         self._check_organisations()
         self._check_routes()
         self._check_pools()
@@ -324,20 +324,20 @@
         routes = {route.name for route in self.model.routes}
         owners: dict[str, str] = {}
         for index, item in enumerate(self.model.organisations):
-            place: yamlfiles.Location = ('organisations', index)
+            location: yamlfiles.Location = ('organisations', index)
             if item.tier is not None:
                 self._check_known(
-                    (*place, 'tier'), item.tier, self.model.tiers
+                    (*location, 'tier'), item.tier, self.model.tiers
                 )
             for number, route in enumerate(item.routes or []):
-                self._check_known((*place, 'routes', number), route, routes)
+                self._check_known((*location, 'routes', number), route, routes)
             for number, digest in enumerate(item.token_sha256):
-                first = owners.setdefault(digest, item.name)
-                if first == item.name:
+                owner = owners.setdefault(digest, item.name)
+                if owner == item.name:
                     continue
                 self._add(
-                    (*place, 'token_sha256', number),
-                    f'this token is also that of {first}',
+                    (*location, 'token_sha256', number),
+                    f'this token is also that of {owner}',
                     'give each organisation its own token',
                 )
 
@@ -345,12 +345,14 @@
         pools = {pool.name for pool in self.model.pools}
         limit = self.model.limits.deadline_ms
         for index, route in enumerate(self.model.routes):
-            place = ('routes', index)
-            self._check_known((*place, 'pool'), route.pool, pools)
-            self._check_known((*place, 'tier'), route.tier, self.model.tiers)
+            location = ('routes', index)
+            self._check_known((*location, 'pool'), route.pool, pools)
+            self._check_known(
+                (*location, 'tier'), route.tier, self.model.tiers
+            )
             if route.deadline_ms > limit:
                 self._add(
-                    (*place, 'deadline_ms'),
+                    (*location, 'deadline_ms'),
                     f'above limits.deadline_ms, {limit}',
                     'lower it or raise the limit',
                 )
@@ -358,29 +360,31 @@
     def _check_pools(self) -> None:
         runners: set[str] = set()
         for index, pool in enumerate(self.model.pools):
-            place = ('pools', index)
-            self._check_known((*place, 'policy'), pool.policy, self.policies)
+            location = ('pools', index)
+            self._check_known(
+                (*location, 'policy'), pool.policy, self.policies
+            )
             kinds = {runner.kind for runner in pool.runners}
             if len(kinds) > 1:
                 self._add(
-                    (*place, 'runners'),
+                    (*location, 'runners'),
                     'engines and services in one pool',
                     'make a pool for each kind',
                 )
             for number, runner in enumerate(pool.runners):
                 if runner.name in runners:
                     self._add(
-                        (*place, 'runners', number, 'name'),
+                        (*location, 'runners', number, 'name'),
                         f'{runner.name!r} stands twice',
                         'give each runner its own name',
                     )
                 runners.add(runner.name)
 
-    def _check_doubles(
+    def _check_duplicates(
         self,
-        place: yamlfiles.Location,
+        location: yamlfiles.Location,
         names: list[str],
-        *rest: str,
+        *suffix: str,
     ) -> None:
         seen: set[str] = set()
         for index, name in enumerate(names):
@@ -388,24 +392,26 @@
                 seen.add(name)
                 continue
             self._add(
-                (*place, index, *rest),
+                (*location, index, *suffix),
                 f'{name!r} stands twice',
                 'give each its own name',
             )
 
     def _check_known(
         self,
-        place: yamlfiles.Location,
+        location: yamlfiles.Location,
         name: str,
         known: collections.abc.Collection[str],
     ) -> None:
         if name in known:
             return
         self._add(
-            place,
+            location,
             f'{name!r} is not defined',
             f'use one of: {", ".join(sorted(known))}',
         )
 
-    def _add(self, place: yamlfiles.Location, text: str, remedy: str) -> None:
-        self.findings.append(self.lines.make_finding(place, text, remedy))
+    def _add(
+        self, location: yamlfiles.Location, text: str, remedy: str
+    ) -> None:
+        self.findings.append(self.lines.make_finding(location, text, remedy))
--- a/packages/apricotlanding/src/apricotlanding/codec.py
+++ b/packages/apricotlanding/src/apricotlanding/codec.py
@@ -78,22 +78,24 @@
         Raises Refused (BAD_FRAME) if the array is not a valid message.
         """
         if not isinstance(array, list) or not array:
-            raise self._refuse('not an array')
+            raise self._make_error('not an array')
         number = array[0]
         if not isinstance(number, int) or number not in self._adapters:
             # reprlib also limits the depth: repr of a deeply nested list
             # raises RecursionError.
-            raise self._refuse(f'unknown {self.name} {reprlib.repr(number)}')
+            raise self._make_error(
+                f'unknown {self.name} {reprlib.repr(number)}'
+            )
         names = self._fields[number]
         if len(array) - 1 > len(names):
-            raise self._refuse(f'too many fields for {self.name} {number}')
+            raise self._make_error(f'too many fields for {self.name} {number}')
         fields = dict(zip(names, array[1:], strict=False))
         try:
             return self._adapters[number].validate_python(fields)
         except pydantic.ValidationError as error:
             first = error.errors(include_url=False)[0]
-            where = '.'.join(str(part) for part in first['loc'])
-            raise self._refuse(f'{where}: {first["msg"]}') from error
+            location = '.'.join(str(part) for part in first['loc'])
+            raise self._make_error(f'{location}: {first["msg"]}') from error
 
     def encode(self, message: object) -> bytes:
         """Encode a message as msgpack."""
@@ -103,16 +105,16 @@
         """Decode a message; raises Refused (BAD_FRAME) if it is invalid."""
         return self.unpack(unpack_data(data))
 
-    def _refuse(self, detail: str) -> errors.Refused:
+    def _make_error(self, detail: str) -> errors.Refused:
         return make_frame_error(detail)
 
 
 def pack_data(value: ty.Any) -> bytes:
     """Encode a plain value as msgpack; enums are encoded by value."""
-    return ty.cast(bytes, msgpack.packb(value, default=_simplify))
+    return ty.cast(bytes, msgpack.packb(value, default=_convert_enum))
 
 
-def _simplify(value: ty.Any) -> ty.Any:
+def _convert_enum(value: ty.Any) -> ty.Any:
     if isinstance(value, enum.Enum):
         return value.value
     raise TypeError(f'{type(value).__name__} cannot be sent')
--- a/packages/apricotlanding/src/apricotlanding/handshake.py
+++ b/packages/apricotlanding/src/apricotlanding/handshake.py
@@ -96,31 +96,31 @@
         await stream.send(_registry.pack(mine))
         theirs = _registry.unpack(await stream.receive())
         if not isinstance(theirs, Greeting):
-            raise _refuse_peer('no greeting')
+            raise _make_peer_error('no greeting')
         if theirs.protocol != PROTOCOL_VERSION:
-            raise _refuse_peer(f'it speaks protocol {theirs.protocol}')
+            raise _make_peer_error(f'it speaks protocol {theirs.protocol}')
         digest = _make_digest(key, my_role, mine, theirs)
         await stream.send(_registry.pack(Proof(digest)))
         proof = _registry.unpack(await stream.receive())
         if not isinstance(proof, Proof):
-            raise _refuse_peer('no proof')
+            raise _make_peer_error('no proof')
         expected = _make_digest(key, their_role, theirs, mine)
         if not hmac.compare_digest(proof.digest, expected):
-            raise _refuse_peer('the proof does not match')
+            raise _make_peer_error('the proof does not match')
     stream.limit = frames.FRAME_LIMIT_BYTES
     return theirs
 
 
 def _make_digest(
-    key: bytes, role: bytes, speaker: Greeting, listener: Greeting
+    key: bytes, role: bytes, sender: Greeting, receiver: Greeting
 ) -> bytes:
     signed = b'\0'.join(
-        [role, _registry.encode(speaker), _registry.encode(listener)]
+        [role, _registry.encode(sender), _registry.encode(receiver)]
     )
     return hmac.new(key, signed, hashlib.sha256).digest()
 
 
-def _refuse_peer(detail: str) -> errors.Refused:
+def _make_peer_error(detail: str) -> errors.Refused:
     return errors.Refused(
         errors.make_problem(errors.Kind.BAD_PEER, detail=detail)
     )
--- a/packages/apricotlanding/src/apricotlanding/ids.py
+++ b/packages/apricotlanding/src/apricotlanding/ids.py
@@ -77,28 +77,30 @@
 _UUIDV7 = 7
 
 
-def make_incarnation(host: Host, place: str, started_at: float) -> Incarnation:
+def make_incarnation(
+    host: Host, endpoint: str, started_at: float
+) -> Incarnation:
     """Return the incarnation of a daemon process.
 
-    ``place`` identifies the kernel boot and the listening address;
+    ``endpoint`` identifies the kernel boot and the listening address;
     ``started_at`` is the monotonic time in seconds after the address was
     bound.
     """
-    digest = xxhash.xxh3_64_hexdigest(place.encode())
+    digest = xxhash.xxh3_64_hexdigest(endpoint.encode())
     start = int(started_at * 1000)
     return Incarnation(f'{host}/{digest}.{start:012x}.{secrets.token_hex(4)}')
 
 
 def has_ended(earlier: Incarnation, later: Incarnation) -> bool:
     """Return whether ``later`` proves that ``earlier`` has ended."""
-    place, start = _split_incarnation(earlier)
-    other_place, other_start = _split_incarnation(later)
-    return place == other_place and start < other_start
+    endpoint, start = _split_incarnation(earlier)
+    other_endpoint, other_start = _split_incarnation(later)
+    return endpoint == other_endpoint and start < other_start
 
 
 def _split_incarnation(incarnation: Incarnation) -> tuple[str, str]:
-    place, _, rest = incarnation.partition('.')
-    return place, rest.partition('.')[0]
+    endpoint, _, rest = incarnation.partition('.')
+    return endpoint, rest.partition('.')[0]
 
 
 def parse_host(incarnation: Incarnation) -> Host:
@@ -106,15 +108,15 @@
     return Host(incarnation.rpartition('/')[0])
 
 
-def make_runner_start(runner: Runner, birth: int | None) -> RunnerStart:
+def make_runner_start(runner: Runner, start_ms: int | None) -> RunnerStart:
     """Return the identifier of one start of a runner.
 
-    ``birth`` is the Unix time of the start in milliseconds; None if the
+    ``start_ms`` is the Unix time of the start in milliseconds; None if the
     runner does not report it, in which case all its starts have the same
     identifier. The time comes first, because a runner's id may contain any
     character.
     """
-    return RunnerStart(f'{"" if birth is None else birth}@{runner}')
+    return RunnerStart(f'{"" if start_ms is None else start_ms}@{runner}')
 
 
 def parse_runner(start: RunnerStart) -> Runner:
@@ -124,8 +126,8 @@
 
 def parse_start_time(start: RunnerStart) -> int | None:
     """Return the Unix time of a start in milliseconds; None if unknown."""
-    birth = start.partition('@')[0]
-    return int(birth) if birth else None
+    start_ms = start.partition('@')[0]
+    return int(start_ms) if start_ms else None
 
 
 def has_run_before(start: RunnerStart, later: RunnerStart) -> bool:
@@ -133,10 +135,10 @@
 
     A start whose time is not known counts as earlier than any other.
     """
-    birth, later_birth = parse_start_time(start), parse_start_time(later)
-    if parse_runner(start) != parse_runner(later) or later_birth is None:
+    start_ms, later_start_ms = parse_start_time(start), parse_start_time(later)
+    if parse_runner(start) != parse_runner(later) or later_start_ms is None:
         return False
-    return birth is None or birth < later_birth
+    return start_ms is None or start_ms < later_start_ms
 
 
 def read_issue_time(key: Key) -> float | None:
--- a/packages/apricotlanding/src/apricotlanding/retrybudget.py
+++ b/packages/apricotlanding/src/apricotlanding/retrybudget.py
@@ -40,42 +40,42 @@
         """
         self._share = share
         self._slack = slack
-        self._window = window_s
+        self._window_s = window_s
 
     def record_request(self, pool: ids.Pool, now: float) -> None:
         """Count a request from a caller."""
-        self._file(self._requests, pool, now)
+        self._add_time(self._requests, pool, now)
 
     def take(self, pool: ids.Pool, hosts: int, now: float) -> bool:
         """Consume one retry; return False if the budget is exhausted.
 
         ``hosts`` is the number of hosts that may be sending requests.
         """
-        requests = self._count(self._requests, pool, now)
-        retries = self._count(self._retries, pool, now)
+        requests = self._count_recent(self._requests, pool, now)
+        retries = self._count_recent(self._retries, pool, now)
         allowed = self._share * requests + self._slack / max(1, hosts)
         if retries + 1 > allowed * USABLE_SHARE:
             return False
-        self._file(self._retries, pool, now)
+        self._add_time(self._retries, pool, now)
         return True
 
-    def _file(
+    def _add_time(
         self,
-        table: dict[ids.Pool, collections.deque[float]],
+        times_by_pool: dict[ids.Pool, collections.deque[float]],
         pool: ids.Pool,
         now: float,
     ) -> None:
-        table.setdefault(pool, collections.deque()).append(now)
+        times_by_pool.setdefault(pool, collections.deque()).append(now)
 
-    def _count(
+    def _count_recent(
         self,
-        table: dict[ids.Pool, collections.deque[float]],
+        times_by_pool: dict[ids.Pool, collections.deque[float]],
         pool: ids.Pool,
         now: float,
     ) -> int:
-        times = table.get(pool)
+        times = times_by_pool.get(pool)
         if times is None:
             return 0
-        while times and times[0] < now - self._window:
+        while times and times[0] < now - self._window_s:
             times.popleft()
         return len(times)
--- a/packages/apricotlanding/src/apricotlanding/signatures.py
+++ b/packages/apricotlanding/src/apricotlanding/signatures.py
@@ -57,8 +57,8 @@
 ) -> bytes:
     """Return the author's or the approver's signature of a bundle."""
     role = _AUTHOR if is_author else _APPROVER
-    signed = _make_signed(role, author, approver, text)
-    return _read_private_key(private_pem).sign(signed)
+    payload = _make_payload(role, author, approver, text)
+    return _read_private_key(private_pem).sign(payload)
 
 
 def describe_bad_signature(
@@ -74,11 +74,11 @@
         key = keys.get(name)
         if key is None:
             return f'{name!r} is not among the operators of the settings'
-        signed = _make_signed(
+        payload = _make_payload(
             role, record.author, record.approver, record.text
         )
         try:
-            key.verify(signature, signed)
+            key.verify(signature, payload)
         except exceptions.InvalidSignature:
             return f'the signature of {name!r} does not match'
     return None
@@ -91,7 +91,7 @@
     return key
 
 
-def _make_signed(
+def _make_payload(
     role: bytes, author: str, approver: str, text: bytes
 ) -> bytes:
     return b'\0'.join([role, author.encode(), approver.encode(), text])
--- a/packages/apricotlanding/src/apricotlanding/sockets.py
+++ b/packages/apricotlanding/src/apricotlanding/sockets.py
@@ -29,7 +29,7 @@
 ]
 
 
-def enable_keepalive(connected: socket.socket) -> None:
+def enable_keepalive(connection: socket.socket) -> None:
     """Enable TCP keepalive on a connected socket."""
     for level, option, value in KEEPALIVE_OPTIONS:
-        connected.setsockopt(level, option, value)
+        connection.setsockopt(level, option, value)
--- a/packages/apricotlanding/src/apricotlanding/supervisor.py
+++ b/packages/apricotlanding/src/apricotlanding/supervisor.py
@@ -78,7 +78,7 @@
     async def _run(
         self, name: str, child: Child, scope: anyio.CancelScope
     ) -> None:
-        delay = MIN_RESTART_DELAY_S
+        delay_s = MIN_RESTART_DELAY_S
         with scope:
             while True:
                 try:
@@ -90,9 +90,9 @@
                     'supervisor:restart',
                     supervisor=self.name,
                     child=name,
-                    delay_s=delay,
+                    delay_s=delay_s,
                 )
-                await anyio.sleep(delay)
-                delay = min(2 * delay, MAX_RESTART_DELAY_S)
+                await anyio.sleep(delay_s)
+                delay_s = min(2 * delay_s, MAX_RESTART_DELAY_S)
         if self._scopes.get(name) is scope:
             del self._scopes[name]
--- a/packages/apricotlanding/src/apricotlanding/taskgroups.py
+++ b/packages/apricotlanding/src/apricotlanding/taskgroups.py
@@ -25,10 +25,10 @@
             yield group
             group.cancel_scope.cancel()
     except BaseExceptionGroup as errors:
-        raise _find_first(errors) from None
+        raise _unwrap_first(errors) from None
 
 
-def _find_first(errors: BaseExceptionGroup[BaseException]) -> BaseException:
+def _unwrap_first(errors: BaseExceptionGroup[BaseException]) -> BaseException:
     error: BaseException = errors
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
--- a/packages/apricotlanding/src/apricotlanding/tracing.py
+++ b/packages/apricotlanding/src/apricotlanding/tracing.py
@@ -26,7 +26,7 @@
 
 
 @ty.final
-class _LineExporter(export.SpanExporter):
+class _JsonLinesExporter(export.SpanExporter):
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
 
@@ -43,12 +43,12 @@
 
 
 def _describe_span(span: sdk.ReadableSpan) -> dict[str, ty.Any]:
-    found = span.get_span_context()
-    assert found is not None
+    span_context = span.get_span_context()
+    assert span_context is not None
     parent = span.parent
     return {
-        'trace': trace.format_trace_id(found.trace_id),
-        'span': trace.format_span_id(found.span_id),
+        'trace': trace.format_trace_id(span_context.trace_id),
+        'span': trace.format_span_id(span_context.span_id),
         'parent': trace.format_span_id(parent.span_id) if parent else None,
         'name': span.name,
         'host': span.resource.attributes.get('service.instance.id'),
@@ -66,14 +66,14 @@
     Without a path, the tracer is a no-op.
     """
     if path is None:
-        return trace.NoOpTracerProvider().get_tracer('apricotlanding'), _rest
+        return trace.NoOpTracerProvider().get_tracer('apricotlanding'), _noop
     provider = sdk.TracerProvider(
         resource=resources.Resource({'service.instance.id': name}),
         shutdown_on_exit=False,
     )
     provider.add_span_processor(
         export.BatchSpanProcessor(
-            _LineExporter(path), schedule_delay_millis=500
+            _JsonLinesExporter(path), schedule_delay_millis=500
         )
     )
     return provider.get_tracer('apricotlanding'), provider.shutdown
@@ -84,12 +84,14 @@
     return _propagator.extract(headers)
 
 
-def inject_context(where: context.Context) -> list[tuple[bytes, bytes]]:
+def inject_context(
+    trace_context: context.Context,
+) -> list[tuple[bytes, bytes]]:
     """Return the headers that propagate a trace context."""
     carrier: dict[str, str] = {}
-    _propagator.inject(carrier, where)
+    _propagator.inject(carrier, trace_context)
     return [(name.encode(), value.encode()) for name, value in carrier.items()]
 
 
-def _rest() -> None:
+def _noop() -> None:
     return
--- a/packages/apricotlanding/src/apricotlanding/webclient.py
+++ b/packages/apricotlanding/src/apricotlanding/webclient.py
@@ -155,8 +155,10 @@
         ) as error:
             raise Broken(repr(error)) from error
         try:
-            found = {name.lower(): value for name, value in raw.headers}
-            yield Response(raw.status, found, raw)
+            response_headers = {
+                name.lower(): value for name, value in raw.headers
+            }
+            yield Response(raw.status, response_headers, raw)
         finally:
             await context.__aexit__(None, None, None)
 
--- a/packages/apricotlanding/src/apricotlanding/yamlfiles.py
+++ b/packages/apricotlanding/src/apricotlanding/yamlfiles.py
@@ -76,10 +76,10 @@
         if not isinstance(node, yaml.MappingNode):
             return
         for key, value in node.value:
-            place = (*location, str(key.value))
-            if place in self._lines:
+            child = (*location, str(key.value))
+            if child in self._lines:
                 line = key.start_mark.line + 1
-                where = '.'.join(str(part) for part in place)
+                where = '.'.join(str(part) for part in child)
                 self.duplicates.append(
                     Finding(
                         line,
@@ -89,8 +89,8 @@
                     )
                 )
                 continue
-            self._lines[place] = key.start_mark.line + 1
-            self._visit(value, place)
+            self._lines[child] = key.start_mark.line + 1
+            self._visit(value, child)
 
 
 def load_model(
@@ -99,18 +99,18 @@
     """Load YAML into a model, or return all errors, in line order."""
     try:
         root = yaml.compose(text, Loader=yaml.SafeLoader)
-        plain = yaml.safe_load(text)
+        data = yaml.safe_load(text)
     except (yaml.YAMLError, ValueError) as error:
         return expression.Error([_describe_syntax(error)])
     lines = LineMap(root)
     findings = list(lines.duplicates)
-    if not isinstance(plain, dict):
+    if not isinstance(data, dict):
         finding = Finding(
             1, 'file', 'not a mapping', 'write "key: value" lines'
         )
         return expression.Error([finding])
     try:
-        value = model.model_validate(plain)
+        value = model.model_validate(data)
     except pydantic.ValidationError as error:
         findings.extend(_describe_fields(error, lines))
         return expression.Error(sorted(findings))
