--- a/packages/apricotctl/src/apricotctl/bundlefiles.py
+++ b/packages/apricotctl/src/apricotctl/bundlefiles.py
@@ -47,12 +47,12 @@
     private_pem: bytes,
 ) -> pathlib.Path:
     """Add a signature to ``FILE.signed``; return its path."""
-    found = check_file(path)
+    checked_bundle = check_file(path)
     text = path.read_bytes()
     signed_path = path.with_name(path.name + '.signed')
     value: dict[str, ty.Any] = {
-        'version': found.model.version,
-        'base': found.model.base,
+        'version': checked_bundle.model.version,
+        'base': checked_bundle.model.base,
         'author': author,
         'approver': approver,
         'text': base64.b64encode(text).decode(),
--- a/packages/apricotctl/src/apricotctl/client.py
+++ b/packages/apricotctl/src/apricotctl/client.py
@@ -11,7 +11,7 @@
 
 __all__ = ['call_daemon']
 
-_TIMEOUT = 20.0
+_TIMEOUT_S = 20.0
 
 
 def call_daemon(
@@ -38,7 +38,9 @@
     client = webclient.WebClient(address)
     headers = [(b'authorization', b'Bearer ' + token.encode())]
     try:
-        status, data = await client.call(method, path, headers, body, _TIMEOUT)
+        status, data = await client.call(
+            method, path, headers, body, _TIMEOUT_S
+        )
         value = json.loads(data)
     except webclient.NotSent as error:
         raise click.ClickException(
--- a/packages/apricotctl/src/apricotctl/command.py
+++ b/packages/apricotctl/src/apricotctl/command.py
@@ -249,9 +249,9 @@
     lines = traces.read_trace(path)
     daemons = [addresses.parse_address(text) for text in callers]
     tokens = json.loads(token_path.read_text())
-    stated = None
+    expected = None
     if outcome_path is not None:
-        stated = outcomes.load_outcomes(outcome_path)
+        expected = outcomes.load_outcomes(outcome_path)
     running = replaying.Replay(lines, daemons, tokens, storm)
     measured = anyio.run(_run_with_bar, running, len(lines), is_json)
     if is_json:
@@ -259,11 +259,11 @@
     else:
         for name, value in measured.items():
             click.echo(f'{name:18} {value}')
-    missed = (
-        [] if stated is None else outcomes.check_outcomes(stated, measured)
+    failures = (
+        [] if expected is None else outcomes.check_outcomes(expected, measured)
     )
-    if missed:
-        raise click.ClickException('not met: ' + '; '.join(missed))
+    if failures:
+        raise click.ClickException('not met: ' + '; '.join(failures))
 
 
 async def _run_with_bar(
--- a/packages/apricotctl/src/apricotctl/outcomes.py
+++ b/packages/apricotctl/src/apricotctl/outcomes.py
@@ -42,17 +42,19 @@
     outcomes: Outcomes, measured: dict[str, ty.Any]
 ) -> list[str]:
     """Return the expectations that were not met, one line each."""
-    missed: list[str] = []
-    for route, least in outcomes.goodput.items():
+    failures: list[str] = []
+    for route, minimum in outcomes.goodput.items():
         found = measured['goodput'].get(route, 0.0)
-        if found < least:
-            missed.append(f'goodput of {route}: {found}, not {least}')
-    for outcome, most in outcomes.outcomes.items():
+        if found < minimum:
+            failures.append(f'goodput of {route}: {found}, not {minimum}')
+    for outcome, maximum in outcomes.outcomes.items():
         found = measured['outcomes'].get(outcome, 0)
-        if found > most:
-            missed.append(f'{outcome}: {found}, at most {most}')
-    for name, most_ms in outcomes.first_token_ms.items():
+        if found > maximum:
+            failures.append(f'{outcome}: {found}, at most {maximum}')
+    for name, maximum_ms in outcomes.first_token_ms.items():
         found = measured['first_token_ms'][name]
-        if found > most_ms:
-            missed.append(f'first token {name}: {found} ms, not {most_ms}')
-    return missed
+        if found > maximum_ms:
+            failures.append(
+                f'first token {name}: {found} ms, not {maximum_ms}'
+            )
+    return failures
--- a/packages/apricotctl/src/apricotctl/replaying.py
+++ b/packages/apricotctl/src/apricotctl/replaying.py
@@ -25,11 +25,11 @@
 __all__ = ['Replay', 'Results', 'make_key']
 
 # Histogram range, up to two minutes, and precision.
-_LOWEST = 1
-_HIGHEST = 120_000_000
-_DIGITS = 2
+_MIN_DURATION_US = 1
+_MAX_DURATION_US = 120_000_000
+_SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50, 95, 99)
-_LAST_WAIT = 0.05
+_MIN_RETRY_DELAY_S = 0.05
 
 
 def make_key() -> str:
@@ -50,8 +50,8 @@
         self.outcomes: collections.Counter[str] = collections.Counter()
         self.shed: collections.Counter[str] = collections.Counter()
         self.retries = 0
-        self.first = _make_histogram()
-        self.between = _make_histogram()
+        self.first_token = _make_histogram()
+        self.between_tokens = _make_histogram()
 
     def describe(self) -> dict[str, ty.Any]:
         """Return the results as JSON-serialisable data."""
@@ -65,8 +65,8 @@
             'shed': dict(self.shed),
             'outcomes': dict(self.outcomes),
             'retries': self.retries,
-            'first_token_ms': _describe_histogram(self.first),
-            'between_tokens_ms': _describe_histogram(self.between),
+            'first_token_ms': _describe_histogram(self.first_token),
+            'between_tokens_ms': _describe_histogram(self.between_tokens),
         }
 
 
@@ -107,58 +107,67 @@
         try:
             async with anyio.create_task_group() as group:
                 for number, line in enumerate(self._lines):
-                    wait = started + line.at_s - time.monotonic()
-                    await anyio.sleep(max(wait, 0.0))
-                    group.start_soon(self._follow, number, line)
+                    delay_s = started + line.at_s - time.monotonic()
+                    await anyio.sleep(max(delay_s, 0.0))
+                    group.start_soon(self._send_with_retries, number, line)
         finally:
             for client in self._clients:
                 await client.close()
         return self.results
 
-    async def _follow(self, number: int, line: traces.TraceLine) -> None:
+    async def _send_with_retries(
+        self, number: int, line: traces.TraceLine
+    ) -> None:
         results = self.results
         results.sent[line.route] += 1
         key = line.key or make_key()
-        end = time.monotonic() + line.deadline_ms / 1000.0
+        deadline = time.monotonic() + line.deadline_ms / 1000.0
         attempt = _Attempt()
-        turn = number
+        client_number = number
         while True:
-            left = end - time.monotonic()
-            if left <= _LAST_WAIT:
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= _MIN_RETRY_DELAY_S:
                 break
-            attempt = await self._post(turn, line, number, key, left)
-            may_ask = attempt.outcome == 'cut' or attempt.retry_after_s > 0
-            if attempt.outcome != 'not-run' and not may_ask:
+            attempt = await self._post(
+                client_number, line, number, key, remaining_s
+            )
+            can_retry = attempt.outcome == 'cut' or attempt.retry_after_s > 0
+            if attempt.outcome != 'not-run' and not can_retry:
                 break
-            if attempt.code == 'APL201' and turn == number:
+            if attempt.code == 'APL201' and client_number == number:
                 results.shed[line.route] += 1
-            is_first = turn == number
-            turn += 1
+            is_first_attempt = client_number == number
+            client_number += 1
             results.retries += 1
-            if not (self._is_storming and is_first):
-                await anyio.sleep(max(attempt.retry_after_s, _LAST_WAIT))
+            if not (self._is_storming and is_first_attempt):
+                await anyio.sleep(
+                    max(attempt.retry_after_s, _MIN_RETRY_DELAY_S)
+                )
         results.outcomes[attempt.outcome] += 1
-        is_whole = attempt.tokens == line.output_tokens
-        if attempt.outcome == 'complete' and is_whole:
-            if time.monotonic() <= end:
+        has_all_tokens = attempt.tokens == line.output_tokens
+        if attempt.outcome == 'complete' and has_all_tokens:
+            if time.monotonic() <= deadline:
                 results.good[line.route] += 1
         self.done += 1
 
     async def _post(
         self,
-        turn: int,
+        client_number: int,
         line: traces.TraceLine,
         number: int,
         key: str,
-        left: float,
+        remaining_s: float,
     ) -> _Attempt:
         attempt = _Attempt()
-        client = self._clients[turn % len(self._clients)]
+        client = self._clients[client_number % len(self._clients)]
         token = self._tokens[line.organisation]
         headers = [
             (b'authorization', f'Bearer {token}'.encode()),
             (b'idempotency-key', key.encode()),
-            (b'apricot-deadline-ms', str(max(int(left * 1000), 1)).encode()),
+            (
+                b'apricot-deadline-ms',
+                str(max(int(remaining_s * 1000), 1)).encode(),
+            ),
         ]
         body = json.dumps(
             {
@@ -169,7 +178,7 @@
         path = f'/v1/routes/{line.route}'
         sent_at = time.monotonic()
         try:
-            with anyio.move_on_after(left + 1.0):
+            with anyio.move_on_after(remaining_s + 1.0):
                 async with client.open('POST', path, headers, body) as reply:
                     await self._read(reply, attempt, sent_at)
         except webclient.WebError:
@@ -180,10 +189,10 @@
         self, reply: webclient.Response, attempt: _Attempt, sent_at: float
     ) -> None:
         last_at: float | None = None
-        rest = b''
+        buffered = b''
         async for part in reply.iterate():
             now = time.monotonic()
-            *lines, rest = (rest + part).split(b'\n')
+            *lines, buffered = (buffered + part).split(b'\n')
             for text in lines:
                 value = json.loads(text)
                 if 'outcome' in value:
@@ -193,18 +202,20 @@
                     continue
                 attempt.tokens += 1
                 if last_at is None:
-                    _record(self.results.first, now - sent_at)
+                    _record(self.results.first_token, now - sent_at)
                 else:
-                    _record(self.results.between, now - last_at)
+                    _record(self.results.between_tokens, now - last_at)
                 last_at = now
 
 
 def _make_histogram() -> ty.Any:
-    return histogram.HdrHistogram(_LOWEST, _HIGHEST, _DIGITS)
+    return histogram.HdrHistogram(
+        _MIN_DURATION_US, _MAX_DURATION_US, _SIGNIFICANT_DIGITS
+    )
 
 
 def _record(target: ty.Any, seconds: float) -> None:
-    target.record_value(max(int(seconds * 1e6), _LOWEST))
+    target.record_value(max(int(seconds * 1e6), _MIN_DURATION_US))
 
 
 def _describe_histogram(source: ty.Any) -> dict[str, float]:
--- a/packages/apricotctl/src/apricotctl/traces.py
+++ b/packages/apricotctl/src/apricotctl/traces.py
@@ -109,7 +109,7 @@
     ),
 }
 # The burst takes this share of the trace at this multiple of the mean rate.
-_BURST_PART = 0.33
+_BURST_SHARE = 0.33
 _BURST_FACTOR = 1.5
 
 
@@ -117,29 +117,29 @@
     plan: Plan, seed: int, seconds: float, load: float
 ) -> collections.abc.Iterator[TraceLine]:
     """Generate a trace; a ``load`` of 1.0 saturates the engines."""
-    draw = random.Random(seed)  # noqa: S311
+    rng = random.Random(seed)  # noqa: S311
     names = [name for name, _ in plan.organisations]
     weights = [weight for _, weight in plan.organisations]
     shares = [shape.share for shape in plan.shapes]
     # The rest has a lower rate, so that the mean rate is as requested.
-    quiet = (1 - _BURST_PART * _BURST_FACTOR) / (1 - _BURST_PART)
+    base_factor = (1 - _BURST_SHARE * _BURST_FACTOR) / (1 - _BURST_SHARE)
     at_s = 0.0
     while True:
-        is_burst = at_s < _BURST_PART * seconds
-        factor = _BURST_FACTOR if is_burst else quiet
-        at_s += draw.expovariate(plan.full_rate * load * factor)
+        is_burst = at_s < _BURST_SHARE * seconds
+        factor = _BURST_FACTOR if is_burst else base_factor
+        at_s += rng.expovariate(plan.full_rate * load * factor)
         if at_s >= seconds:
             return
-        shape = draw.choices(plan.shapes, shares)[0]
-        organisation = draw.choices(names, weights)[0]
-        prompt_tokens = draw.randint(*shape.prompt_tokens)
+        shape = rng.choices(plan.shapes, shares)[0]
+        organisation = rng.choices(names, weights)[0]
+        prompt_tokens = rng.randint(*shape.prompt_tokens)
         yield TraceLine(
             at_s=round(at_s, 4),
             organisation=organisation,
             route=shape.route,
             prompt_tokens=prompt_tokens,
-            output_tokens=draw.randint(*shape.output_tokens),
-            prefix=f'{organisation}-{shape.route}-{draw.randint(1, 4)}',
+            output_tokens=rng.randint(*shape.output_tokens),
+            prefix=f'{organisation}-{shape.route}-{rng.randint(1, 4)}',
             prefix_tokens=int(shape.shared_part * prompt_tokens),
             deadline_ms=shape.deadline_ms,
         )
@@ -148,13 +148,13 @@
 def read_trace(path: pathlib.Path) -> list[TraceLine]:
     """Read a trace; click.ClickException lists all invalid lines."""
     lines: list[TraceLine] = []
-    wrong: list[str] = []
+    errors: list[str] = []
     for number, text in enumerate(path.read_text().splitlines(), 1):
         try:
             lines.append(TraceLine.model_validate(json.loads(text)))
         except ValueError as error:
             first = str(error).splitlines()
-            wrong.append(f'{path}: line {number}: {" ".join(first[:3])}')
-    if wrong:
-        raise click.ClickException('\n'.join(wrong))
+            errors.append(f'{path}: line {number}: {" ".join(first[:3])}')
+    if errors:
+        raise click.ClickException('\n'.join(errors))
     return sorted(lines, key=lambda line: line.at_s)
