--- a/packages/apricotctl/src/apricotctl/traces.py
+++ b/packages/apricotctl/src/apricotctl/traces.py
@@ -70,7 +70,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Plan:
+class Workload:
     """Requests of one deployment."""
 
     shapes: tuple[Shape, ...]
@@ -89,8 +89,8 @@
     ('org-5', 0.05),
 )
 
-DEPLOYMENTS: ty.Final[dict[str, Plan]] = {
-    'festin': Plan(
+DEPLOYMENTS: ty.Final[dict[str, Workload]] = {
+    'festin': Workload(
         (
             Shape('rebuild', 0.15, (1200, 2400), (150, 300), 0.5, 12_000),
             Shape('briefing', 0.25, (300, 600), (40, 80), 0.5, 8_000),
@@ -99,7 +99,7 @@
         36.0,
         _ORGANISATIONS,
     ),
-    'ishami': Plan(
+    'ishami': Workload(
         (
             Shape('report', 0.5, (1500, 3000), (120, 240), 0.4, 20_000),
             Shape('note', 0.5, (20, 60), (3, 12), 0.0, 4_000),
@@ -114,7 +114,7 @@
 
 
 def make_trace(
-    plan: Plan, seed: int, seconds: float, load: float
+    plan: Workload, seed: int, seconds: float, load: float
 ) -> collections.abc.Iterator[TraceLine]:
     """Generate a trace; a ``load`` of 1.0 saturates the engines."""
     rng = random.Random(seed)  # noqa: S311
