--- a/tests/test_bundles.py
+++ b/tests/test_bundles.py
@@ -1,4 +1,4 @@
-"""An accepted bundle is in force everywhere soon and never reverts."""
+"""Accepted bundles take effect on all daemons and are never reverted."""
 
 import concurrent.futures
 import time
@@ -10,12 +10,12 @@
 import systems
 
 
-# Every bundle is larger than this and every other record smaller, in bytes.
-BUNDLE_BYTES = 1000
+# All bundle records are larger than this and all other records smaller.
+MIN_BUNDLE_BYTES = 1000
 
 
 class TestBundles(systems.SystemTestCase):
-    """Operators change the configuration of three running daemons."""
+    """Changes of the configuration of three running daemons."""
 
     def configure(self) -> None:
         self.system.has_relays = True
@@ -25,9 +25,10 @@
         self.assertEqual(200, reply.status)
         self.wait_version(2)
 
-    def test_race_has_one_winner_and_the_other_is_told(self) -> None:
-        # Two operators change version 1 at the same time through different
-        # daemons. One wins; the other hears to whom it lost.
+    def test_one_of_two_concurrent_submissions_is_rejected(self) -> None:
+        # Two operators replace version 1 at the same time through different
+        # daemons. One submission is accepted; the error of the other names
+        # the accepted version.
         with concurrent.futures.ThreadPoolExecutor(2) as pool:
             replies = list(
                 pool.map(
@@ -40,25 +41,25 @@
             )
         codes = sorted((reply.status, reply.code) for reply in replies)
         self.assertEqual([(200, ''), (409, 'APL402')], codes)
-        loser = next(reply for reply in replies if reply.status == 409)
-        self.assertIn(b'version 2 by', loser.body)
+        rejected = next(reply for reply in replies if reply.status == 409)
+        self.assertIn(b'version 2 by', rejected.body)
         self.wait_version(2)
         self.assertEqual(1, len(set(self.read_texts())))
 
-    def test_lost_replies_do_not_double_or_lose_a_change(self) -> None:
-        # The append takes effect and its reply is lost: the daemon finds
-        # its own record in the log and reports success.
+    def test_lost_reply_neither_repeats_nor_loses_change(self) -> None:
+        # The append takes effect, but its reply is lost: the daemon finds its
+        # own record in the log and reports success.
         self.system.set_faults(
-            'log', lost_replies=2, spared_bytes=BUNDLE_BYTES
+            'log', lost_replies=2, spared_bytes=MIN_BUNDLE_BYTES
         )
         self.assertEqual(200, self.submit(2, 1).status)
         self.wait_version(2)
 
-    def test_record_that_lands_late_does_not_revert(self) -> None:
-        # The append of version 2 fails and takes effect seconds later, when
-        # another version 2 and a version 3 are in force already.
+    def test_late_append_does_not_revert(self) -> None:
+        # The append of version 2 fails but takes effect seconds later, when
+        # another version 2 and a version 3 have been accepted.
         self.system.set_faults(
-            'log', late_appends=1, late_s=4.0, spared_bytes=BUNDLE_BYTES
+            'log', late_appends=1, late_s=4.0, spared_bytes=MIN_BUNDLE_BYTES
         )
         late = self.submit(2, 1, 'entry-1', deployment.APPROVER)
         self.assertNotEqual(200, late.status)
@@ -71,31 +72,31 @@
         self.assertEqual(before, self.read_texts())
 
     def test_outage_right_after_acceptance(self) -> None:
-        # One daemon is cut off from the log when version 2 is accepted and
-        # stays so. It gets the bundle from its peers.
+        # One daemon has no connection to the log when version 2 is accepted
+        # and afterwards. It gets the bundle from its peers.
         self.system.cut_log('entry-3', True)
         self.assertEqual(200, self.submit(2, 1, 'entry-1').status)
         self.wait_version(2)
 
-    def test_submission_in_an_outage_is_doubtful(self) -> None:
+    def test_submission_in_an_outage_has_unknown_result(self) -> None:
         self.system.set_faults('log', is_out=True)
         reply = self.submit(2, 1)
         self.assertEqual('APL403', reply.code)
         self.assertEqual('unknown', self.read_outcome(reply))
         self.system.set_faults('log', is_out=False)
-        # Whatever became of it, all agree and the operator can go on.
+        # Accepted or not, all daemons agree and the operator can submit again.
         processes.wait_until(self.all_agree, 'one version everywhere')
 
     def test_daemon_that_starts_in_an_outage(self) -> None:
-        # The log is out when a host is replaced. The new daemon takes the
-        # bundle from its peers and serves what needs no claim.
+        # The log is down when a host is replaced. The new daemon gets the
+        # bundle from its peers and serves requests that need no claim.
         self.submit(2, 1)
         self.wait_version(2)
-        place = self.system.daemons['entry-2']
+        daemon = self.system.daemons['entry-2']
         self.system.find_process('entry-2').kill()
         self.system.set_faults('log', is_out=True)
         self.system.start_daemon('entry-2')
-        self.system.wait_for_http(place.callers, '/healthz')
+        self.system.wait_for_http(daemon.callers, '/healthz')
         self.wait_version(2)
 
     def test_bad_bundles_are_refused_with_the_line(self) -> None:
@@ -106,7 +107,7 @@
         self.assertIn(b'routes.0.pool', reply.body)
 
     def test_number_of_claim_shards_cannot_change(self) -> None:
-        # Keys would move to owners that do not know what was granted.
+        # Keys would move to owners that do not know their earlier grants.
         value = self.system.make_bundle(2, 1)
         value['ownership']['claim_shards'] = 5
         reply = self.system.submit(value)
@@ -145,28 +146,28 @@
         return len(set(self.read_texts())) == 1
 
     def read_outcome(self, reply: callers.Reply) -> ty.Any:
-        is_doubtful = reply.code == 'APL403'
-        return 'unknown' if is_doubtful else reply.outcome
+        is_unknown = reply.code == 'APL403'
+        return 'unknown' if is_unknown else reply.outcome
 
 
 class TestRetention(systems.SystemTestCase):
-    """The log forgets old records."""
+    """Retention of the log drops old records."""
 
     def configure(self) -> None:
-        # Restated four times in this many seconds.
+        # State is repeated four times within this retention period.
         self.system.more_settings |= {'log_retention_s': 2.0}
 
     def test_daemon_that_starts_after_records_expired(self) -> None:
-        # Everything before the last eight records is gone when a host is
-        # replaced: the new daemon learns bundle and owners from what was
-        # restated, and takes part.
+        # All but the last eight records are dropped when a host is replaced:
+        # the new daemon gets bundle and owners from the repeated records and
+        # serves requests.
         self.system.submit(self.system.make_bundle(2, 1))
         processes.wait_until(self.has_restated, 'restated')
         self.system.set_faults('log', retention=8)
-        place = self.system.daemons['entry-3']
+        daemon = self.system.daemons['entry-3']
         self.system.find_process('entry-3').kill()
         self.system.start_daemon('entry-3')
-        self.system.wait_for_http(place.callers, '/healthz')
+        self.system.wait_for_http(daemon.callers, '/healthz')
         self.system.wait_ready()
         status = self.system.read_status('entry-3')
         self.assertEqual(2, status['bundle'])
