--- a/tests/test_listener_end.py
+++ b/tests/test_listener_end.py
@@ -1,4 +1,4 @@
-"""The end of an HTTP listener, which the daemon and the gateway share."""
+"""Shutdown of the HTTP listener that daemon and gateway share."""
 
 import collections.abc
 import socket
@@ -12,72 +12,72 @@
 from apricotstandins import processes
 import systems
 
-# More than both sockets hold for a caller that does not read.
+# More than the socket buffers of both sides hold.
 BODY = b'x' * (240 * 1024)
-SMALL_BUFFER = 4096
+SMALL_BUFFER_BYTES = 4096
 
 
 async def answer_large(
     scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
 ) -> None:
-    """Answer with a large body, all at once."""
+    """Respond with a large body in a single part."""
     length = str(len(BODY)).encode()
     await asgi.start_response(send, 200, [(b'content-length', length)])
     await asgi.send_body_part(send, BODY, is_last=True)
 
 
 class TestListenerEnd(testtools.TestCase):
-    """A caller that reads late."""
+    """Shutdown with a caller that reads its response late."""
 
-    def play(
+    def run_scenario(
         self,
-        scene: collections.abc.Callable[
+        scenario: collections.abc.Callable[
             [asgi.Server, socket.socket], collections.abc.Awaitable[None]
         ],
     ) -> None:
-        anyio.run(self._play, scene)
+        anyio.run(self._run_scenario, scenario)
 
-    async def _play(
+    async def _run_scenario(
         self,
-        scene: collections.abc.Callable[
+        scenario: collections.abc.Callable[
             [asgi.Server, socket.socket], collections.abc.Awaitable[None]
         ],
     ) -> None:
         address = addresses.Address('127.0.0.1', processes.find_port())
         server = asgi.Server(answer_large, address)
-        # Connections take this over.
+        # Accepted connections inherit this option.
         server._sockets[0].setsockopt(
-            socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER
+            socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES
         )
         with anyio.fail_after(10.0), socket.socket() as caller:
             async with anyio.create_task_group() as group:
                 group.start_soon(server.serve)
                 caller.setsockopt(
-                    socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER
+                    socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES
                 )
                 caller.connect((address.host, address.port))
                 caller.sendall(b'GET / HTTP/1.1\r\nHost: h\r\n\r\n')
                 await anyio.sleep(0.2)
-                await scene(server, caller)
+                await scenario(server, caller)
                 group.cancel_scope.cancel()
 
-    def test_end_waits_until_the_caller_has_its_answer(self) -> None:
-        # A caller lost the end of its answer in a planned stop. The answer
-        # was complete for the program, which waited half a second more and
-        # ended; the rest of it still waited for the caller to read.
-        async def scene(server: asgi.Server, caller: socket.socket) -> None:
+    def test_shutdown_waits_until_caller_has_read_response(self) -> None:
+        # Guards against truncated responses in a graceful shutdown: the
+        # application had sent the whole response and the process exited half
+        # a second later, while the caller had not yet read the rest.
+        async def scenario(server: asgi.Server, caller: socket.socket) -> None:
             self.assertFalse(await shutdown.close_listener(server, 0.8))
             self.assertNotEqual(0, server.count_unsent())
             received = await anyio.to_thread.run_sync(systems.read_all, caller)
             await server.wait_closed()
             self.assertTrue(received.endswith(BODY))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_caller_that_never_reads_does_not_hold_it_for_good(self) -> None:
-        # One stuck caller must not keep a host from being replaced.
-        async def scene(server: asgi.Server, caller: socket.socket) -> None:
+    def test_caller_that_never_reads_does_not_block_shutdown(self) -> None:
+        # A caller that stops reading must not block the shutdown of a host.
+        async def scenario(server: asgi.Server, caller: socket.socket) -> None:
             with anyio.fail_after(2.0):
                 self.assertFalse(await shutdown.close_listener(server, 0.3))
 
-        self.play(scene)
+        self.run_scenario(scenario)
