--- a/packages/apricotlanding/src/apricotlanding/ids.py
+++ b/packages/apricotlanding/src/apricotlanding/ids.py
@@ -43,7 +43,7 @@
     'Version',
     'parse_runner',
     'has_ended',
-    'has_run_before',
+    'is_earlier_start',
     'make_incarnation',
     'make_runner_start',
     'parse_host',
@@ -130,7 +130,7 @@
     return int(start_ms) if start_ms else None
 
 
-def has_run_before(start: RunnerStart, later: RunnerStart) -> bool:
+def is_earlier_start(start: RunnerStart, later: RunnerStart) -> bool:
     """Return whether ``start`` is an earlier start of the same runner.
 
     A start whose time is not known counts as earlier than any other.
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -82,11 +82,11 @@
         if birth is None:
             return {}
         for endpoint in list(self._clients):
-            if ids.has_run_before(endpoint[0], later):
+            if ids.is_earlier_start(endpoint[0], later):
                 self._let_go(endpoint)
         kept: dict[ids.RunnerStart, int] = {}
         for leaving in self._leaving:
-            if not ids.has_run_before(leaving.start, later):
+            if not ids.is_earlier_start(leaving.start, later):
                 continue
             count = leaving.client.count_made_since(birth / 1000)
             kept[leaving.start] = kept.get(leaving.start, 0) + count
@@ -135,7 +135,7 @@
         if birth is None:
             return
         for leaving in list(self._leaving):
-            if not ids.has_run_before(leaving.start, later):
+            if not ids.is_earlier_start(leaving.start, later):
                 continue
             await leaving.client.close()
             cut = await leaving.client.close_made_before(birth / 1000)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -179,9 +179,9 @@
         runner = ids.parse_runner(start)
         place = self._places.get(runner)
         if place is not None:
-            return ids.has_run_before(start, place.entry.start)
+            return ids.is_earlier_start(start, place.entry.start)
         gone = self._gone.get(runner)
-        return gone is not None and ids.has_run_before(start, gone.start)
+        return gone is not None and ids.is_earlier_start(start, gone.start)
 
     def _may_come_back(self, removed_at: float, now: float) -> bool:
         if self._return_at is not None and now - self._return_at < LAPSE:
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -47,18 +47,18 @@
                 self.assertEqual(birth, ids.parse_start_time(start))
 
     def test_order_of_starts(self) -> None:
-        self.assertTrue(ids.has_run_before(EARLIER, LATER))
-        self.assertFalse(ids.has_run_before(LATER, EARLIER))
-        self.assertFalse(ids.has_run_before(LATER, LATER))
+        self.assertTrue(ids.is_earlier_start(EARLIER, LATER))
+        self.assertFalse(ids.is_earlier_start(LATER, EARLIER))
+        self.assertFalse(ids.is_earlier_start(LATER, LATER))
 
     def test_other_runners_are_not_ended(self) -> None:
         other = gatewayparts.make_start('r2', EARLY)
-        self.assertFalse(ids.has_run_before(other, LATER))
+        self.assertFalse(ids.is_earlier_start(other, LATER))
 
     def test_start_without_birth_ends_none(self) -> None:
         nameless = gatewayparts.make_start('r1')
-        self.assertFalse(ids.has_run_before(EARLIER, nameless))
-        self.assertTrue(ids.has_run_before(nameless, EARLIER))
+        self.assertFalse(ids.is_earlier_start(EARLIER, nameless))
+        self.assertTrue(ids.is_earlier_start(nameless, EARLIER))
 
 
 class TestDirectory(testtools.TestCase):
