--- a/packages/apricotlanding/src/apricotlanding/logs.py
+++ b/packages/apricotlanding/src/apricotlanding/logs.py
@@ -9,10 +9,10 @@
 
 import eliot
 
-__all__ = ['write_logs']
+__all__ = ['start_logging']
 
 
-def write_logs(**fields: str) -> collections.abc.Callable[[], None]:
+def start_logging(**fields: str) -> collections.abc.Callable[[], None]:
     """Write log lines to standard error, each with these fields.
 
     Returns a function that stops the output.
--- a/packages/apricotlandingd/src/apricotlandingd/command.py
+++ b/packages/apricotlandingd/src/apricotlandingd/command.py
@@ -40,7 +40,7 @@
     if check:
         click.echo(f'{path}: good')
         return
-    stop_logs = logs.write_logs(host=config.host)
+    stop_logs = logs.start_logging(host=config.host)
     try:
         anyio.run(
             _run,
