--- a/packages/apricotlanding/src/apricotlanding/asgi.py
+++ b/packages/apricotlanding/src/apricotlanding/asgi.py
@@ -273,7 +273,7 @@
         """Return the number of open connections, including idle ones."""
         return len(self._server.server_state.connections)
 
-    def count_unsent(self) -> int:
+    def count_unsent_bytes(self) -> int:
         """Return the bytes that are not yet written to the sockets."""
         return sum(
             connection.transport.get_write_buffer_size()
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -679,7 +679,7 @@
             kind,
             open=self._listener.open_requests,
             connections=self._server.count_connections(),
-            unsent_bytes=self._server.count_unsent(),
+            unsent_bytes=self._server.count_unsent_bytes(),
         )
 
 
--- a/tests/test_listener_end.py
+++ b/tests/test_listener_end.py
@@ -67,7 +67,7 @@
         # a second later, while the caller had not yet read the rest.
         async def scenario(server: asgi.Server, caller: socket.socket) -> None:
             self.assertFalse(await shutdown.close_listener(server, 0.8))
-            self.assertNotEqual(0, server.count_unsent())
+            self.assertNotEqual(0, server.count_unsent_bytes())
             received = await anyio.to_thread.run_sync(systems.read_all, caller)
             await server.wait_closed()
             self.assertTrue(received.endswith(BODY))
