--- a/packages/apricotlanding/src/apricotlanding/frames.py
+++ b/packages/apricotlanding/src/apricotlanding/frames.py
@@ -44,7 +44,7 @@
             stream
         )
         self._send_lock = anyio.Lock()
-        self.limit = HANDSHAKE_LIMIT_BYTES
+        self.limit_bytes = HANDSHAKE_LIMIT_BYTES
 
     async def send(self, value: ty.Any) -> None:
         """Send a frame; anyio.BrokenResourceError if the peer is gone."""
@@ -61,9 +61,9 @@
         """
         header = await self._buffered.receive_exactly(_HEADER.size)
         (length,) = _HEADER.unpack(header)
-        if length > self.limit:
+        if length > self.limit_bytes:
             raise codec.make_frame_error(
-                f'{length} bytes, {self.limit} are allowed'
+                f'{length} bytes, {self.limit_bytes} are allowed'
             )
         data = await self._buffered.receive_exactly(length)
         return codec.unpack_data(data)
--- a/packages/apricotlanding/src/apricotlanding/handshake.py
+++ b/packages/apricotlanding/src/apricotlanding/handshake.py
@@ -107,7 +107,7 @@
         expected = _make_digest(key, their_role, theirs, mine)
         if not hmac.compare_digest(proof.digest, expected):
             raise _make_peer_error('the proof does not match')
-    stream.limit = frames.FRAME_LIMIT_BYTES
+    stream.limit_bytes = frames.FRAME_LIMIT_BYTES
     return theirs
 
 
