--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -94,7 +94,7 @@
                 stream.extra(anyio.abc.SocketAttribute.raw_socket)
             )
             link = frames.FrameStream(stream)
-            link.limit = FRAME_LIMIT_BYTES
+            link.limit_bytes = FRAME_LIMIT_BYTES
             query = messages.RecordQuery(
                 records.list_positions(self._replica.positions)
             )
