--- a/packages/apricotctl/src/apricotctl/command.py
+++ b/packages/apricotctl/src/apricotctl/command.py
@@ -273,14 +273,14 @@
         length=count, label='requests ended', file=sys.stderr, hidden=is_quiet
     ) as bar:
         async with anyio.create_task_group() as group:
-            group.start_soon(_move_bar, running, bar)
+            group.start_soon(_update_bar, running, bar)
             results = await running.run()
             group.cancel_scope.cancel()
         bar.update(count)
     return results.describe()
 
 
-async def _move_bar(running: replaying.Replay, bar: ty.Any) -> None:
+async def _update_bar(running: replaying.Replay, bar: ty.Any) -> None:
     shown = 0
     while True:
         await anyio.sleep(0.2)
--- a/packages/apricotlanding/src/apricotlanding/hostlist.py
+++ b/packages/apricotlanding/src/apricotlanding/hostlist.py
@@ -60,7 +60,7 @@
         if status != 200:
             raise HostListUnreachable(f'status {status}')
         try:
-            return [_read_entry(item) for item in reply['hosts']]
+            return [_parse_entry(item) for item in reply['hosts']]
         except (KeyError, TypeError, ValueError) as error:
             raise HostListUnreachable(f'bad answer: {error!r}') from error
 
@@ -69,7 +69,7 @@
         await self._client.close()
 
 
-def _read_entry(item: ty.Any) -> HostEntry:
+def _parse_entry(item: ty.Any) -> HostEntry:
     peers = item.get('peers')
     return HostEntry(
         name=str(item['name']),
--- a/packages/apricotlanding/src/apricotlanding/platformlog.py
+++ b/packages/apricotlanding/src/apricotlanding/platformlog.py
@@ -90,7 +90,7 @@
         if status != 200:
             raise LogUnreachable(f'status {status}')
         try:
-            return _read_batch(reply)
+            return _parse_batch(reply)
         except (KeyError, TypeError, ValueError) as error:
             raise LogUnreachable(f'bad answer: {error!r}') from error
 
@@ -99,8 +99,8 @@
         await self._client.close()
 
 
-def _read_batch(reply: ty.Any) -> LogBatch:
-    found = [
+def _parse_batch(reply: ty.Any) -> LogBatch:
+    parsed = [
         (ids.Offset(int(item['offset'])), base64.b64decode(item['data']))
         for item in reply['records']
     ]
@@ -108,5 +108,5 @@
         first=ids.Offset(int(reply['first'])),
         next=ids.Offset(int(reply['next'])),
         is_end=bool(reply['is_end']),
-        records=found,
+        records=parsed,
     )
