--- a/packages/apricotlanding/src/apricotlanding/handshake.py
+++ b/packages/apricotlanding/src/apricotlanding/handshake.py
@@ -1,13 +1,13 @@
-"""How two peers prove to each other that they share a key.
+"""Mutual authentication of two peers with a shared key.
 
 Both send a greeting with a nonce, then a proof: HMAC-SHA256 over the role of
-its sender and both greetings. Nothing else is read before the proof has been
-checked. The role keeps a proof from being sent back to its maker as the
-other side's; the nonces keep one from being used twice.
+its sender and both greetings. No other message is read before the proof has
+been verified. The role prevents reflection of a proof to its sender; the
+nonces prevent replay.
 
-Known limit: the frames after the handshake are neither encrypted nor
-authenticated one by one. The entry hosts' network has to be trusted with
-the requests' metadata (docs/design/peers.md).
+Known limitation: the frames after the handshake are neither encrypted nor
+authenticated individually. The network of the entry hosts must be trusted
+with the metadata of requests (docs/design/peers.md).
 """
 
 import dataclasses
@@ -25,10 +25,9 @@
 
 __all__ = ['Greeting', 'greet_acceptor', 'greet_dialer']
 
-# Raised by one whenever an older daemon could misread a newer one.
-PROTOCOL = 1
-# Seconds that a stranger may take to prove itself.
-HANDSHAKE_TIMEOUT = 3.0
+# Incremented with each change that older daemons would misinterpret.
+PROTOCOL_VERSION = 1
+HANDSHAKE_TIMEOUT_S = 3.0
 
 _DIALER = b'dialer'
 _ACCEPTOR = b'acceptor'
@@ -39,7 +38,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Greeting:
-    """What a peer says of itself."""
+    """Identifies a peer."""
 
     protocol: int
     host: ids.Host
@@ -52,7 +51,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proof:
-    """Shows that the sender of a greeting has the shared key."""
+    """Proves that the sender of a greeting has the shared key."""
 
     digest: bytes
 
@@ -62,14 +61,14 @@
 ) -> Greeting:
     """Return a greeting with a fresh nonce."""
     return Greeting(
-        PROTOCOL, host, incarnation, domain, secrets.token_bytes(16)
+        PROTOCOL_VERSION, host, incarnation, domain, secrets.token_bytes(16)
     )
 
 
 async def greet_acceptor(
     stream: frames.FrameStream, mine: Greeting, key: bytes
 ) -> Greeting:
-    """Run the dialer's half; return the acceptor's greeting.
+    """Run the handshake as dialer; return the greeting of the acceptor.
 
     Raises Refused (BAD_PEER or BAD_FRAME) or TimeoutError.
     """
@@ -79,7 +78,7 @@
 async def greet_dialer(
     stream: frames.FrameStream, mine: Greeting, key: bytes
 ) -> Greeting:
-    """Run the acceptor's half; return the dialer's greeting.
+    """Run the handshake as acceptor; return the greeting of the dialer.
 
     Raises Refused (BAD_PEER or BAD_FRAME) or TimeoutError.
     """
@@ -93,35 +92,35 @@
     my_role: bytes,
     their_role: bytes,
 ) -> Greeting:
-    with anyio.fail_after(HANDSHAKE_TIMEOUT):
+    with anyio.fail_after(HANDSHAKE_TIMEOUT_S):
         await stream.send(_registry.pack(mine))
         theirs = _registry.unpack(await stream.receive())
         if not isinstance(theirs, Greeting):
-            raise _refuse_peer('no greeting')
-        if theirs.protocol != PROTOCOL:
-            raise _refuse_peer(f'it speaks protocol {theirs.protocol}')
+            raise _make_peer_error('no greeting')
+        if theirs.protocol != PROTOCOL_VERSION:
+            raise _make_peer_error(f'it speaks protocol {theirs.protocol}')
         digest = _make_digest(key, my_role, mine, theirs)
         await stream.send(_registry.pack(Proof(digest)))
         proof = _registry.unpack(await stream.receive())
         if not isinstance(proof, Proof):
-            raise _refuse_peer('no proof')
+            raise _make_peer_error('no proof')
         expected = _make_digest(key, their_role, theirs, mine)
         if not hmac.compare_digest(proof.digest, expected):
-            raise _refuse_peer('the proof does not match')
-    stream.limit = frames.FRAME_LIMIT
+            raise _make_peer_error('the proof does not match')
+    stream.limit_bytes = frames.FRAME_LIMIT_BYTES
     return theirs
 
 
 def _make_digest(
-    key: bytes, role: bytes, speaker: Greeting, listener: Greeting
+    key: bytes, role: bytes, sender: Greeting, receiver: Greeting
 ) -> bytes:
     signed = b'\0'.join(
-        [role, _registry.encode(speaker), _registry.encode(listener)]
+        [role, _registry.encode(sender), _registry.encode(receiver)]
     )
     return hmac.new(key, signed, hashlib.sha256).digest()
 
 
-def _refuse_peer(detail: str) -> errors.Refused:
+def _make_peer_error(detail: str) -> errors.Refused:
     return errors.Refused(
         errors.make_problem(errors.Kind.BAD_PEER, detail=detail)
     )
--- a/packages/apricotlanding/src/apricotlanding/submissions.py
+++ b/packages/apricotlanding/src/apricotlanding/submissions.py
@@ -1,4 +1,4 @@
-"""A signed bundle on its way from ``apricotctl`` to a daemon, as JSON."""
+"""JSON encoding of signed bundles sent from ``apricotctl`` to a daemon."""
 
 import base64
 import json
@@ -7,11 +7,11 @@
 from apricotlanding import ids
 from apricotlanding import records
 
-__all__ = ['read_submission', 'write_submission']
+__all__ = ['decode_submission', 'encode_submission']
 
 
-def write_submission(record: records.BundleRecord) -> bytes:
-    """Return a signed bundle as JSON."""
+def encode_submission(record: records.BundleRecord) -> bytes:
+    """Encode a signed bundle as JSON."""
     value = {
         'version': record.version,
         'base': record.base,
@@ -24,8 +24,8 @@
     return json.dumps(value).encode()
 
 
-def read_submission(body: bytes) -> records.BundleRecord:
-    """Return the bundle in JSON; Refused (BUNDLE_REFUSED) if none."""
+def decode_submission(body: bytes) -> records.BundleRecord:
+    """Decode a signed bundle; raises Refused (BUNDLE_REFUSED)."""
     try:
         value = json.loads(body)
         return records.BundleRecord(
--- a/packages/apricotlanding/src/apricotlanding/tracing.py
+++ b/packages/apricotlanding/src/apricotlanding/tracing.py
@@ -1,10 +1,10 @@
-"""Traces: a span for each hop of a request, by OpenTelemetry.
+"""Distributed tracing with OpenTelemetry: a span for each hop of a request.
 
-The hops are caller, entry, claim, schedule and runner. Trace ids come from
-the caller's ``traceparent`` header (W3C Trace Context) and go on to the
-runner in the same header. Finished spans are written as JSON lines from a
-thread of the library's own; a full queue drops spans and a file that cannot
-be written drops them all, and no request waits for either.
+The hops are caller, entry, claim, schedule and runner. The trace context is
+taken from the caller's ``traceparent`` header (W3C Trace Context) and passed
+to the runner in the same header. Finished spans are written as JSON lines by a
+thread of the library. Spans are dropped if its queue is full or the file
+cannot be written; requests never wait for either.
 """
 
 import collections.abc
@@ -26,7 +26,7 @@
 
 
 @ty.final
-class _LineExporter(export.SpanExporter):
+class _JsonLinesExporter(export.SpanExporter):
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
 
@@ -43,12 +43,12 @@
 
 
 def _describe_span(span: sdk.ReadableSpan) -> dict[str, ty.Any]:
-    found = span.get_span_context()
-    assert found is not None
+    span_context = span.get_span_context()
+    assert span_context is not None
     parent = span.parent
     return {
-        'trace': trace.format_trace_id(found.trace_id),
-        'span': trace.format_span_id(found.span_id),
+        'trace': trace.format_trace_id(span_context.trace_id),
+        'span': trace.format_span_id(span_context.span_id),
         'parent': trace.format_span_id(parent.span_id) if parent else None,
         'name': span.name,
         'host': span.resource.attributes.get('service.instance.id'),
@@ -61,36 +61,37 @@
 def make_tracer(
     name: str, path: pathlib.Path | None
 ) -> tuple[Tracer, collections.abc.Callable[[], None]]:
-    """Return a tracer and a function that writes what is left.
+    """Return a tracer and a function that flushes it and shuts it down.
 
-    Without a path the tracer makes spans that cost next to nothing and go
-    nowhere.
+    Without a path, the tracer is a no-op.
     """
     if path is None:
-        return trace.NoOpTracerProvider().get_tracer('apricotlanding'), _rest
+        return trace.NoOpTracerProvider().get_tracer('apricotlanding'), _noop
     provider = sdk.TracerProvider(
         resource=resources.Resource({'service.instance.id': name}),
         shutdown_on_exit=False,
     )
     provider.add_span_processor(
         export.BatchSpanProcessor(
-            _LineExporter(path), schedule_delay_millis=500
+            _JsonLinesExporter(path), schedule_delay_millis=500
         )
     )
     return provider.get_tracer('apricotlanding'), provider.shutdown
 
 
-def read_parent(headers: dict[str, str]) -> context.Context:
-    """Return the context that a caller's headers name."""
+def extract_context(headers: dict[str, str]) -> context.Context:
+    """Return the trace context of a caller's headers."""
     return _propagator.extract(headers)
 
 
-def write_parent(where: context.Context) -> list[tuple[bytes, bytes]]:
-    """Return the headers that carry a context on."""
+def inject_context(
+    trace_context: context.Context,
+) -> list[tuple[bytes, bytes]]:
+    """Return the headers that propagate a trace context."""
     carrier: dict[str, str] = {}
-    _propagator.inject(carrier, where)
+    _propagator.inject(carrier, trace_context)
     return [(name.encode(), value.encode()) for name, value in carrier.items()]
 
 
-def _rest() -> None:
+def _noop() -> None:
     return
--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -82,7 +82,7 @@
         self._peer_socket = asgi.bind_address(config.peers)
         self.incarnation = ids.make_incarnation(
             self.host,
-            f'{clocks.read_boot()} {config.peers}',
+            f'{clocks.read_boot_id()} {config.peers}',
             clocks.read_monotonic(),
         )
         self.metrics = metrics.Metrics(config.statsd)
@@ -338,7 +338,7 @@
         # Nothing is in progress; what callers have not read yet still leaves.
         async with anyio.create_task_group() as group:
             for listener in (self._callers, self._operators):
-                group.start_soon(shutdown.finish, listener, LAST_WORDS)
+                group.start_soon(shutdown.close_listener, listener, LAST_WORDS)
         eliot.log_message('daemon:stopped')
 
     async def _hand_over(self) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/placement.py
@@ -90,5 +90,5 @@
 def _hash_affinity(part: str, start: ids.RunnerStart) -> int:
     # By the registered id, so that the restart of a runner does not change the
     # preferred runner of any prefix.
-    runner = ids.find_runner(start)
+    runner = ids.parse_runner(start)
     return xxhash.xxh3_64_intdigest(f'{part} {runner}'.encode())
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/decisions/subsets.py
@@ -57,7 +57,7 @@
     """Return the entries of a service that belong to the subset."""
     # By the registered id, so that a restarted runner stays in its subset.
     order = sorted(
-        entries, key=lambda entry: _hash_name(ids.find_runner(entry.start))
+        entries, key=lambda entry: _hash_name(ids.parse_runner(entry.start))
     )
     return [
         entry
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -359,7 +359,7 @@
     def list_open_runners(self) -> list[ids.Runner]:
         """Return the runners that accept new requests."""
         return [
-            ids.find_runner(entry.start)
+            ids.parse_runner(entry.start)
             for entry in self._directory.list_all()
             if not entry.is_draining
         ]
@@ -429,7 +429,7 @@
             except dialect.Unreadable as error:
                 self._retract(runner, str(error), now)
                 return
-            birth = ids.read_birth(entry.start)
+            birth = ids.parse_start_time(entry.start)
             state = 'draining' if entry.is_draining else 'open'
             news = self._directory.update(entry)
             if news is directory.UpdateResult.START:
@@ -670,12 +670,12 @@
         self._log_stop('gateway:stopping')
         await anyio.sleep(plan.close_at - clocks.read_monotonic())
         self._log_stop('gateway:listener_closing')
-        left_s = plan.give_up_at - clocks.read_monotonic()
-        if not await shutdown.finish(self._server, left_s):
+        left_s = plan.abort_at - clocks.read_monotonic()
+        if not await shutdown.close_listener(self._server, left_s):
             self._log_stop('gateway:grace_over')
             self._listener.end_requests()
-            left_s = plan.end_at - clocks.read_monotonic()
-            await shutdown.finish(self._server, left_s)
+            left_s = plan.exit_at - clocks.read_monotonic()
+            await shutdown.close_listener(self._server, left_s)
         self._log_stop('gateway:drained')
 
     def _log_stop(self, kind: str) -> None:
@@ -683,7 +683,7 @@
             kind,
             open=self._listener.open_requests,
             connections=self._server.count_connections(),
-            unsent_bytes=self._server.count_unsent(),
+            unsent_bytes=self._server.count_unsent_bytes(),
         )
 
 
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/admission.py
@@ -120,7 +120,7 @@
         self._shared.routestats.note_caller_timeout(
             self.route.name, self.caller_timeout_s
         )
-        self._shared.retry_budget.note_request(self.service, now)
+        self._shared.retry_budget.record_request(self.service, now)
 
     async def _take_units(self, now: float) -> errors.Problem | None:
         holder = self.organisation
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/exchange.py
@@ -310,7 +310,7 @@
             self._detail = repr(error)
             if isinstance(error, (webclient.Garbled, streams.OutOfOrder)):
                 now = clocks.read_monotonic()
-                runner = ids.find_runner(entry.start)
+                runner = ids.parse_runner(entry.start)
                 self._shared.on_malformed_answer(runner, str(error), now)
             self._note_failure(entry, is_reached=True)
             return _SendResult.FAILED
@@ -327,7 +327,7 @@
             target=self._admission.target,
             headers=self._shared.http_dialect.write_request(
                 self._admission.head,
-                ids.find_runner(entry.start),
+                ids.parse_runner(entry.start),
                 None if organisation is None else organisation.name,
                 remaining_s,
                 last_event,
@@ -351,7 +351,7 @@
         eliot.log_message(
             'gateway:runner_failed',
             attempt=self._admission.head.attempt,
-            runner=ids.find_runner(entry.start),
+            runner=ids.parse_runner(entry.start),
             is_reached=is_reached,
             detail=self._detail,
         )
@@ -600,7 +600,7 @@
             first = round(self._first_at - self._admission.arrived_at, 4)
         runner = None
         if self._runner is not None:
-            runner = ids.find_runner(self._runner)
+            runner = ids.parse_runner(self._runner)
         kind = self._reply.outcome.partition(' ')[0]
         self._shared.telemetry.count('requests_total', outcome=kind)
         self._shared.telemetry.time('request_seconds', took, outcome=kind)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/replies.py
@@ -40,22 +40,22 @@
         headers = [*head.passed, *self._list_close_headers()]
         if length is not None:
             headers.append((b'content-length', str(length).encode()))
-        await asgi.start_answer(self._send, head.status, headers)
+        await asgi.start_response(self._send, head.status, headers)
 
     async def forward_part(self, data: bytes) -> None:
         """Forward a part of a runner's body."""
-        await asgi.send_part(self._send, data)
+        await asgi.send_body_part(self._send, data)
 
     async def finish(self, head: dialect.AnswerHead) -> None:
         """Send the end marker of a runner's answer."""
-        await asgi.send_part(self._send, b'', is_last=True)
+        await asgi.send_body_part(self._send, b'', is_last=True)
         self.outcome = f'answered {head.status}'
 
     async def deliver(self, head: dialect.AnswerHead, body: bytes) -> None:
         """Send a complete answer of a runner."""
         self.outcome = f'answered {head.status}'
         await self.begin(head, len(body))
-        await asgi.send_part(self._send, body, is_last=True)
+        await asgi.send_body_part(self._send, body, is_last=True)
 
     async def fail(self, attempt: str, problem: errors.Problem) -> None:
         """Send an error of the gateway, or cut an answer that has begun."""
@@ -76,8 +76,8 @@
             (b'content-length', str(len(body)).encode()),
             *self._list_close_headers(),
         ]
-        await asgi.start_answer(self._send, problem.status, headers)
-        await asgi.send_part(self._send, body, is_last=True)
+        await asgi.start_response(self._send, problem.status, headers)
+        await asgi.send_body_part(self._send, body, is_last=True)
 
     def _list_close_headers(self) -> dialect.HeaderList:
         # Makes the caller open its next connection to another host.
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/runnerclients.py
@@ -78,15 +78,15 @@
         Returns, by earlier start, the number of requests that reached the
         later one.
         """
-        birth = ids.read_birth(later)
+        birth = ids.parse_start_time(later)
         if birth is None:
             return {}
         for endpoint in list(self._clients):
-            if ids.has_run_before(endpoint[0], later):
+            if ids.is_earlier_start(endpoint[0], later):
                 self._retire(endpoint)
         counts: dict[ids.RunnerStart, int] = {}
         for retired in self._retired:
-            if not ids.has_run_before(retired.start, later):
+            if not ids.is_earlier_start(retired.start, later):
                 continue
             count = retired.client.count_made_since(birth / 1000)
             counts[retired.start] = counts.get(retired.start, 0) + count
@@ -131,18 +131,18 @@
         self._retired.append(_Retired(endpoint[0], client))
 
     async def _close_earlier(self, later: ids.RunnerStart) -> None:
-        birth = ids.read_birth(later)
+        birth = ids.parse_start_time(later)
         if birth is None:
             return
         for retired in list(self._retired):
-            if not ids.has_run_before(retired.start, later):
+            if not ids.is_earlier_start(retired.start, later):
                 continue
             await retired.client.close()
             cut = await retired.client.close_made_before(birth / 1000)
             eliot.log_message(
                 'gateway:runner_restarted',
-                runner=ids.find_runner(later),
+                runner=ids.parse_runner(later),
                 born=birth,
-                born_before=ids.read_birth(retired.start),
+                born_before=ids.parse_start_time(retired.start),
                 cut_requests=cut,
             )
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/runners/directory.py
@@ -100,9 +100,9 @@
 
         One that states no birth is taken to be of the known start.
         """
-        runner = ids.find_runner(entry.start)
+        runner = ids.parse_runner(entry.start)
         registration = self._registrations.get(runner)
-        if ids.read_birth(entry.start) is None:
+        if ids.parse_start_time(entry.start) is None:
             if registration is not None:
                 entry = dataclasses.replace(
                     entry, start=registration.entry.start
@@ -153,7 +153,7 @@
 
     def find(self, start: ids.RunnerStart) -> dialect.RunnerEntry | None:
         """Return the registration of a start that is still known."""
-        registration = self._registrations.get(ids.find_runner(start))
+        registration = self._registrations.get(ids.parse_runner(start))
         if registration is None or registration.entry.start != start:
             return None
         return registration.entry
@@ -186,12 +186,14 @@
         self.changes += 1
 
     def _is_outdated(self, start: ids.RunnerStart) -> bool:
-        runner = ids.find_runner(start)
+        runner = ids.parse_runner(start)
         registration = self._registrations.get(runner)
         if registration is not None:
-            return ids.has_run_before(start, registration.entry.start)
+            return ids.is_earlier_start(start, registration.entry.start)
         removed = self._removed.get(runner)
-        return removed is not None and ids.has_run_before(start, removed.start)
+        return removed is not None and ids.is_earlier_start(
+            start, removed.start
+        )
 
     def _may_come_back(self, removed_at: float, now: float) -> bool:
         if (
--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -84,7 +84,7 @@
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
     ) -> None:
         headers = asgi.read_headers(scope)
-        parent = tracing.read_parent(headers)
+        parent = tracing.extract_context(headers)
         with self._tracer.start_as_current_span('caller', parent) as span:
             admitted = await self._admit(scope, headers, receive)
             if isinstance(admitted, errors.Problem):
@@ -103,7 +103,7 @@
         config = self.find_bundle()
         if config is None:
             # Nobody here knows the route, nor what became of the key.
-            return errors.weaken(
+            return errors.mark_outcome_unknown(
                 errors.make_problem(errors.Kind.NO_BUNDLE, 1.0)
             )
         if scope['method'] != 'POST':
@@ -208,7 +208,7 @@
     head: admission.Head, problem: errors.Problem
 ) -> errors.Problem:
     if head.route.repeat is bundle.Repeat.AT_MOST_ONCE:
-        return errors.weaken(problem)
+        return errors.mark_outcome_unknown(problem)
     return problem
 
 
@@ -235,14 +235,14 @@
     if request.kind is bundle.RunnerKind.SERVICE:
         await _send_whole(send, request, answer)
         return
-    await asgi.start_answer(
+    await asgi.start_response(
         send, 200, [_LINES, *_name_request(request, answer)]
     )
     async for part in answer.iterate():
-        await asgi.send_part(send, part)
+        await asgi.send_body_part(send, part)
     assert answer.end is not None
     last = _describe_end(request, answer.end.problem)
-    await asgi.send_part(send, _encode_line(last), is_last=True)
+    await asgi.send_body_part(send, _encode_line(last), is_last=True)
 
 
 async def _send_whole(
@@ -254,8 +254,8 @@
         (b'content-length', str(len(body)).encode()),
         *_name_request(request, answer),
     ]
-    await asgi.start_answer(send, answer.status, headers)
-    await asgi.send_part(send, body, is_last=True)
+    await asgi.start_response(send, answer.status, headers)
+    await asgi.send_body_part(send, body, is_last=True)
 
 
 def _name_request(
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -224,7 +224,7 @@
             eliot.write_traceback()
             problem = self._describe_fault(run, error)
         if problem is not None and run.may_have_run:
-            problem = errors.weaken(problem)
+            problem = errors.mark_outcome_unknown(problem)
         self._finish(run, problem)
         span.set_attribute('outcome', _name_outcome(problem))
         span.end()
@@ -356,7 +356,7 @@
     async def _dispatch(
         self, run: Run, ticket: poolclient.Ticket
     ) -> errors.Problem | None:
-        self._budget.note_request(ticket.pool, clocks.read_monotonic())
+        self._budget.record_request(ticket.pool, clocks.read_monotonic())
         while True:
             run.state = RunState.WAITING
             with self._start_span('schedule', run):
@@ -399,7 +399,7 @@
         started_at = clocks.read_monotonic()
         with self._start_span('runner', run) as span:
             span.set_attribute('runner', runner)
-            headers = tracing.write_parent(trace.set_span_in_context(span))
+            headers = tracing.inject_context(trace.set_span_in_context(span))
             run.state = RunState.SENT
             answer.runner = runner
             scope = anyio.CancelScope()
--- a/packages/apricotstandins/src/apricotstandins/deployment.py
+++ b/packages/apricotstandins/src/apricotstandins/deployment.py
@@ -249,7 +249,7 @@
             place.host,
             'POST',
             '/v1/bundle',
-            submissions.write_submission(self.sign(value, author)),
+            submissions.encode_submission(self.sign(value, author)),
         )
 
     # Looking and disturbing.
@@ -413,7 +413,7 @@
             'operators': [
                 {
                     'name': name,
-                    'public_key': signatures.write_public_key(pem),
+                    'public_key': signatures.format_public_key(pem),
                 }
                 for name, pem in keys
             ],
--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -335,7 +335,7 @@
         is_malformed = self.faults.malformed > 0
         if is_malformed:
             self.faults.malformed -= 1
-        await asgi.start_answer(
+        await asgi.start_response(
             send, 200, [(b'content-type', b'application/x-ndjson')]
         )
         position = start
@@ -351,12 +351,12 @@
                     line = line.replace(work.request.encode(), b'another')
                 if is_malformed:
                     line = line[: len(line) // 2] + b'\n'
-                await asgi.send_part(send, line)
+                await asgi.send_body_part(send, line)
                 continue
             if work.is_done or work.is_cancelled:
                 break
             await work.news.wait()
-        await asgi.send_part(send, b'', is_last=True)
+        await asgi.send_body_part(send, b'', is_last=True)
 
     async def _cancel(self, name: str, send: asgi.Send) -> None:
         work = self._works.get(name)
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -17,7 +17,7 @@
     def stop(self) -> None:
         self.is_stopped = True
 
-    async def wait_ended(self) -> None:
+    async def wait_closed(self) -> None:
         await self.ended.wait()
 
 
@@ -35,14 +35,14 @@
         # SIGKILL in the middle of an answer leaves no log line.
         for grace_s in (0.5, 1.0, 2.0, 4.0, 8.0, 60.0):
             plan = shutdown.make_plan(grace_s, now=100.0)
-            self.assertTrue(plan.end_at < 100.0 + grace_s)
+            self.assertTrue(plan.exit_at < 100.0 + grace_s)
 
     def test_answers_have_time_to_leave_when_requests_are_given_up(
         self,
     ) -> None:
         for grace_s in (0.5, 1.0, 2.0, 4.0, 8.0, 60.0):
             plan = shutdown.make_plan(grace_s, now=100.0)
-            left_s = plan.end_at - plan.give_up_at
+            left_s = plan.exit_at - plan.abort_at
             self.assertTrue(left_s >= grace_s / 25, left_s)
 
     def test_short_grace_leaves_time_for_what_is_in_progress(self) -> None:
@@ -50,7 +50,7 @@
         # killed with its listener open and requests in progress.
         for grace_s in (0.5, 1.0, 2.0):
             plan = shutdown.make_plan(grace_s, now=100.0)
-            left_s = plan.give_up_at - plan.close_at
+            left_s = plan.abort_at - plan.close_at
             self.assertTrue(left_s >= grace_s / 5, left_s)
 
     def test_end_waits_for_the_last_connection(self) -> None:
@@ -58,7 +58,9 @@
             intake = FakeIntake()
             async with anyio.create_task_group() as group:
                 group.start_soon(end_later, intake)
-                self.assertTrue(await shutdown.finish(intake, left_s=5.0))
+                self.assertTrue(
+                    await shutdown.close_listener(intake, timeout_s=5.0)
+                )
             self.assertTrue(intake.is_stopped)
 
         async def end_later(intake: FakeIntake) -> None:
@@ -70,7 +72,9 @@
     def test_shutdown_ends_although_a_caller_never_reads(self) -> None:
         async def run_scenario() -> None:
             with anyio.fail_after(2.0):
-                self.assertFalse(await shutdown.finish(FakeIntake(), 0.05))
+                self.assertFalse(
+                    await shutdown.close_listener(FakeIntake(), 0.05)
+                )
 
         anyio.run(run_scenario)
 
@@ -79,7 +83,7 @@
         async def run_scenario() -> None:
             intake = FakeIntake()
             with anyio.fail_after(2.0):
-                self.assertFalse(await shutdown.finish(intake, -1.0))
+                self.assertFalse(await shutdown.close_listener(intake, -1.0))
             self.assertTrue(intake.is_stopped)
 
         anyio.run(run_scenario)
--- a/tests/test_gateway_starts.py
+++ b/tests/test_gateway_starts.py
@@ -43,22 +43,22 @@
         for name in ('r1', '', '@', '12@r1', 'ü'):
             for birth in (None, 0, 1_764_726_589_123):
                 start = ids.make_runner_start(ids.Runner(name), birth)
-                self.assertEqual(name, ids.find_runner(start))
-                self.assertEqual(birth, ids.read_birth(start))
+                self.assertEqual(name, ids.parse_runner(start))
+                self.assertEqual(birth, ids.parse_start_time(start))
 
     def test_order_of_starts(self) -> None:
-        self.assertTrue(ids.has_run_before(EARLIER, LATER))
-        self.assertFalse(ids.has_run_before(LATER, EARLIER))
-        self.assertFalse(ids.has_run_before(LATER, LATER))
+        self.assertTrue(ids.is_earlier_start(EARLIER, LATER))
+        self.assertFalse(ids.is_earlier_start(LATER, EARLIER))
+        self.assertFalse(ids.is_earlier_start(LATER, LATER))
 
     def test_other_runners_are_not_ended(self) -> None:
         other = gatewayparts.make_start('r2', EARLY_MS)
-        self.assertFalse(ids.has_run_before(other, LATER))
+        self.assertFalse(ids.is_earlier_start(other, LATER))
 
     def test_start_without_birth_ends_none(self) -> None:
         nameless = gatewayparts.make_start('r1')
-        self.assertFalse(ids.has_run_before(EARLIER, nameless))
-        self.assertTrue(ids.has_run_before(nameless, EARLIER))
+        self.assertFalse(ids.is_earlier_start(EARLIER, nameless))
+        self.assertTrue(ids.is_earlier_start(nameless, EARLIER))
 
 
 class TestDirectory(testtools.TestCase):
@@ -312,7 +312,7 @@
 
     def assert_running(self, **expected: int) -> None:
         found = {
-            ids.read_birth(start): count
+            ids.parse_start_time(start): count
             for start, count in self.held_slots.running.items()
         }
         wanted = {
