--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -295,7 +295,7 @@
         return reply if isinstance(reply, wire.ClaimReply) else None
 
     def report_outcome(
-        self, kept: answers.Kept, state: wire.ClaimState
+        self, kept: answers.StoredRequest, state: wire.ClaimState
     ) -> None:
         """Report the outcome of a key to its owner, in the background."""
         kept.state = state
@@ -354,7 +354,7 @@
         )
 
     async def _report_outcome(
-        self, kept: answers.Kept, state: wire.ClaimState
+        self, kept: answers.StoredRequest, state: wire.ClaimState
     ) -> None:
         assert kept.shard is not None
         message = wire.ClaimEnd(
--- a/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
@@ -19,7 +19,7 @@
 from apricotlanding import ids
 from apricotlanding import wire
 
-__all__ = ['Answer', 'AnswerStore', 'End', 'Kept']
+__all__ = ['Answer', 'AnswerStore', 'End', 'StoredRequest']
 
 # Bytes that an entry costs beside its chunks.
 _ENTRY_COST = 512
@@ -92,7 +92,7 @@
 
 @ty.final
 @dataclasses.dataclass(slots=True, eq=False)
-class Kept:
+class StoredRequest:
     """A request that this daemon holds, from its claim on."""
 
     organisation: ids.Organisation
@@ -122,24 +122,24 @@
     def __init__(self, budget: int) -> None:
         """Start empty; ``budget`` bounds the bytes of ended answers."""
         self._budget = budget
-        self._open: dict[Place, Kept] = {}
-        self._ended: collections.OrderedDict[Place, Kept] = (
+        self._open: dict[Place, StoredRequest] = {}
+        self._ended: collections.OrderedDict[Place, StoredRequest] = (
             collections.OrderedDict()
         )
         self._bytes = 0
 
     def find(
         self, organisation: ids.Organisation, key: ids.Key
-    ) -> Kept | None:
+    ) -> StoredRequest | None:
         """Return a request that is open or kept."""
         place = (organisation, key)
         return self._open.get(place) or self._ended.get(place)
 
-    def add(self, kept: Kept) -> None:
+    def add(self, kept: StoredRequest) -> None:
         """Add an open request."""
         self._open[kept.organisation, kept.key] = kept
 
-    def close(self, kept: Kept) -> None:
+    def close(self, kept: StoredRequest) -> None:
         """Move a request from the open ones to those kept."""
         place = (kept.organisation, kept.key)
         if self._open.get(place) is kept:
@@ -160,7 +160,7 @@
             if self._bytes <= self._budget:
                 return
 
-    def drop(self, kept: Kept) -> None:
+    def drop(self, kept: StoredRequest) -> None:
         """Forget a request."""
         place = (kept.organisation, kept.key)
         if self._open.get(place) is kept:
--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -44,7 +44,10 @@
         self._peers = others
 
     async def copy(
-        self, kept: answers.Kept, shard: ids.Shard, reply: wire.ClaimReply
+        self,
+        kept: answers.StoredRequest,
+        shard: ids.Shard,
+        reply: wire.ClaimReply,
     ) -> errors.Problem | None:
         """Copy the holder's answer; return how it ended."""
         assert reply.holder is not None
--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -175,7 +175,7 @@
         request: admission.Request,
         deadline_at: float,
         span: trace.Span,
-    ) -> tuple[answers.Kept, runs.Run | None] | errors.Problem:
+    ) -> tuple[answers.StoredRequest, runs.Run | None] | errors.Problem:
         head = request.head
         kept = self._store.find(head.organisation, head.key)
         if kept is not None:
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -76,7 +76,7 @@
     def __init__(
         self,
         request: admission.Request,
-        kept: answers.Kept,
+        kept: answers.StoredRequest,
         deadline_at: float,
         parent: context.Context,
     ) -> None:
@@ -162,7 +162,7 @@
         self._number += 1
         head = request.head
         shard = request.shard if request.is_at_most_once else None
-        kept = answers.Kept(
+        kept = answers.StoredRequest(
             organisation=head.organisation,
             key=head.key,
             digest=request.digest,
@@ -478,7 +478,7 @@
             self.idle.set()
 
     def _settle(
-        self, kept: answers.Kept, problem: errors.Problem | None
+        self, kept: answers.StoredRequest, problem: errors.Problem | None
     ) -> None:
         if kept.shard is None:
             kept.is_settled = True
--- a/tests/test_claim_waits.py
+++ b/tests/test_claim_waits.py
@@ -44,7 +44,7 @@
         return wire.ClaimReply(self.verdict, EPOCH, OWNER, ticket='owner/1/9')
 
     def report_outcome(
-        self, kept: answers.Kept, state: wire.ClaimState
+        self, kept: answers.StoredRequest, state: wire.ClaimState
     ) -> None:
         self.ends.append(state)
 
@@ -53,7 +53,10 @@
     """Attacher to a holder that has the answer of the key."""
 
     async def copy(
-        self, kept: answers.Kept, shard: ids.Shard, reply: wire.ClaimReply
+        self,
+        kept: answers.StoredRequest,
+        shard: ids.Shard,
+        reply: wire.ClaimReply,
     ) -> errors.Problem | None:
         kept.answer.add(b'the answer of the first call')
         return None
