--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -295,13 +295,13 @@
         return reply if isinstance(reply, wire.ClaimReply) else None
 
     def report_outcome(
-        self, kept: answers.StoredRequest, state: wire.ClaimState
+        self, stored: answers.StoredRequest, state: wire.ClaimState
     ) -> None:
         """Report the outcome of a key to its owner, in the background."""
-        kept.state = state
+        stored.state = state
         assert self._group is not None
         self._group.start_soon(
-            supervisor.run_guarded, self._report_outcome, kept, state
+            supervisor.run_guarded, self._report_outcome, stored, state
         )
 
     def report_claims(self, shard: ids.Shard) -> None:
@@ -354,19 +354,19 @@
         )
 
     async def _report_outcome(
-        self, kept: answers.StoredRequest, state: wire.ClaimState
+        self, stored: answers.StoredRequest, state: wire.ClaimState
     ) -> None:
-        assert kept.shard is not None
+        assert stored.shard is not None
         message = wire.ClaimEnd(
-            kept.shard, kept.organisation, kept.key, state, kept.ticket
+            stored.shard, stored.organisation, stored.key, state, stored.ticket
         )
         while not await self._send_end(message):
             await anyio.sleep(_END_RETRY_DELAY_S)
-        kept.is_settled = True
+        stored.is_settled = True
         if state is wire.ClaimState.RELEASED:
             # Until now a retry through this daemon was answered "not-run";
             # from now on it may claim the key again.
-            self._store.drop(kept)
+            self._store.drop(stored)
         else:
             self._store.drop_oldest()
 
--- a/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
@@ -135,39 +135,39 @@
         place = (organisation, key)
         return self._open.get(place) or self._ended.get(place)
 
-    def add(self, kept: StoredRequest) -> None:
+    def add(self, stored: StoredRequest) -> None:
         """Add an open request."""
-        self._open[kept.organisation, kept.key] = kept
+        self._open[stored.organisation, stored.key] = stored
 
-    def close(self, kept: StoredRequest) -> None:
+    def close(self, stored: StoredRequest) -> None:
         """Move a request from the open ones to those kept."""
-        place = (kept.organisation, kept.key)
-        if self._open.get(place) is kept:
+        place = (stored.organisation, stored.key)
+        if self._open.get(place) is stored:
             del self._open[place]
-        self._ended[place] = kept
-        self._bytes += kept.count_bytes()
+        self._ended[place] = stored
+        self._bytes += stored.count_bytes()
         self.drop_oldest()
 
     def drop_oldest(self) -> None:
         """Drop ended answers, oldest first, until the budget is kept."""
         if self._bytes <= self._budget:
             return
-        for place, kept in list(self._ended.items()):
-            if not kept.is_settled:
+        for place, stored in list(self._ended.items()):
+            if not stored.is_settled:
                 continue
             del self._ended[place]
-            self._bytes -= kept.count_bytes()
+            self._bytes -= stored.count_bytes()
             if self._bytes <= self._budget:
                 return
 
-    def drop(self, kept: StoredRequest) -> None:
+    def drop(self, stored: StoredRequest) -> None:
         """Forget a request."""
-        place = (kept.organisation, kept.key)
-        if self._open.get(place) is kept:
+        place = (stored.organisation, stored.key)
+        if self._open.get(place) is stored:
             del self._open[place]
-        if self._ended.get(place) is kept:
+        if self._ended.get(place) is stored:
             del self._ended[place]
-            self._bytes -= kept.count_bytes()
+            self._bytes -= stored.count_bytes()
 
     def list_claims(
         self, shard: ids.Shard, holder: ids.Incarnation
@@ -176,13 +176,13 @@
         everything = [*self._open.values(), *self._ended.values()]
         return [
             wire.HeldClaim(
-                kept.organisation,
-                kept.key,
-                kept.digest,
-                kept.state,
+                stored.organisation,
+                stored.key,
+                stored.digest,
+                stored.state,
                 holder,
-                kept.ticket,
+                stored.ticket,
             )
-            for kept in everything
-            if kept.shard == shard and kept.is_claimed
+            for stored in everything
+            if stored.shard == shard and stored.is_claimed
         ]
--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -45,13 +45,15 @@
 
     async def copy(
         self,
-        kept: answers.StoredRequest,
+        stored: answers.StoredRequest,
         shard: ids.Shard,
         reply: wire.ClaimReply,
     ) -> errors.Problem | None:
         """Copy the holder's answer; return how it ended."""
         assert reply.holder is not None
-        message = wire.Attach(kept.organisation, kept.key, shard, reply.ticket)
+        message = wire.Attach(
+            stored.organisation, stored.key, shard, reply.ticket
+        )
         if reply.holder == self._peers.incarnation:
             # We held it and have dropped it since.
             await self._claims.release_missing(message)
@@ -64,10 +66,10 @@
         try:
             async for part in connection.iterate(message, PART_TIMEOUT):
                 if isinstance(part, wire.Chunk):
-                    kept.answer.add(part.data)
+                    stored.answer.add(part.data)
                 elif isinstance(part, wire.AttachEnd):
-                    kept.answer.runner = part.runner
-                    kept.answer.status = part.status
+                    stored.answer.runner = part.runner
+                    stored.answer.status = part.status
                     return self._read_end(part, reply)
         except peerlink.PeerLost as error:
             eliot.log_message('attach:lost', error=str(error))
@@ -77,12 +79,12 @@
         self, message: wire.Attach, sender: ids.Incarnation
     ) -> collections.abc.AsyncIterator[wire.Chunk | wire.AttachEnd]:
         """Yield the answer that this daemon holds."""
-        kept = self._store.find(message.organisation, message.key)
-        if kept is None or kept.ticket != message.ticket:
+        stored = self._store.find(message.organisation, message.key)
+        if stored is None or stored.ticket != message.ticket:
             await self._claims.release_missing(message)
             yield wire.AttachEnd(_MISSING, '', None, None, 200)
             return
-        answer = kept.answer
+        answer = stored.answer
         async for data in answer.iterate():
             yield wire.Chunk(data)
         assert answer.end is not None
--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -154,8 +154,8 @@
         if isinstance(found, errors.Problem):
             await _send_problem(send, found, request)
             return
-        kept, run = found
-        answer = kept.answer
+        stored, run = found
+        answer = stored.answer
         answer.readers += 1
         try:
             async with anyio.create_task_group() as group:
@@ -177,11 +177,11 @@
         span: trace.Span,
     ) -> tuple[answers.StoredRequest, runs.Run | None] | errors.Problem:
         head = request.head
-        kept = self._store.find(head.organisation, head.key)
-        if kept is not None:
-            if kept.digest != request.digest:
+        stored = self._store.find(head.organisation, head.key)
+        if stored is not None:
+            if stored.digest != request.digest:
                 return errors.make_problem(errors.Kind.KEY_REUSED)
-            return kept, None
+            return stored, None
         if self._runs.count() >= self._open_requests:
             victim = self._runs.find_lowest_waiting(head.tier)
             full = errors.make_problem(errors.Kind.MEMORY_FULL, 1.0)
@@ -191,13 +191,13 @@
             victim.stop(full, full)
         parent = trace.set_span_in_context(span)
         run = self._runs.start(request, deadline_at, parent)
-        return run.kept, run
+        return run.stored, run
 
     def _stop_unread(self, request: admission.Request, run: runs.Run) -> None:
         # The caller of an idempotent request that still waits is gone, and
         # nobody else reads: it would cost a prefill that is thrown away.
         # At-most-once work goes on, for the caller that comes back.
-        if request.is_at_most_once or run.kept.answer.readers > 0:
+        if request.is_at_most_once or run.stored.answer.readers > 0:
             return
         if run.state is runs.RunState.WAITING:
             gone = errors.make_problem(errors.Kind.CALLER_GONE)
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -76,13 +76,13 @@
     def __init__(
         self,
         request: admission.Request,
-        kept: answers.StoredRequest,
+        stored: answers.StoredRequest,
         deadline_at: float,
         parent: context.Context,
     ) -> None:
         """Begin at the claim."""
         self.request = request
-        self.kept = kept
+        self.stored = stored
         self.deadline_at = deadline_at
         self.parent = parent
         self.state = RunState.CLAIMING
@@ -162,7 +162,7 @@
         self._number += 1
         head = request.head
         shard = request.shard if request.is_at_most_once else None
-        kept = answers.StoredRequest(
+        stored = answers.StoredRequest(
             organisation=head.organisation,
             key=head.key,
             digest=request.digest,
@@ -170,9 +170,9 @@
             shard=shard,
             answer=answers.Answer(),
         )
-        run = Run(request, kept, deadline_at, parent)
-        self._store.add(kept)
-        self._runs[kept.ticket] = run
+        run = Run(request, stored, deadline_at, parent)
+        self._store.add(stored)
+        self._runs[stored.ticket] = run
         assert self._group is not None
         self._group.start_soon(self._carry, run)
         return run
@@ -233,7 +233,7 @@
                 'request:end',
                 outcome=_name_outcome(problem),
                 code=problem.code if problem else None,
-                runner=run.kept.answer.runner,
+                runner=run.stored.answer.runner,
             )
         action.finish()
 
@@ -267,7 +267,7 @@
                 if holder is not None:
                     self._pools.remove(ticket)
                     return await self._copy_answer(run, holder)
-            run.kept.is_claimed = True
+            run.stored.is_claimed = True
             self._metrics.count(f'admitted.{request.head.tier_name}')
             ticket.is_ready = True
             self._pools.add(ticket)
@@ -310,13 +310,13 @@
     async def _claim(self, run: Run) -> wire.ClaimReply | None:
         # Returns the reply of a holder to attach to; None if granted.
         request = run.request
-        assert run.kept.shard is not None
+        assert run.stored.shard is not None
         message = wire.ClaimRequest(
-            run.kept.shard,
+            run.stored.shard,
             request.head.organisation,
             request.head.key,
             request.digest,
-            run.kept.ticket,
+            run.stored.ticket,
         )
         reply = await self._claims.claim(message, run.deadline_at)
         run.may_have_run = reply.verdict is wire.ClaimVerdict.CLOCK_OFF
@@ -332,16 +332,16 @@
     async def _copy_answer(
         self, run: Run, reply: wire.ClaimReply
     ) -> errors.Problem | None:
-        assert run.kept.shard is not None
+        assert run.stored.shard is not None
         # The work is the holder's: were it counted as sent, our own stop
         # would call it unknown, which is true in any case.
         run.state = RunState.SENT
-        return await self._attacher.copy(run.kept, run.kept.shard, reply)
+        return await self._attacher.copy(run.stored, run.stored.shard, reply)
 
     def _make_ticket(self, run: Run) -> poolclient.Ticket:
         request = run.request
         return poolclient.Ticket(
-            name=run.kept.ticket,
+            name=run.stored.ticket,
             pool=ids.Pool(request.head.route.pool),
             organisation=request.head.organisation,
             tier=request.head.tier,
@@ -393,7 +393,7 @@
             self._report_attempt(ticket, attempt)
             return attempt
         name = f'{run.request.head.key}.{secrets.token_hex(4)}'
-        answer = run.kept.answer
+        answer = run.stored.answer
         attempt = relay.Attempt()
         is_over = False
         started_at = clocks.read_monotonic()
@@ -460,51 +460,51 @@
     ) -> bool:
         if attempt.end is relay.AttemptEnd.NOT_TAKEN:
             return True
-        if run.request.is_at_most_once or run.kept.answer.chunks:
+        if run.request.is_at_most_once or run.stored.answer.chunks:
             return False
         return self._budget.take(pool, 1, now)
 
     # The end.
 
     def _finish(self, run: Run, problem: errors.Problem | None) -> None:
-        kept = run.kept
+        stored = run.stored
         run.state = RunState.ENDED
-        kept.answer.finish(problem)
+        stored.answer.finish(problem)
         outcome = _name_outcome(problem)
         self._metrics.count(f'{outcome}.{run.request.head.tier_name}')
-        self._settle(kept, problem)
-        del self._runs[kept.ticket]
+        self._settle(stored, problem)
+        del self._runs[stored.ticket]
         if not self._runs:
             self.idle.set()
 
     def _settle(
-        self, kept: answers.StoredRequest, problem: errors.Problem | None
+        self, stored: answers.StoredRequest, problem: errors.Problem | None
     ) -> None:
-        if kept.shard is None:
-            kept.is_settled = True
+        if stored.shard is None:
+            stored.is_settled = True
             if problem is None:
-                self._store.close(kept)
+                self._store.close(stored)
             else:
-                self._store.drop(kept)
+                self._store.drop(stored)
             return
-        if problem is not None and not kept.is_claimed:
+        if problem is not None and not stored.is_claimed:
             # Refused by the claim owner, or copied from the holder. If the
             # owner granted it after we had given up, it is released.
-            self._claims.report_outcome(kept, wire.ClaimState.RELEASED)
-            self._store.drop(kept)
+            self._claims.report_outcome(stored, wire.ClaimState.RELEASED)
+            self._store.drop(stored)
             return
-        if problem is None and not kept.is_claimed:
+        if problem is None and not stored.is_claimed:
             # A copy: the holder keeps the original.
-            kept.is_settled = True
-            self._store.drop(kept)
+            stored.is_settled = True
+            self._store.drop(stored)
             return
-        self._store.close(kept)
+        self._store.close(stored)
         if problem is None:
-            self._claims.report_outcome(kept, wire.ClaimState.FINISHED)
+            self._claims.report_outcome(stored, wire.ClaimState.FINISHED)
         elif problem.outcome is errors.Outcome.NOT_RUN:
-            self._claims.report_outcome(kept, wire.ClaimState.RELEASED)
+            self._claims.report_outcome(stored, wire.ClaimState.RELEASED)
         else:
-            self._claims.report_outcome(kept, wire.ClaimState.UNKNOWN)
+            self._claims.report_outcome(stored, wire.ClaimState.UNKNOWN)
 
     def _describe_fault(self, run: Run, error: Exception) -> errors.Problem:
         # A fault of ours, not of the caller's. Whatever it was, nothing
@@ -525,7 +525,7 @@
 def _move_on(run: Run, scope: anyio.CancelScope) -> None:
     # Called when the runner has gone silent. What must not run twice stays:
     # the runner may only be cut off from the scheduler.
-    if not run.request.is_at_most_once and not run.kept.answer.chunks:
+    if not run.request.is_at_most_once and not run.stored.answer.chunks:
         scope.cancel()
 
 
--- a/tests/test_claim_waits.py
+++ b/tests/test_claim_waits.py
@@ -44,7 +44,7 @@
         return wire.ClaimReply(self.verdict, EPOCH, OWNER, ticket='owner/1/9')
 
     def report_outcome(
-        self, kept: answers.StoredRequest, state: wire.ClaimState
+        self, stored: answers.StoredRequest, state: wire.ClaimState
     ) -> None:
         self.ends.append(state)
 
@@ -54,11 +54,11 @@
 
     async def copy(
         self,
-        kept: answers.StoredRequest,
+        stored: answers.StoredRequest,
         shard: ids.Shard,
         reply: wire.ClaimReply,
     ) -> errors.Problem | None:
-        kept.answer.add(b'the answer of the first call')
+        stored.answer.add(b'the answer of the first call')
         return None
 
 
@@ -167,7 +167,7 @@
             await carried.wait_until_idle()
             took_s = clocks.read_monotonic() - began_at
             group.cancel_scope.cancel()
-        return run.kept.answer, took_s
+        return run.stored.answer, took_s
 
     def find_problem(self, answer: answers.Answer) -> errors.Problem:
         assert answer.end is not None
