--- a/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
@@ -24,7 +24,7 @@
 # Bytes that an entry costs beside its chunks.
 _ENTRY_COST = 512
 
-Place = tuple[ids.Organisation, ids.Key]
+RequestId = tuple[ids.Organisation, ids.Key]
 
 
 @ty.final
@@ -122,8 +122,8 @@
     def __init__(self, budget: int) -> None:
         """Start empty; ``budget`` bounds the bytes of ended answers."""
         self._budget = budget
-        self._open: dict[Place, StoredRequest] = {}
-        self._ended: collections.OrderedDict[Place, StoredRequest] = (
+        self._open: dict[RequestId, StoredRequest] = {}
+        self._ended: collections.OrderedDict[RequestId, StoredRequest] = (
             collections.OrderedDict()
         )
         self._bytes = 0
