--- a/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
@@ -132,8 +132,8 @@
         self, organisation: ids.Organisation, key: ids.Key
     ) -> StoredRequest | None:
         """Return a request that is open or kept."""
-        place = (organisation, key)
-        return self._open.get(place) or self._ended.get(place)
+        request_id = (organisation, key)
+        return self._open.get(request_id) or self._ended.get(request_id)
 
     def add(self, stored: StoredRequest) -> None:
         """Add an open request."""
@@ -141,10 +141,10 @@
 
     def close(self, stored: StoredRequest) -> None:
         """Move a request from the open ones to those kept."""
-        place = (stored.organisation, stored.key)
-        if self._open.get(place) is stored:
-            del self._open[place]
-        self._ended[place] = stored
+        request_id = (stored.organisation, stored.key)
+        if self._open.get(request_id) is stored:
+            del self._open[request_id]
+        self._ended[request_id] = stored
         self._bytes += stored.count_bytes()
         self.drop_oldest()
 
@@ -152,21 +152,21 @@
         """Drop ended answers, oldest first, until the budget is kept."""
         if self._bytes <= self._budget:
             return
-        for place, stored in list(self._ended.items()):
+        for request_id, stored in list(self._ended.items()):
             if not stored.is_settled:
                 continue
-            del self._ended[place]
+            del self._ended[request_id]
             self._bytes -= stored.count_bytes()
             if self._bytes <= self._budget:
                 return
 
     def drop(self, stored: StoredRequest) -> None:
         """Forget a request."""
-        place = (stored.organisation, stored.key)
-        if self._open.get(place) is stored:
-            del self._open[place]
-        if self._ended.get(place) is stored:
-            del self._ended[place]
+        request_id = (stored.organisation, stored.key)
+        if self._open.get(request_id) is stored:
+            del self._open[request_id]
+        if self._ended.get(request_id) is stored:
+            del self._ended[request_id]
             self._bytes -= stored.count_bytes()
 
     def list_claims(
