--- a/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
@@ -48,7 +48,7 @@
         self.status = 200
         # Connections that read it now.
         self.readers = 0
-        self._news = anyio.Event()
+        self._changed = anyio.Event()
 
     def add(self, chunk: bytes) -> None:
         """Append what the runner sent; nothing after the end."""
@@ -67,7 +67,7 @@
     async def wait_for_first(self) -> None:
         """Wait until there is a chunk or the end."""
         while not self.chunks and self.end is None:
-            await self._news.wait()
+            await self._changed.wait()
 
     async def iterate(self) -> collections.abc.AsyncIterator[bytes]:
         """Yield all chunks from the beginning until the end.
@@ -83,10 +83,10 @@
                 continue
             if self.end is not None:
                 return
-            await self._news.wait()
+            await self._changed.wait()
 
     def _wake(self) -> None:
-        news, self._news = self._news, anyio.Event()
+        news, self._changed = self._changed, anyio.Event()
         news.set()
 
 
