--- a/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
@@ -86,8 +86,8 @@
             await self._changed.wait()
 
     def _wake(self) -> None:
-        news, self._changed = self._changed, anyio.Event()
-        news.set()
+        changed, self._changed = self._changed, anyio.Event()
+        changed.set()
 
 
 @ty.final
