--- a/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
@@ -55,14 +55,14 @@
         if self.end is not None:
             return
         self.chunks.append(chunk)
-        self._wake()
+        self._notify_readers()
 
     def finish(self, problem: errors.Problem | None = None) -> None:
         """End the answer; the first end stands."""
         if self.end is not None:
             return
         self.end = End(problem)
-        self._wake()
+        self._notify_readers()
 
     async def wait_for_first(self) -> None:
         """Wait until there is a chunk or the end."""
@@ -85,7 +85,7 @@
                 return
             await self._changed.wait()
 
-    def _wake(self) -> None:
+    def _notify_readers(self) -> None:
         changed, self._changed = self._changed, anyio.Event()
         changed.set()
 
