--- a/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
@@ -64,7 +64,7 @@
         self.end = End(problem)
         self._notify_readers()
 
-    async def wait_for_first(self) -> None:
+    async def wait_for_first_chunk(self) -> None:
         """Wait until there is a chunk or the end."""
         while not self.chunks and self.end is None:
             await self._changed.wait()
--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -162,7 +162,7 @@
                 group.start_soon(_watch_caller, receive, group.cancel_scope)
                 left = deadline_at - clocks.read_monotonic()
                 with anyio.move_on_after(left + LAST_MOMENT):
-                    await answer.wait_for_first()
+                    await answer.wait_for_first_chunk()
                 await _send_answer(send, request, answer)
                 group.cancel_scope.cancel()
         finally:
