--- a/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
+++ b/packages/apricotlandingd/src/apricotlandingd/ownership/claims.py
@@ -368,7 +368,7 @@
             # from now on it may claim the key again.
             self._store.drop(stored)
         else:
-            self._store.drop_oldest()
+            self._store.evict_oldest()
 
     async def _send_end(self, message: wire.ClaimEnd) -> bool:
         entry = self._find_owner(message.shard)
--- a/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
@@ -146,9 +146,9 @@
             del self._open[request_id]
         self._ended[request_id] = stored
         self._bytes += stored.count_bytes()
-        self.drop_oldest()
+        self.evict_oldest()
 
-    def drop_oldest(self) -> None:
+    def evict_oldest(self) -> None:
         """Drop ended answers, oldest first, until the budget is kept."""
         if self._bytes <= self._budget:
             return
