--- a/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
@@ -22,7 +22,7 @@
 __all__ = ['Answer', 'AnswerStore', 'End', 'StoredRequest']
 
 # Bytes that an entry costs beside its chunks.
-_ENTRY_COST = 512
+_ENTRY_OVERHEAD_BYTES = 512
 
 RequestId = tuple[ids.Organisation, ids.Key]
 
@@ -112,7 +112,9 @@
 
     def count_bytes(self) -> int:
         """Return what keeping it costs."""
-        return _ENTRY_COST + sum(len(chunk) for chunk in self.answer.chunks)
+        return _ENTRY_OVERHEAD_BYTES + sum(
+            len(chunk) for chunk in self.answer.chunks
+        )
 
 
 @ty.final
