--- a/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
@@ -26,7 +26,7 @@
 DEADLINE_HEADER = 'apricot-deadline-ms'
 KEY_HEADER = 'idempotency-key'
 # Blocks of a prompt that are looked at; a longer prefix tells no more.
-_PREFIX_BLOCKS = 256
+_MAX_PREFIX_BLOCKS = 256
 _BEARER = 'bearer '
 
 Headers = collections.abc.Mapping[str, str]
@@ -167,7 +167,7 @@
     hasher = xxhash.xxh3_64()
     size = runnerstate.BLOCK_TOKENS
     for start in range(0, len(words) - size + 1, size):
-        if len(chain) == _PREFIX_BLOCKS:
+        if len(chain) == _MAX_PREFIX_BLOCKS:
             break
         hasher.update('\0'.join(words[start : start + size]).encode())
         # 63 bits: what every codec on the way can carry.
