--- a/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
@@ -138,7 +138,7 @@
         value = json.loads(body)
     except (ValueError, RecursionError):
         return _fail(errors.Kind.BAD_BODY, detail='not JSON')
-    wrong = _describe_generate(value)
+    wrong = _describe_bad_body(value)
     if wrong is not None:
         return _fail(errors.Kind.BAD_BODY, detail=wrong)
     prompt = value['prompt']
@@ -212,7 +212,7 @@
     return value
 
 
-def _describe_generate(value: ty.Any) -> str | None:
+def _describe_bad_body(value: ty.Any) -> str | None:
     if not isinstance(value, dict):
         return 'not an object'
     unknown = set(value) - {'prompt', 'max_tokens'}
