--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -31,7 +31,7 @@
 # The task that carries a request ends it at its deadline, and knows whether
 # it has run. Seconds that its word may take before the caller's connection,
 # which does not know, says "unknown".
-LAST_MOMENT = 0.25
+FINAL_ANSWER_GRACE_S = 0.25
 _JSON = (b'content-type', b'application/json')
 _LINES = (b'content-type', b'application/x-ndjson')
 
@@ -161,7 +161,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(_watch_caller, receive, group.cancel_scope)
                 left = deadline_at - clocks.read_monotonic()
-                with anyio.move_on_after(left + LAST_MOMENT):
+                with anyio.move_on_after(left + FINAL_ANSWER_GRACE_S):
                     await answer.wait_for_first_chunk()
                 await _send_answer(send, request, answer)
                 group.cancel_scope.cancel()
