--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -27,7 +27,7 @@
 
 ROUTE_PREFIX = '/v1/routes/'
 # Seconds that a caller may take to send its body.
-BODY_TIMEOUT = 30.0
+BODY_TIMEOUT_S = 30.0
 # The task that carries a request ends it at its deadline, and knows whether
 # it has run. Seconds that its word may take before the caller's connection,
 # which does not know, says "unknown".
@@ -119,7 +119,7 @@
         if stopping is not None:
             return stopping
         try:
-            with anyio.fail_after(BODY_TIMEOUT):
+            with anyio.fail_after(BODY_TIMEOUT_S):
                 body = await asgi.read_body(receive, head.body_limit)
         except asgi.BodyTooLarge:
             return errors.make_problem(
