--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -139,7 +139,9 @@
     def _check_stopping(self, head: admission.Head) -> errors.Problem | None:
         if self.is_admitting:
             return None
-        return _speak_for(head, errors.make_problem(errors.Kind.STOPPING, 0.0))
+        return _weaken_if_at_most_once(
+            head, errors.make_problem(errors.Kind.STOPPING, 0.0)
+        )
 
     async def _serve_request(
         self,
@@ -186,7 +188,7 @@
             victim = self._runs.find_lowest_waiting(head.tier)
             full = errors.make_problem(errors.Kind.MEMORY_FULL, 1.0)
             if victim is None:
-                return _speak_for(head, full)
+                return _weaken_if_at_most_once(head, full)
             # Somebody of a lower tier goes in its place.
             victim.stop(full, full)
         parent = trace.set_span_in_context(span)
@@ -204,7 +206,7 @@
             run.stop(gone, gone)
 
 
-def _speak_for(
+def _weaken_if_at_most_once(
     head: admission.Head, problem: errors.Problem
 ) -> errors.Problem:
     if head.route.repeat is bundle.Repeat.AT_MOST_ONCE:
