--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -170,7 +170,7 @@
         finally:
             answer.readers -= 1
         if run is not None:
-            self._stop_unread(request, run)
+            self._stop_if_unread(request, run)
 
     def _find_or_start(
         self,
@@ -195,7 +195,9 @@
         run = self._runs.start(request, deadline_at, parent)
         return run.stored, run
 
-    def _stop_unread(self, request: admission.Request, run: runs.Run) -> None:
+    def _stop_if_unread(
+        self, request: admission.Request, run: runs.Run
+    ) -> None:
         # The caller of an idempotent request that still waits is gone, and
         # nobody else reads: it would cost a prefill that is thrown away.
         # At-most-once work goes on, for the caller that comes back.
