--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -237,7 +237,7 @@
         await _send_problem(send, problem, request)
         return
     if request.kind is bundle.RunnerKind.SERVICE:
-        await _send_whole(send, request, answer)
+        await _send_service_answer(send, request, answer)
         return
     await asgi.start_answer(
         send, 200, [_LINES, *_name_request(request, answer)]
@@ -249,7 +249,7 @@
     await asgi.send_part(send, _encode_line(last), is_last=True)
 
 
-async def _send_whole(
+async def _send_service_answer(
     send: asgi.Send, request: admission.Request, answer: answers.Answer
 ) -> None:
     body = b''.join([part async for part in answer.iterate()])
