--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -240,7 +240,7 @@
         await _send_service_answer(send, request, answer)
         return
     await asgi.start_answer(
-        send, 200, [_LINES, *_name_request(request, answer)]
+        send, 200, [_LINES, *_make_request_headers(request, answer)]
     )
     async for part in answer.iterate():
         await asgi.send_part(send, part)
@@ -256,13 +256,13 @@
     headers = [
         _JSON,
         (b'content-length', str(len(body)).encode()),
-        *_name_request(request, answer),
+        *_make_request_headers(request, answer),
     ]
     await asgi.start_answer(send, answer.status, headers)
     await asgi.send_part(send, body, is_last=True)
 
 
-def _name_request(
+def _make_request_headers(
     request: admission.Request, answer: answers.Answer
 ) -> asgi.HeaderList:
     found = [(b'apricot-request', request.head.key.encode())]
