--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -245,7 +245,7 @@
     async for part in answer.iterate():
         await asgi.send_part(send, part)
     assert answer.end is not None
-    last = _describe_end(request, answer.end.problem)
+    last = _make_end_line(request, answer.end.problem)
     await asgi.send_part(send, _encode_line(last), is_last=True)
 
 
@@ -271,7 +271,7 @@
     return found
 
 
-def _describe_end(
+def _make_end_line(
     request: admission.Request, problem: errors.Problem | None
 ) -> dict[str, ty.Any]:
     line: dict[str, ty.Any] = {
