--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -33,7 +33,7 @@
 # which does not know, says "unknown".
 FINAL_ANSWER_GRACE_S = 0.25
 _JSON = (b'content-type', b'application/json')
-_LINES = (b'content-type', b'application/x-ndjson')
+_NDJSON = (b'content-type', b'application/x-ndjson')
 
 
 @ty.final
@@ -240,7 +240,7 @@
         await _send_service_answer(send, request, answer)
         return
     await asgi.start_answer(
-        send, 200, [_LINES, *_make_request_headers(request, answer)]
+        send, 200, [_NDJSON, *_make_request_headers(request, answer)]
     )
     async for part in answer.iterate():
         await asgi.send_part(send, part)
