--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -46,7 +46,7 @@
 # Retries of this daemon, for each pool: a part of its requests in the last
 # seconds, and a few more so that a daemon with little work may retry at all.
 RETRY_SHARE = 0.1
-RETRY_SLACK = 20.0
+RETRY_SLACK_REQUESTS = 20.0
 RETRY_WINDOW_S = 10.0
 # A claim that takes longer than this, in seconds, has its request wait in the
 # pool's queue. In calm a claim takes a few milliseconds, and then this saves
@@ -128,7 +128,7 @@
         self._metrics = counts
         self._tracer = tracer
         self._budget = retrybudget.RetryBudget(
-            RETRY_SHARE, RETRY_SLACK, RETRY_WINDOW_S
+            RETRY_SHARE, RETRY_SLACK_REQUESTS, RETRY_WINDOW_S
         )
         self._runs: dict[str, Run] = {}
         self._number = 0
