--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -51,7 +51,7 @@
 # A claim that takes longer than this, in seconds, has its request wait in the
 # pool's queue. In calm a claim takes a few milliseconds, and then this saves
 # two messages for each request.
-HOLD_AFTER = 0.1
+ENQUEUE_DELAY_S = 0.1
 # Seconds for which the claim of a request that was shed meanwhile is waited
 # for. Without its word a caller of at-most-once work hears "unknown" of what
 # never ran, and may not send it under another key. A claim takes milliseconds,
@@ -298,7 +298,7 @@
     async def _keep_place(
         self, ticket: poolclient.Ticket, scope: anyio.CancelScope
     ) -> None:
-        await anyio.sleep(HOLD_AFTER)
+        await anyio.sleep(ENQUEUE_DELAY_S)
         self._pools.add(ticket)
         await self._pools.wait_until_shed(ticket)
         # Confirmed now, whatever the claim says: it will not run, and until
