--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -57,7 +57,7 @@
 # never ran, and may not send it under another key. A claim takes milliseconds,
 # on a busy host a few tenths of a second; a claim owner that is silent holds
 # the refusal up by no more than this.
-CLAIM_GRACE = 0.25
+CLAIM_GRACE_S = 0.25
 
 
 class RunState(enum.Enum):
@@ -304,7 +304,7 @@
         # Confirmed now, whatever the claim says: it will not run, and until
         # then the scheduler may shed nothing of a higher tier.
         self._pools.remove(ticket)
-        await anyio.sleep(CLAIM_GRACE)
+        await anyio.sleep(CLAIM_GRACE_S)
         scope.cancel()
 
     async def _claim(self, run: Run) -> wire.ClaimReply | None:
