--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -174,7 +174,7 @@
         self._store.add(stored)
         self._runs[stored.ticket] = run
         assert self._group is not None
-        self._group.start_soon(self._carry, run)
+        self._group.start_soon(self._handle_request, run)
         return run
 
     def stop_all(self) -> None:
@@ -206,7 +206,7 @@
 
     # One request.
 
-    async def _carry(self, run: Run) -> None:
+    async def _handle_request(self, run: Run) -> None:
         head = run.request.head
         action = eliot.start_action(
             action_type='request',
