--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -219,7 +219,7 @@
         problem: errors.Problem | None
         try:
             with action.context():
-                problem = await self._run_to_end(run)
+                problem = await self._run_until_end(run)
         except Exception as error:
             eliot.write_traceback()
             problem = self._describe_fault(run, error)
@@ -237,7 +237,7 @@
             )
         action.finish()
 
-    async def _run_to_end(self, run: Run) -> errors.Problem | None:
+    async def _run_until_end(self, run: Run) -> errors.Problem | None:
         problem: errors.Problem | None = None
         timeout = run.deadline_at - clocks.read_monotonic()
         with run.scope, anyio.move_on_after(timeout) as limit:
