--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -263,7 +263,7 @@
         try:
             if request.is_at_most_once:
                 with self._start_span('claim', run):
-                    holder = await self._claim_in_line(run, ticket)
+                    holder = await self._claim_while_queued(run, ticket)
                 if holder is not None:
                     self._pools.remove(ticket)
                     return await self._copy_answer(run, holder)
@@ -275,7 +275,7 @@
         finally:
             self._pools.remove(ticket)
 
-    async def _claim_in_line(
+    async def _claim_while_queued(
         self, run: Run, ticket: poolclient.Ticket
     ) -> wire.ClaimReply | None:
         # Claims the key and, if that takes long, waits in the pool's queue
