--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -283,7 +283,9 @@
         refusal: errors.Refused | None = None
         holder: wire.ClaimReply | None = None
         async with anyio.create_task_group() as group:
-            group.start_soon(self._keep_place, ticket, group.cancel_scope)
+            group.start_soon(
+                self._enqueue_after_delay, ticket, group.cancel_scope
+            )
             try:
                 holder = await self._claim(run)
             except errors.Refused as error:
@@ -295,7 +297,7 @@
             raise errors.Refused(ticket.problem)
         return holder
 
-    async def _keep_place(
+    async def _enqueue_after_delay(
         self, ticket: poolclient.Ticket, scope: anyio.CancelScope
     ) -> None:
         await anyio.sleep(ENQUEUE_DELAY_S)
