--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -405,7 +405,9 @@
             run.state = RunState.SENT
             answer.runner = runner
             scope = anyio.CancelScope()
-            ticket.on_runner_lost = functools.partial(_move_on, run, scope)
+            ticket.on_runner_lost = functools.partial(
+                _cancel_if_repeatable, run, scope
+            )
             try:
                 with scope:
                     attempt = await self._relay.run(
@@ -524,7 +526,7 @@
         return self._tracer.start_as_current_span(name, where)
 
 
-def _move_on(run: Run, scope: anyio.CancelScope) -> None:
+def _cancel_if_repeatable(run: Run, scope: anyio.CancelScope) -> None:
     # Called when the runner has gone silent. What must not run twice stays:
     # the runner may only be cut off from the scheduler.
     if not run.request.is_at_most_once and not run.stored.answer.chunks:
