--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -420,7 +420,7 @@
                 is_over = True
             finally:
                 if not is_over:
-                    await self._abandon(name, model)
+                    await self._cancel_on_engine(name, model)
                 if attempt.end is relay.AttemptEnd.FAILED:
                     run.may_have_run = True
                     # As far as we know: the engine may not have begun.
@@ -432,7 +432,9 @@
             run.state = RunState.WAITING
         return attempt
 
-    async def _abandon(self, name: str, model: bundle.RunnerModel) -> None:
+    async def _cancel_on_engine(
+        self, name: str, model: bundle.RunnerModel
+    ) -> None:
         # The deadline or a stop has cancelled us. An engine that is not
         # told would go on computing an answer that nobody reads.
         if model.kind is not bundle.RunnerKind.ENGINE:
