--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -375,7 +375,7 @@
                 detail=attempt.detail,
             )
             now = clocks.read_monotonic()
-            if not self._may_try_again(run, attempt, ticket.pool, now):
+            if not self._may_retry(run, attempt, ticket.pool, now):
                 return errors.make_problem(
                     errors.Kind.RUNNER_LOST,
                     detail=f'{runner}: {attempt.detail}',
@@ -461,7 +461,7 @@
             ),
         )
 
-    def _may_try_again(
+    def _may_retry(
         self, run: Run, attempt: relay.Attempt, pool: ids.Pool, now: float
     ) -> bool:
         if attempt.end is relay.AttemptEnd.NOT_TAKEN:
