--- a/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
@@ -34,7 +34,7 @@
 
 NOT_TAKEN_HEADER = b'apricot-not-taken'
 # Attempts to go on with a broken stream, and seconds between them.
-RESUMES = 3
+MAX_RESUMES = 3
 RESUME_DELAY = 0.1
 # Longest wait for the next part of an answer, in seconds.
 PART_TIMEOUT = 60.0
@@ -168,7 +168,7 @@
     attempt: Attempt,
 ) -> None:
     place = f'/v1/generate/{urllib.parse.quote(name)}'
-    for number in range(RESUMES):
+    for number in range(MAX_RESUMES):
         await anyio.sleep(RESUME_DELAY * (number + 1))
         path = f'{place}?from={reader.count}'
         try:
