--- a/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
@@ -35,7 +35,7 @@
 NOT_TAKEN_HEADER = b'apricot-not-taken'
 # Attempts to go on with a broken stream, and seconds between them.
 MAX_RESUMES = 3
-RESUME_DELAY = 0.1
+RESUME_DELAY_S = 0.1
 # Longest wait for the next part of an answer, in seconds.
 PART_TIMEOUT = 60.0
 SERVICE_ANSWER_LIMIT = 16 * 1024 * 1024
@@ -169,7 +169,7 @@
 ) -> None:
     place = f'/v1/generate/{urllib.parse.quote(name)}'
     for number in range(MAX_RESUMES):
-        await anyio.sleep(RESUME_DELAY * (number + 1))
+        await anyio.sleep(RESUME_DELAY_S * (number + 1))
         path = f'{place}?from={reader.count}'
         try:
             async with client.open('GET', path, headers) as response:
