--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -22,7 +22,7 @@
 
 # Longest wait for the next part of the answer, in seconds; work may wait
 # in its queue for long, so the reader's own deadline usually ends it.
-PART_TIMEOUT = 3600.0
+PART_TIMEOUT_S = 3600.0
 _RETRY_AFTER = 1.0
 # Code of an end that says: this key is not here and was not run.
 _MISSING = 'missing'
@@ -64,7 +64,7 @@
                 return self._describe_dead(reply)
             return self._describe_unreachable()
         try:
-            async for part in connection.iterate(message, PART_TIMEOUT):
+            async for part in connection.iterate(message, PART_TIMEOUT_S):
                 if isinstance(part, wire.Chunk):
                     stored.answer.add(part.data)
                 elif isinstance(part, wire.AttachEnd):
--- a/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
@@ -37,7 +37,7 @@
 MAX_RESUMES = 3
 RESUME_DELAY_S = 0.1
 # Longest wait for the next part of an answer, in seconds.
-PART_TIMEOUT = 60.0
+PART_TIMEOUT_S = 60.0
 SERVICE_ANSWER_LIMIT = 16 * 1024 * 1024
 
 
@@ -82,7 +82,7 @@
         client = self._clients.get(place)
         if client is None:
             client = webclient.WebClient(
-                model.address, read_timeout=PART_TIMEOUT
+                model.address, read_timeout=PART_TIMEOUT_S
             )
             self._clients[place] = client
         return client
