--- a/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
@@ -38,7 +38,7 @@
 RESUME_DELAY_S = 0.1
 # Longest wait for the next part of an answer, in seconds.
 PART_TIMEOUT_S = 60.0
-SERVICE_ANSWER_LIMIT = 16 * 1024 * 1024
+SERVICE_ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
 
 
 class AttemptEnd(enum.Enum):
@@ -279,7 +279,7 @@
                 if not await _check_status(response, attempt):
                     return
             answer.status = response.status
-            data = await response.read(SERVICE_ANSWER_LIMIT)
+            data = await response.read(SERVICE_ANSWER_LIMIT_BYTES)
     except webclient.NotSent as error:
         attempt.end = AttemptEnd.NOT_TAKEN
         attempt.detail = str(error)
@@ -300,5 +300,5 @@
     attempt.detail = f'status {response.status}'
     if response.headers.get(NOT_TAKEN_HEADER) == b'1':
         attempt.end = AttemptEnd.NOT_TAKEN
-    await response.read(SERVICE_ANSWER_LIMIT)
+    await response.read(SERVICE_ANSWER_LIMIT_BYTES)
     return False
