--- a/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
@@ -220,9 +220,9 @@
             # Read on after the end: a connection whose response was read
             # to its last byte can be used again.
             if newline and not self.has_end:
-                self._take_lines(head + newline)
+                self._process_lines(head + newline)
 
-    def _take_lines(self, data: bytes) -> None:
+    def _process_lines(self, data: bytes) -> None:
         passed: list[bytes] = []
         for line in data.splitlines(keepends=True):
             value = self._parse(line)
