--- a/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
@@ -228,7 +228,7 @@
             value = self._parse(line)
             self.count += 1
             if value.get('end') is True:
-                self._take_end(value)
+                self._process_end(value)
                 break
             passed.append(line)
         if passed:
@@ -248,7 +248,7 @@
             raise _Malformed('a line of another request')
         return value
 
-    def _take_end(self, value: dict[str, ty.Any]) -> None:
+    def _process_end(self, value: dict[str, ty.Any]) -> None:
         self.has_end = True
         attempt = self._attempt
         try:
