--- a/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
@@ -58,7 +58,7 @@
     detail: str = ''
     # Monotonic times of the start and of the first byte.
     started_at: float = 0.0
-    first_at: float | None = None
+    first_byte_at: float | None = None
     output_tokens: int = 0
     prompt_tokens: int = 0
     cached_tokens: int = 0
@@ -232,8 +232,8 @@
                 break
             passed.append(line)
         if passed:
-            if self._attempt.first_at is None:
-                self._attempt.first_at = clocks.read_monotonic()
+            if self._attempt.first_byte_at is None:
+                self._attempt.first_byte_at = clocks.read_monotonic()
             self._attempt.output_tokens += len(passed)
             self._answer.add(b''.join(passed))
 
@@ -287,7 +287,7 @@
     except webclient.Broken as error:
         attempt.detail = str(error)
         return
-    attempt.first_at = clocks.read_monotonic()
+    attempt.first_byte_at = clocks.read_monotonic()
     attempt.end = AttemptEnd.COMPLETE
     answer.add(data)
 
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -447,8 +447,8 @@
     ) -> None:
         now = clocks.read_monotonic()
         first_s = None
-        if attempt.first_at is not None:
-            first_s = attempt.first_at - attempt.started_at
+        if attempt.first_byte_at is not None:
+            first_s = attempt.first_byte_at - attempt.started_at
         self._pools.release(
             ticket,
             wire.Finished(
