--- a/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
@@ -223,19 +223,19 @@
                 self._process_lines(head + newline)
 
     def _process_lines(self, data: bytes) -> None:
-        passed: list[bytes] = []
+        forwarded: list[bytes] = []
         for line in data.splitlines(keepends=True):
             value = self._parse(line)
             self.count += 1
             if value.get('end') is True:
                 self._process_end(value)
                 break
-            passed.append(line)
-        if passed:
+            forwarded.append(line)
+        if forwarded:
             if self._attempt.first_byte_at is None:
                 self._attempt.first_byte_at = clocks.read_monotonic()
-            self._attempt.output_tokens += len(passed)
-            self._answer.add(b''.join(passed))
+            self._attempt.output_tokens += len(forwarded)
+            self._answer.add(b''.join(forwarded))
 
     def _parse(self, line: bytes) -> dict[str, ty.Any]:
         try:
