--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -23,7 +23,7 @@
 # Longest wait for the next part of the answer, in seconds; work may wait
 # in its queue for long, so the reader's own deadline usually ends it.
 PART_TIMEOUT_S = 3600.0
-_RETRY_AFTER = 1.0
+_RETRY_AFTER_S = 1.0
 # Code of an end that says: this key is not here and was not run.
 _MISSING = 'missing'
 
@@ -120,7 +120,7 @@
     def _describe_missing(self, reply: wire.ClaimReply) -> errors.Problem:
         if reply.verdict is wire.ClaimVerdict.FINISHED:
             return errors.make_problem(errors.Kind.ANSWER_GONE)
-        return errors.make_problem(errors.Kind.NO_OWNER, _RETRY_AFTER)
+        return errors.make_problem(errors.Kind.NO_OWNER, _RETRY_AFTER_S)
 
     def _describe_dead(self, reply: wire.ClaimReply) -> errors.Problem:
         if reply.verdict is wire.ClaimVerdict.FINISHED:
