--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -25,7 +25,7 @@
 PART_TIMEOUT_S = 3600.0
 _RETRY_AFTER_S = 1.0
 # Code of an end that says: this key is not here and was not run.
-_MISSING = 'missing'
+_MISSING_CODE = 'missing'
 
 
 @ty.final
@@ -82,7 +82,7 @@
         stored = self._store.find(message.organisation, message.key)
         if stored is None or stored.ticket != message.ticket:
             await self._claims.release_missing(message)
-            yield wire.AttachEnd(_MISSING, '', None, None, 200)
+            yield wire.AttachEnd(_MISSING_CODE, '', None, None, 200)
             return
         answer = stored.answer
         async for data in answer.iterate():
@@ -106,7 +106,7 @@
     ) -> errors.Problem | None:
         if not end.code:
             return None
-        if end.code == _MISSING:
+        if end.code == _MISSING_CODE:
             return self._describe_missing(reply)
         kind = errors.Kind[end.code]
         return errors.Problem(
