--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -30,7 +30,7 @@
 
 __all__ = ['Connection', 'PeerLost', 'Router']
 
-Quick = collections.abc.Callable[[ty.Any, ids.Incarnation], object]
+SyncHandler = collections.abc.Callable[[ty.Any, ids.Incarnation], object]
 Slow = collections.abc.Callable[
     [ty.Any, ids.Incarnation], collections.abc.Awaitable[object]
 ]
@@ -71,7 +71,7 @@
 
     def __init__(self) -> None:
         """Start without any handler."""
-        self.quick: dict[type, Quick] = {}
+        self.quick: dict[type, SyncHandler] = {}
         self.slow: dict[type, Slow] = {}
         self.streaming: dict[type, Streaming] = {}
         self.pushes: dict[type, Push] = {}
