--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -31,7 +31,7 @@
 __all__ = ['Connection', 'PeerLost', 'Router']
 
 SyncHandler = collections.abc.Callable[[ty.Any, ids.Incarnation], object]
-Slow = collections.abc.Callable[
+AsyncHandler = collections.abc.Callable[
     [ty.Any, ids.Incarnation], collections.abc.Awaitable[object]
 ]
 Part = wire.Chunk | wire.AttachEnd
@@ -72,7 +72,7 @@
     def __init__(self) -> None:
         """Start without any handler."""
         self.quick: dict[type, SyncHandler] = {}
-        self.slow: dict[type, Slow] = {}
+        self.slow: dict[type, AsyncHandler] = {}
         self.streaming: dict[type, Streaming] = {}
         self.pushes: dict[type, Push] = {}
 
