--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -35,7 +35,7 @@
     [ty.Any, ids.Incarnation], collections.abc.Awaitable[object]
 ]
 Part = wire.Chunk | wire.AttachEnd
-Streaming = collections.abc.Callable[
+StreamHandler = collections.abc.Callable[
     [ty.Any, ids.Incarnation], collections.abc.AsyncIterator[Part]
 ]
 Push = collections.abc.Callable[[ty.Any, ids.Incarnation], None]
@@ -73,7 +73,7 @@
         """Start without any handler."""
         self.quick: dict[type, SyncHandler] = {}
         self.slow: dict[type, AsyncHandler] = {}
-        self.streaming: dict[type, Streaming] = {}
+        self.streaming: dict[type, StreamHandler] = {}
         self.pushes: dict[type, Push] = {}
 
 
@@ -240,7 +240,7 @@
             await self._send(_FrameKind.REPLY, number, reply)
 
     async def _answer_parts(
-        self, number: int, streaming: Streaming, message: object
+        self, number: int, streaming: StreamHandler, message: object
     ) -> None:
         async for part in streaming(message, self.incarnation):
             is_end = isinstance(part, wire.AttachEnd)
