--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -38,7 +38,7 @@
 StreamHandler = collections.abc.Callable[
     [ty.Any, ids.Incarnation], collections.abc.AsyncIterator[Part]
 ]
-Push = collections.abc.Callable[[ty.Any, ids.Incarnation], None]
+PushHandler = collections.abc.Callable[[ty.Any, ids.Incarnation], None]
 
 
 class _FrameKind(enum.IntEnum):
@@ -74,7 +74,7 @@
         self.quick: dict[type, SyncHandler] = {}
         self.slow: dict[type, AsyncHandler] = {}
         self.streaming: dict[type, StreamHandler] = {}
-        self.pushes: dict[type, Push] = {}
+        self.pushes: dict[type, PushHandler] = {}
 
 
 @ty.final
