--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -203,7 +203,7 @@
 
     def _fill_router(self) -> None:
         router = self.router
-        router.quick |= {
+        router.sync_handlers |= {
             wire.Ping: self._answer_ping,
             wire.PromiseRequest: self.owners.answer_promise,
             wire.ClaimEnd: self.claim_desk.answer_end,
@@ -372,7 +372,9 @@
         self, receiver: ids.Incarnation, message: object
     ) -> object:
         if receiver == self.incarnation:
-            return self.router.quick[type(message)](message, self.incarnation)
+            return self.router.sync_handlers[type(message)](
+                message, self.incarnation
+            )
         connection = self.peers.find(receiver)
         if connection is None:
             return None
--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -71,7 +71,7 @@
 
     def __init__(self) -> None:
         """Start without any handler."""
-        self.quick: dict[type, SyncHandler] = {}
+        self.sync_handlers: dict[type, SyncHandler] = {}
         self.slow: dict[type, AsyncHandler] = {}
         self.streaming: dict[type, StreamHandler] = {}
         self.pushes: dict[type, PushHandler] = {}
@@ -193,9 +193,9 @@
             if kind is _FrameKind.PUSH:
                 self._take_push(message)
                 continue
-            quick = self._router.quick.get(type(message))
-            if quick is not None:
-                reply = quick(message, self.incarnation)
+            sync_handlers = self._router.sync_handlers.get(type(message))
+            if sync_handlers is not None:
+                reply = sync_handlers(message, self.incarnation)
                 await self._send(_FrameKind.REPLY, number, reply)
                 continue
             self._group.start_soon(self._answer, number, message)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -94,7 +94,7 @@
         for name, address in places.items()
     ]
     router = peerlink.Router()
-    router.quick[wire.Ping] = answer_ping
+    router.sync_handlers[wire.Ping] = answer_ping
     made = peers.Peers(
         host,
         ids.make_incarnation(host, host, 0.0),
