--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -213,7 +213,7 @@
             wire.FetchState: self._answer_fetch,
             wire.Drain: self._answer_drain,
         }
-        router.slow[wire.ClaimRequest] = self.claim_desk.answer_claim
+        router.async_handlers[wire.ClaimRequest] = self.claim_desk.answer_claim
         router.streaming[wire.Attach] = self.attacher.serve
         router.pushes |= {
             wire.Register: self.pool_desk.handle_register,
--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -72,7 +72,7 @@
     def __init__(self) -> None:
         """Start without any handler."""
         self.sync_handlers: dict[type, SyncHandler] = {}
-        self.slow: dict[type, AsyncHandler] = {}
+        self.async_handlers: dict[type, AsyncHandler] = {}
         self.streaming: dict[type, StreamHandler] = {}
         self.pushes: dict[type, PushHandler] = {}
 
@@ -224,11 +224,11 @@
             if streaming is not None:
                 await self._answer_parts(number, streaming, message)
                 return
-            slow = self._router.slow.get(type(message))
-            if slow is None:
+            async_handlers = self._router.async_handlers.get(type(message))
+            if async_handlers is None:
                 name = type(message).__name__
                 raise codec.refuse_frame(f'unexpected {name}')
-            reply = await slow(message, self.incarnation)
+            reply = await async_handlers(message, self.incarnation)
         except errors.Refused as error:
             reply = wire.Failed(error.problem.code, error.problem.text)
         except frames.CONNECTION_ERRORS:
