--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -214,7 +214,7 @@
             wire.Drain: self._answer_drain,
         }
         router.async_handlers[wire.ClaimRequest] = self.claim_desk.answer_claim
-        router.streaming[wire.Attach] = self.attacher.serve
+        router.stream_handlers[wire.Attach] = self.attacher.serve
         router.pushes |= {
             wire.Register: self.pool_desk.handle_register,
             wire.Started: self.pool_desk.handle_started,
--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -73,7 +73,7 @@
         """Start without any handler."""
         self.sync_handlers: dict[type, SyncHandler] = {}
         self.async_handlers: dict[type, AsyncHandler] = {}
-        self.streaming: dict[type, StreamHandler] = {}
+        self.stream_handlers: dict[type, StreamHandler] = {}
         self.pushes: dict[type, PushHandler] = {}
 
 
@@ -220,9 +220,9 @@
 
     async def _answer(self, number: int, message: object) -> None:
         try:
-            streaming = self._router.streaming.get(type(message))
-            if streaming is not None:
-                await self._answer_parts(number, streaming, message)
+            stream_handlers = self._router.stream_handlers.get(type(message))
+            if stream_handlers is not None:
+                await self._answer_parts(number, stream_handlers, message)
                 return
             async_handlers = self._router.async_handlers.get(type(message))
             if async_handlers is None:
@@ -240,9 +240,9 @@
             await self._send(_FrameKind.REPLY, number, reply)
 
     async def _answer_parts(
-        self, number: int, streaming: StreamHandler, message: object
+        self, number: int, stream_handlers: StreamHandler, message: object
     ) -> None:
-        async for part in streaming(message, self.incarnation):
+        async for part in stream_handlers(message, self.incarnation):
             is_end = isinstance(part, wire.AttachEnd)
             kind = _FrameKind.END if is_end else _FrameKind.PART
             await self._send(kind, number, part)
