--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -215,7 +215,7 @@
         }
         router.async_handlers[wire.ClaimRequest] = self.claim_desk.answer_claim
         router.stream_handlers[wire.Attach] = self.attacher.serve
-        router.pushes |= {
+        router.push_handlers |= {
             wire.Register: self.pool_desk.handle_register,
             wire.Started: self.pool_desk.handle_started,
             wire.Finished: self.pool_desk.handle_finished,
@@ -362,7 +362,7 @@
 
     def _push(self, receiver: ids.Incarnation, message: object) -> None:
         if receiver == self.incarnation:
-            self.router.pushes[type(message)](message, self.incarnation)
+            self.router.push_handlers[type(message)](message, self.incarnation)
             return
         connection = self.peers.find(receiver)
         if connection is not None:
--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -74,7 +74,7 @@
         self.sync_handlers: dict[type, SyncHandler] = {}
         self.async_handlers: dict[type, AsyncHandler] = {}
         self.stream_handlers: dict[type, StreamHandler] = {}
-        self.pushes: dict[type, PushHandler] = {}
+        self.push_handlers: dict[type, PushHandler] = {}
 
 
 @ty.final
@@ -213,7 +213,7 @@
             reply.send_nowait((kind, message))
 
     def _take_push(self, message: object) -> None:
-        handler = self._router.pushes.get(type(message))
+        handler = self._router.push_handlers.get(type(message))
         if handler is None:
             raise codec.refuse_frame(f'unexpected {type(message).__name__}')
         handler(message, self.incarnation)
