--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -191,7 +191,7 @@
                 self._deliver(kind, number, message)
                 continue
             if kind is _FrameKind.PUSH:
-                self._take_push(message)
+                self._handle_push(message)
                 continue
             sync_handlers = self._router.sync_handlers.get(type(message))
             if sync_handlers is not None:
@@ -212,7 +212,7 @@
         ):
             reply.send_nowait((kind, message))
 
-    def _take_push(self, message: object) -> None:
+    def _handle_push(self, message: object) -> None:
         handler = self._router.push_handlers.get(type(message))
         if handler is None:
             raise codec.refuse_frame(f'unexpected {type(message).__name__}')
