--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -222,7 +222,7 @@
         try:
             stream_handlers = self._router.stream_handlers.get(type(message))
             if stream_handlers is not None:
-                await self._answer_parts(number, stream_handlers, message)
+                await self._answer_stream(number, stream_handlers, message)
                 return
             async_handlers = self._router.async_handlers.get(type(message))
             if async_handlers is None:
@@ -239,7 +239,7 @@
         with contextlib.suppress(*frames.CONNECTION_ERRORS):
             await self._send(_FrameKind.REPLY, number, reply)
 
-    async def _answer_parts(
+    async def _answer_stream(
         self, number: int, stream_handlers: StreamHandler, message: object
     ) -> None:
         async for part in stream_handlers(message, self.incarnation):
