--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -145,7 +145,7 @@
         """Send a message that is not answered; dropped if that fails."""
         if self._group is None or not self.is_open:
             return
-        self._group.start_soon(self._send_quietly, message)
+        self._group.start_soon(self._send_push, message)
 
     @contextlib.contextmanager
     def _open_call(
@@ -178,7 +178,7 @@
         packed = wire.registry.pack(message)
         await self.stream.send([int(kind), number, packed])
 
-    async def _send_quietly(self, message: object) -> None:
+    async def _send_push(self, message: object) -> None:
         with contextlib.suppress(*frames.CONNECTION_ERRORS):
             await self._send(_FrameKind.PUSH, 0, message)
 
