--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -33,7 +33,7 @@
 
 __all__ = ['Peers', 'rank_hosts']
 
-HEARTBEAT_INTERVAL = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 HEARTBEAT_TIMEOUT = 2.0
 HOST_LIST_INTERVAL = 0.5
 MESH_LIMIT = 16
@@ -262,7 +262,7 @@
                 )
                 connection.is_draining = pong.is_draining
                 self.on_pong(pong, connection)
-            await anyio.sleep(HEARTBEAT_INTERVAL)
+            await anyio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _accept(self, raw: anyio.abc.ByteStream) -> None:
         async with raw:
