--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -34,7 +34,7 @@
 __all__ = ['Peers', 'rank_hosts']
 
 HEARTBEAT_INTERVAL_S = 0.5
-HEARTBEAT_TIMEOUT = 2.0
+HEARTBEAT_TIMEOUT_S = 2.0
 HOST_LIST_INTERVAL = 0.5
 MESH_LIMIT = 16
 NEIGHBOURS = 6
@@ -254,7 +254,7 @@
         assert self.make_ping is not None
         while True:
             sent_at = clocks.read_monotonic()
-            pong = await connection.call(self.make_ping(), HEARTBEAT_TIMEOUT)
+            pong = await connection.call(self.make_ping(), HEARTBEAT_TIMEOUT_S)
             if isinstance(pong, wire.Pong):
                 half = (clocks.read_monotonic() - sent_at) / 2
                 connection.clock_offset_s = (
