--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -35,7 +35,7 @@
 
 HEARTBEAT_INTERVAL_S = 0.5
 HEARTBEAT_TIMEOUT_S = 2.0
-HOST_LIST_INTERVAL = 0.5
+HOST_LIST_INTERVAL_S = 0.5
 MESH_LIMIT = 16
 NEIGHBOURS = 6
 # What ends a connection without being a fault of ours; the tasks of one
@@ -183,7 +183,7 @@
                 entries = list(self.listed.values())
             self.listed = {entry.name: entry for entry in entries}
             self._adjust_dialers(tree)
-            await anyio.sleep(HOST_LIST_INTERVAL)
+            await anyio.sleep(HOST_LIST_INTERVAL_S)
 
     def _adjust_dialers(self, tree: supervisor.Supervisor) -> None:
         wanted = self._choose_hosts()
