--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -4,7 +4,7 @@
 that this daemon needs, greets it, sends heartbeats, and dials again when the
 connection breaks; another task serves each connection that is accepted.
 
-With few hosts every daemon dials every other. Above ``MESH_LIMIT`` hosts it
+With few hosts every daemon dials every other. Above ``MESH_LIMIT_HOSTS`` hosts it
 dials only owners and successors of shards and its own ``NEIGHBOURS``, chosen
 by rendezvous hashing, so that the number of connections follows the number of
 shards and not that of hosts. ``reach`` dials any other host for one call.
@@ -36,7 +36,7 @@
 HEARTBEAT_INTERVAL_S = 0.5
 HEARTBEAT_TIMEOUT_S = 2.0
 HOST_LIST_INTERVAL_S = 0.5
-MESH_LIMIT = 16
+MESH_LIMIT_HOSTS = 16
 NEIGHBOURS = 6
 # What ends a connection without being a fault of ours; the tasks of one
 # connection raise theirs in a group.
@@ -86,7 +86,7 @@
         self.router = router
         # The list as it was last read, by name; entry hosts and runners.
         self.listed: dict[str, hostlist.HostEntry] = {}
-        # Hosts that roles need a connection to; see ``MESH_LIMIT``.
+        # Hosts that roles need a connection to; see ``MESH_LIMIT_HOSTS``.
         self.find_needed: collections.abc.Callable[[], set[ids.Host]] = (
             lambda: set()
         )
@@ -204,7 +204,7 @@
             if entry.peers is not None
         }
         known.discard(self.host)
-        if len(known) <= MESH_LIMIT:
+        if len(known) <= MESH_LIMIT_HOSTS:
             return known
         near = rank_hosts(str(self.host), known)[:NEIGHBOURS]
         reached = set(+self._reached)
