--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -5,7 +5,7 @@
 connection breaks; another task serves each connection that is accepted.
 
 With few hosts every daemon dials every other. Above ``MESH_LIMIT_HOSTS`` hosts it
-dials only owners and successors of shards and its own ``NEIGHBOURS``, chosen
+dials only owners and successors of shards and its own ``NEIGHBOUR_COUNT``, chosen
 by rendezvous hashing, so that the number of connections follows the number of
 shards and not that of hosts. ``reach`` dials any other host for one call.
 """
@@ -37,7 +37,7 @@
 HEARTBEAT_TIMEOUT_S = 2.0
 HOST_LIST_INTERVAL_S = 0.5
 MESH_LIMIT_HOSTS = 16
-NEIGHBOURS = 6
+NEIGHBOUR_COUNT = 6
 # What ends a connection without being a fault of ours; the tasks of one
 # connection raise theirs in a group.
 _LINK_ERRORS = (
@@ -206,7 +206,7 @@
         known.discard(self.host)
         if len(known) <= MESH_LIMIT_HOSTS:
             return known
-        near = rank_hosts(str(self.host), known)[:NEIGHBOURS]
+        near = rank_hosts(str(self.host), known)[:NEIGHBOUR_COUNT]
         reached = set(+self._reached)
         return known & (self.find_needed() | reached | set(near))
 
