--- a/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
@@ -30,7 +30,7 @@
 
 # Seconds before an append in doubt is settled by another one.
 SETTLE_INTERVAL = 0.5
-_FIRST_DELAY = 0.05
+_INITIAL_DELAY_S = 0.05
 _LAST_DELAY = 1.0
 
 
@@ -84,7 +84,7 @@
 
     async def follow(self) -> None:
         """Read until cancelled."""
-        delay = _FIRST_DELAY
+        delay = _INITIAL_DELAY_S
         while True:
             try:
                 batch = await self._log.read(self.next)
@@ -92,7 +92,7 @@
                 await anyio.sleep(delay)
                 delay = min(2 * delay, _LAST_DELAY)
                 continue
-            delay = _FIRST_DELAY
+            delay = _INITIAL_DELAY_S
             self.take_batch(batch, clocks.read_monotonic())
 
     async def append(self, body: object) -> ids.Offset | None:
@@ -129,7 +129,7 @@
             await anyio.sleep(SETTLE_INTERVAL)
         except platformlog.LogDoubt:
             eliot.log_message('log:doubt', sequence=pending.sequence)
-            await anyio.sleep(_FIRST_DELAY)
+            await anyio.sleep(_INITIAL_DELAY_S)
         return pending
 
     def take_batch(self, batch: platformlog.LogBatch, now: float) -> None:
--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -47,7 +47,7 @@
     ExceptionGroup,
 )
 _REACH_INTERVAL = 0.05
-_FIRST_DELAY = 0.1
+_INITIAL_DELAY_S = 0.1
 _LAST_DELAY = 1.0
 
 
@@ -216,7 +216,7 @@
         return lambda: self._dial_forever(host)
 
     async def _dial_forever(self, host: ids.Host) -> None:
-        delay = _FIRST_DELAY
+        delay = _INITIAL_DELAY_S
         while True:
             entry = self.listed.get(str(host))
             started = clocks.read_monotonic()
@@ -226,7 +226,7 @@
                 except _LINK_ERRORS as error:
                     self._log_end(host, error)
             if clocks.read_monotonic() - started > _LAST_DELAY:
-                delay = _FIRST_DELAY
+                delay = _INITIAL_DELAY_S
             await anyio.sleep(delay)
             delay = min(2 * delay, _LAST_DELAY)
 
