--- a/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
@@ -31,7 +31,7 @@
 # Seconds before an append in doubt is settled by another one.
 SETTLE_INTERVAL = 0.5
 _INITIAL_DELAY_S = 0.05
-_LAST_DELAY = 1.0
+_MAX_DELAY_S = 1.0
 
 
 class Observer(ty.Protocol):
@@ -90,7 +90,7 @@
                 batch = await self._log.read(self.next)
             except platformlog.LogUnreachable:
                 await anyio.sleep(delay)
-                delay = min(2 * delay, _LAST_DELAY)
+                delay = min(2 * delay, _MAX_DELAY_S)
                 continue
             delay = _INITIAL_DELAY_S
             self.take_batch(batch, clocks.read_monotonic())
--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -48,7 +48,7 @@
 )
 _REACH_INTERVAL = 0.05
 _INITIAL_DELAY_S = 0.1
-_LAST_DELAY = 1.0
+_MAX_DELAY_S = 1.0
 
 
 def rank_hosts(
@@ -225,10 +225,10 @@
                     await self._dial(entry)
                 except _LINK_ERRORS as error:
                     self._log_end(host, error)
-            if clocks.read_monotonic() - started > _LAST_DELAY:
+            if clocks.read_monotonic() - started > _MAX_DELAY_S:
                 delay = _INITIAL_DELAY_S
             await anyio.sleep(delay)
-            delay = min(2 * delay, _LAST_DELAY)
+            delay = min(2 * delay, _MAX_DELAY_S)
 
     async def _dial(self, entry: hostlist.HostEntry) -> None:
         assert entry.peers is not None
