--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -46,7 +46,7 @@
     peerlink.PeerLost,
     ExceptionGroup,
 )
-_REACH_INTERVAL = 0.05
+_CONNECT_POLL_INTERVAL_S = 0.05
 _INITIAL_DELAY_S = 0.1
 _MAX_DELAY_S = 1.0
 
@@ -142,7 +142,7 @@
                     for connection in self.list_dialed():
                         if connection.host == host:
                             return connection
-                    await anyio.sleep(_REACH_INTERVAL)
+                    await anyio.sleep(_CONNECT_POLL_INTERVAL_S)
         finally:
             self._reached[host] -= 1
         return None
