--- a/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
+++ b/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
@@ -195,7 +195,7 @@
     if host == api.peers.host:
         api.drain()
         return {'draining': host}
-    connection = await api.peers.reach(host, _REACH_TIMEOUT)
+    connection = await api.peers.connect(host, _REACH_TIMEOUT)
     if connection is None:
         raise _refuse(errors.Kind.PEER_UNREACHABLE, host=host)
     try:
--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -7,7 +7,7 @@
 With few hosts every daemon dials every other. Above ``MESH_LIMIT_HOSTS`` hosts it
 dials only owners and successors of shards and its own ``NEIGHBOUR_COUNT``, chosen
 by rendezvous hashing, so that the number of connections follows the number of
-shards and not that of hosts. ``reach`` dials any other host for one call.
+shards and not that of hosts. ``connect`` dials any other host for one call.
 """
 
 import collections
@@ -124,7 +124,7 @@
         """Return the connections that this daemon keeps heartbeats on."""
         return list(self._dialed.values())
 
-    async def reach(
+    async def connect(
         self, host: ids.Host, timeout: float
     ) -> peerlink.Connection | None:
         """Return a connection to a host, dialling it if need be.
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -53,12 +53,12 @@
 
     async def check_far_host(self, near: peers.Peers) -> None:
         self.assertEqual([], near.list_dialed())
-        connection = await near.reach(FAR, 20.0)
+        connection = await near.connect(FAR, 20.0)
         assert connection is not None
         self.assertEqual(FAR, connection.host)
 
     async def check_unknown_host(self, near: peers.Peers) -> None:
-        found = await near.reach(ids.Host('entry-none'), math.inf)
+        found = await near.connect(ids.Host('entry-none'), math.inf)
         self.assertIsNone(found)
 
 
