--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -103,7 +103,9 @@
         self._dialed: dict[ids.Incarnation, peerlink.Connection] = {}
         self._accepted: dict[ids.Incarnation, peerlink.Connection] = {}
         # Hosts that a call waits for, each with the number of such calls.
-        self._reached: collections.Counter[ids.Host] = collections.Counter()
+        self._awaited_hosts: collections.Counter[ids.Host] = (
+            collections.Counter()
+        )
 
     def find(self, incarnation: ids.Incarnation) -> peerlink.Connection | None:
         """Return an open connection; None if there is none."""
@@ -134,7 +136,7 @@
         neighbour of ours, has no connection yet; without the wait an
         operator's call to it would fail though the host is well.
         """
-        self._reached[host] += 1
+        self._awaited_hosts[host] += 1
         try:
             with anyio.move_on_after(timeout):
                 # An empty list is one that was not read yet.
@@ -144,7 +146,7 @@
                             return connection
                     await anyio.sleep(_CONNECT_POLL_INTERVAL_S)
         finally:
-            self._reached[host] -= 1
+            self._awaited_hosts[host] -= 1
         return None
 
     def list_live(self) -> set[ids.Host]:
@@ -207,7 +209,7 @@
         if len(known) <= MESH_LIMIT_HOSTS:
             return known
         near = rank_hosts(str(self.host), known)[:NEIGHBOUR_COUNT]
-        reached = set(+self._reached)
+        reached = set(+self._awaited_hosts)
         return known & (self.find_needed() | reached | set(near))
 
     def _make_dialer(
