--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -209,8 +209,8 @@
         if len(known) <= MESH_LIMIT_HOSTS:
             return known
         near = rank_hosts(str(self.host), known)[:NEIGHBOUR_COUNT]
-        reached = set(+self._awaited_hosts)
-        return known & (self.find_needed() | reached | set(near))
+        awaited = set(+self._awaited_hosts)
+        return known & (self.find_needed() | awaited | set(near))
 
     def _make_dialer(
         self, host: ids.Host
