--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -60,10 +60,10 @@
     place of no other two.
     """
 
-    def weigh(host: ids.Host) -> int:
+    def compute_weight(host: ids.Host) -> int:
         return xxhash.xxh3_64_intdigest(f'{name}\0{host}'.encode())
 
-    return sorted(hosts, key=weigh, reverse=True)
+    return sorted(hosts, key=compute_weight, reverse=True)
 
 
 @ty.final
