--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -258,9 +258,9 @@
             sent_at = clocks.read_monotonic()
             pong = await connection.call(self.make_ping(), HEARTBEAT_TIMEOUT_S)
             if isinstance(pong, wire.Pong):
-                half = (clocks.read_monotonic() - sent_at) / 2
+                half_round_trip_s = (clocks.read_monotonic() - sent_at) / 2
                 connection.clock_offset_s = (
-                    pong.wall + half - clocks.read_wall()
+                    pong.wall + half_round_trip_s - clocks.read_wall()
                 )
                 connection.is_draining = pong.is_draining
                 self.on_pong(pong, connection)
