--- a/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
@@ -22,7 +22,7 @@
 __all__ = ['Restater']
 
 # A restatement is made this many times in a retention.
-_PER_RETENTION = 4.0
+_RESTATEMENTS_PER_RETENTION = 4.0
 # Extra wait of each further rank, as a part of the interval.
 _RANK_PART = 0.05
 
@@ -40,7 +40,7 @@
         others: peers.Peers,
     ) -> None:
         """Prepare; ``retention_s`` is how long the log keeps records."""
-        self._interval = retention_s / _PER_RETENTION
+        self._interval = retention_s / _RESTATEMENTS_PER_RETENTION
         self._follower = follower
         self._view = view
         self._store = store
