--- a/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
@@ -24,7 +24,7 @@
 # A restatement is made this many times in a retention.
 _RESTATEMENTS_PER_RETENTION = 4.0
 # Extra wait of each further rank, as a part of the interval.
-_RANK_PART = 0.05
+_RANK_DELAY_RATIO = 0.05
 
 
 @ty.final
@@ -70,7 +70,7 @@
             return False
         order = peers.rank_hosts('restate', self._peers.list_live())
         rank = order.index(self._peers.host)
-        wait = self._interval * (1.0 + rank * _RANK_PART)
+        wait = self._interval * (1.0 + rank * _RANK_DELAY_RATIO)
         return now >= self._seen_at + wait
 
     async def _restate(self) -> None:
