--- a/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
@@ -67,7 +67,7 @@
         """Apply the next record."""
         body = envelope.body
         if isinstance(body, records.BundleRestated):
-            self._take_restated(body)
+            self._apply_restated(body)
             return
         if not isinstance(body, records.BundleRecord):
             return
@@ -123,7 +123,7 @@
             )
         return None
 
-    def _take_restated(self, restated: records.BundleRestated) -> None:
+    def _apply_restated(self, restated: records.BundleRestated) -> None:
         if self._is_partial and restated.as_of < self._first:
             return
         self.adopt(restated.bundle)
