--- a/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
@@ -76,7 +76,7 @@
             # this one may have lost to a record that retention dropped.
             self._held.append((offset, envelope))
             return
-        self._take_record(envelope)
+        self._apply_record(envelope)
 
     def adopt(self, record: records.BundleRecord) -> bool:
         """Take over what another daemon says is in force, if newer."""
@@ -133,9 +133,9 @@
         held, self._held = self._held, []
         for offset, envelope in held:
             if offset >= restated.as_of:
-                self._take_record(envelope)
+                self._apply_record(envelope)
 
-    def _take_record(self, envelope: records.Envelope) -> None:
+    def _apply_record(self, envelope: records.Envelope) -> None:
         record: records.BundleRecord = envelope.body
         if record == self.record:
             return
--- a/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
@@ -142,7 +142,7 @@
             for observer in self._observers:
                 observer.begin(batch.first)
         for offset, data in batch.records:
-            self._take_record(offset, data, now)
+            self._apply_record(offset, data, now)
         self.next = max(self.next, batch.next)
         if batch.is_end:
             self.has_caught_up.set()
@@ -150,7 +150,7 @@
             changed, self.changed = self.changed, anyio.Event()
             changed.set()
 
-    def _take_record(
+    def _apply_record(
         self, offset: ids.Offset, data: bytes, now: float
     ) -> None:
         try:
