--- a/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
@@ -93,7 +93,7 @@
                 delay = min(2 * delay, _MAX_DELAY_S)
                 continue
             delay = _INITIAL_DELAY_S
-            self.take_batch(batch, clocks.read_monotonic())
+            self.apply_batch(batch, clocks.read_monotonic())
 
     async def append(self, body: object) -> ids.Offset | None:
         """Append a record; return where it stands, or None if it is void.
@@ -132,7 +132,7 @@
             await anyio.sleep(_INITIAL_DELAY_S)
         return pending
 
-    def take_batch(self, batch: platformlog.LogBatch, now: float) -> None:
+    def apply_batch(self, batch: platformlog.LogBatch, now: float) -> None:
         """Take note of records that were read."""
         self.read_at = now
         if batch.first > self.next:
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -1,6 +1,6 @@
 """Simulation of a few daemons, one shard and a log, with simulated time.
 
-The rules under test are the real ones: ``LogFollower.take_batch``,
+The rules under test are the real ones: ``LogFollower.apply_batch``,
 ``ShardView``, ``PromiseTable``, ``Lease``, ``find_serve_time`` and
 ``ClaimTable``. The simulation only decides the order of events: which appends
 are committed, late or never; who reads how far; which messages arrive, and
@@ -131,7 +131,7 @@
             batch = platformlog.LogBatch(
                 ids.Offset(0), ids.Offset(offset + 1), False, [(offset, data)]
             )
-            node.follower.take_batch(batch, self.now)
+            node.follower.apply_batch(batch, self.now)
             envelope = records.decode_envelope(data)
             if envelope.sender == node.incarnation:
                 self._read_back(node, envelope.sequence)
