--- a/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
@@ -172,16 +172,16 @@
             self._settle(offset, envelope.sequence)
 
     def _settle(self, offset: ids.Offset, sequence: int) -> None:
-        open_still: list[_Pending] = []
+        still_pending: list[_Pending] = []
         for pending in self._pending:
             if pending.sequence > sequence:
-                open_still.append(pending)
+                still_pending.append(pending)
                 continue
             if pending.sequence == sequence:
                 pending.offset = offset
                 self.confirmed_at = pending.sent_at
             pending.is_settled.set()
-        self._pending = open_still
+        self._pending = still_pending
 
 
 async def wait_for_change(follower: LogFollower, seconds: float) -> None:
