--- a/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
@@ -42,7 +42,7 @@
         self.refusals: dict[tuple[ids.Incarnation, int], errors.Problem] = {}
         self._is_partial = False
         self._first = ids.Offset(0)
-        self._held: list[tuple[ids.Offset, records.Envelope]] = []
+        self._deferred: list[tuple[ids.Offset, records.Envelope]] = []
 
     @property
     def version(self) -> ids.Version:
@@ -59,7 +59,7 @@
         """Start over at ``first``; the version in force stays."""
         self._first = first
         self._is_partial = True
-        self._held.clear()
+        self._deferred.clear()
 
     def observe(
         self, offset: ids.Offset, envelope: records.Envelope, now: float
@@ -74,7 +74,7 @@
         if self._is_partial:
             # What came before the first record that we have is not known:
             # this one may have lost to a record that retention dropped.
-            self._held.append((offset, envelope))
+            self._deferred.append((offset, envelope))
             return
         self._apply_record(envelope)
 
@@ -130,7 +130,7 @@
         if not self._is_partial:
             return
         self._is_partial = False
-        held, self._held = self._held, []
+        held, self._deferred = self._deferred, []
         for offset, envelope in held:
             if offset >= restated.as_of:
                 self._apply_record(envelope)
