--- a/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
@@ -130,8 +130,8 @@
         if not self._is_partial:
             return
         self._is_partial = False
-        held, self._deferred = self._deferred, []
-        for offset, envelope in held:
+        deferred, self._deferred = self._deferred, []
+        for offset, envelope in deferred:
             if offset >= restated.as_of:
                 self._apply_record(envelope)
 
