--- a/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
@@ -29,7 +29,7 @@
 __all__ = ['LogFollower', 'Observer']
 
 # Seconds before an append in doubt is settled by another one.
-SETTLE_INTERVAL = 0.5
+SETTLE_INTERVAL_S = 0.5
 _INITIAL_DELAY_S = 0.05
 _MAX_DELAY_S = 1.0
 
@@ -104,7 +104,7 @@
         async with self._lock:
             pending = await self._send(body)
             while True:
-                with anyio.move_on_after(SETTLE_INTERVAL):
+                with anyio.move_on_after(SETTLE_INTERVAL_S):
                     await pending.is_settled.wait()
                 if pending.is_settled.is_set():
                     return pending.offset
@@ -126,7 +126,7 @@
         except platformlog.LogUnreachable:
             # Nothing was sent, but the number is used up: only reading a
             # later one settles it, which costs nothing extra.
-            await anyio.sleep(SETTLE_INTERVAL)
+            await anyio.sleep(SETTLE_INTERVAL_S)
         except platformlog.LogDoubt:
             eliot.log_message('log:doubt', sequence=pending.sequence)
             await anyio.sleep(_INITIAL_DELAY_S)
