--- a/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
+++ b/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
@@ -48,7 +48,7 @@
 _handlers: dict[tuple[str, str], Handler] = {}
 
 
-def _handle(
+def _route(
     method: str, path: str
 ) -> collections.abc.Callable[[Handler], Handler]:
     def file_handler(handler: Handler) -> Handler:
@@ -113,13 +113,13 @@
         raise _refuse(errors.Kind.NOT_AN_OPERATOR)
 
 
-@_handle('GET', '/v1/status')
+@_route('GET', '/v1/status')
 async def show_status(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
     """Return this daemon's state."""
     return api.describe()
 
 
-@_handle('GET', '/v1/bundle')
+@_route('GET', '/v1/bundle')
 async def show_bundle(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
     """Return the bundle in force."""
     record = api.store.record
@@ -134,7 +134,7 @@
     }
 
 
-@_handle('POST', '/v1/bundle')
+@_route('POST', '/v1/bundle')
 async def submit_bundle(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
     """Append a bundle and say what the log decided."""
     record = submissions.read_submission(body)
@@ -164,7 +164,7 @@
     )
 
 
-@_handle('GET', '/v1/explain')
+@_route('GET', '/v1/explain')
 async def explain_key(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
     """Return what the claim owner knows of a key."""
     config = api.store.bundle
@@ -188,7 +188,7 @@
     }
 
 
-@_handle('POST', '/v1/drain')
+@_route('POST', '/v1/drain')
 async def drain_host(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
     """Stop a daemon gracefully: this one or another."""
     host = ids.Host(query.get('host', str(api.peers.host)))
