--- a/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
+++ b/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
@@ -51,11 +51,11 @@
 def _route(
     method: str, path: str
 ) -> collections.abc.Callable[[Handler], Handler]:
-    def file_handler(handler: Handler) -> Handler:
+    def add_handler(handler: Handler) -> Handler:
         _handlers[method, path] = handler
         return handler
 
-    return file_handler
+    return add_handler
 
 
 @ty.final
