--- a/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
+++ b/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
@@ -34,7 +34,7 @@
 __all__ = ['OperatorApi']
 
 # How long a submission may wait for the log, in seconds.
-SUBMIT_TIMEOUT = 10.0
+SUBMIT_TIMEOUT_S = 10.0
 BUNDLE_LIMIT = 16 * 1024 * 1024
 _CALL_TIMEOUT = 2.0
 # Longer than the longest pause between two tries to dial a host.
@@ -144,7 +144,7 @@
     conflict = api.store.describe_conflict(record)
     if conflict is not None and record != api.store.record:
         raise errors.Refused(conflict)
-    with anyio.move_on_after(SUBMIT_TIMEOUT) as limit:
+    with anyio.move_on_after(SUBMIT_TIMEOUT_S) as limit:
         await api.follower.append(record)
     if limit.cancelled_caught:
         raise _refuse(errors.Kind.BUNDLE_DOUBTFUL)
