--- a/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
+++ b/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
@@ -35,7 +35,7 @@
 
 # How long a submission may wait for the log, in seconds.
 SUBMIT_TIMEOUT_S = 10.0
-BUNDLE_LIMIT = 16 * 1024 * 1024
+BUNDLE_LIMIT_BYTES = 16 * 1024 * 1024
 _CALL_TIMEOUT = 2.0
 # Longer than the longest pause between two tries to dial a host.
 _REACH_TIMEOUT = 5.0
@@ -90,7 +90,7 @@
             handler = _handlers.get((scope['method'], scope['path']))
             if handler is None:
                 raise _refuse(errors.Kind.NOT_FOUND, path=scope['path'])
-            body = await asgi.read_body(receive, BUNDLE_LIMIT)
+            body = await asgi.read_body(receive, BUNDLE_LIMIT_BYTES)
             pairs = urllib.parse.parse_qsl(scope['query_string'].decode())
             value = await handler(self, dict(pairs), body)
         except errors.Refused as error:
@@ -98,7 +98,7 @@
             return
         except asgi.BodyTooLarge:
             problem = errors.make_problem(
-                errors.Kind.BODY_TOO_LARGE, limit=BUNDLE_LIMIT
+                errors.Kind.BODY_TOO_LARGE, limit=BUNDLE_LIMIT_BYTES
             )
             await asgi.send_problem(send, problem)
             return
