--- a/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
+++ b/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
@@ -36,7 +36,7 @@
 # How long a submission may wait for the log, in seconds.
 SUBMIT_TIMEOUT_S = 10.0
 BUNDLE_LIMIT_BYTES = 16 * 1024 * 1024
-_CALL_TIMEOUT = 2.0
+_CALL_TIMEOUT_S = 2.0
 # Longer than the longest pause between two tries to dial a host.
 _REACH_TIMEOUT = 5.0
 
@@ -199,7 +199,7 @@
     if connection is None:
         raise _refuse(errors.Kind.PEER_UNREACHABLE, host=host)
     try:
-        await connection.call(wire.Drain(), _CALL_TIMEOUT)
+        await connection.call(wire.Drain(), _CALL_TIMEOUT_S)
     except peerlink.PeerLost:
         raise _refuse(errors.Kind.PEER_LOST, host=host) from None
     return {'draining': host}
