--- a/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
+++ b/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
@@ -38,7 +38,7 @@
 BUNDLE_LIMIT_BYTES = 16 * 1024 * 1024
 _CALL_TIMEOUT_S = 2.0
 # Longer than the longest pause between two tries to dial a host.
-_REACH_TIMEOUT = 5.0
+_CONNECT_TIMEOUT_S = 5.0
 
 Query = dict[str, str]
 Handler = collections.abc.Callable[
@@ -195,7 +195,7 @@
     if host == api.peers.host:
         api.drain()
         return {'draining': host}
-    connection = await api.peers.connect(host, _REACH_TIMEOUT)
+    connection = await api.peers.connect(host, _CONNECT_TIMEOUT_S)
     if connection is None:
         raise _refuse(errors.Kind.PEER_UNREACHABLE, host=host)
     try:
