--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -59,7 +59,7 @@
 
 __all__ = ['Daemon']
 
-CALL_TIMEOUT = 1.0
+CALL_TIMEOUT_S = 1.0
 REPORT_INTERVAL = 1.0
 # Seconds that callers get at most to read their final answers before the
 # exit. A caller that takes 64 KB in this time is slower than any link here.
@@ -379,7 +379,7 @@
         if connection is None:
             return None
         try:
-            return await connection.call(message, CALL_TIMEOUT)
+            return await connection.call(message, CALL_TIMEOUT_S)
         except peerlink.PeerLost:
             return None
 
