--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -60,7 +60,7 @@
 __all__ = ['Daemon']
 
 CALL_TIMEOUT_S = 1.0
-REPORT_INTERVAL = 1.0
+REPORT_INTERVAL_S = 1.0
 # Seconds that callers get at most to read their final answers before the
 # exit. A caller that takes 64 KB in this time is slower than any link here.
 LAST_WORDS = 2.0
@@ -308,7 +308,7 @@
                 kind, _ = owners.parse_shard(shard)
                 if kind == owners.CLAIMS_KIND:
                     self.claim_client.report_claims(shard)
-            await logfollower.wait_for_change(self.follower, REPORT_INTERVAL)
+            await logfollower.wait_for_change(self.follower, REPORT_INTERVAL_S)
 
     # Stopping.
 
