--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -63,7 +63,7 @@
 REPORT_INTERVAL_S = 1.0
 # Seconds that callers get at most to read their final answers before the
 # exit. A caller that takes 64 KB in this time is slower than any link here.
-LAST_WORDS = 2.0
+CLOSE_TIMEOUT_S = 2.0
 
 
 @ty.final
@@ -338,7 +338,7 @@
         # Nothing is in progress; what callers have not read yet still leaves.
         async with anyio.create_task_group() as group:
             for listener in (self._callers, self._operators):
-                group.start_soon(shutdown.finish, listener, LAST_WORDS)
+                group.start_soon(shutdown.finish, listener, CLOSE_TIMEOUT_S)
         eliot.log_message('daemon:stopped')
 
     async def _hand_over(self) -> None:
