--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -134,12 +134,12 @@
     def _build_requests(self) -> None:
         config = self.settings
         self.store = answers.AnswerStore(config.kept_answer_bytes)
-        self.claim_desk = claims.ClaimServer(self.peers)
+        self.claim_server = claims.ClaimServer(self.peers)
         self.claim_client = claims.ClaimClient(
             self.incarnation,
             self.view,
             self.peers,
-            self.claim_desk,
+            self.claim_server,
             self.store,
         )
         self.pool_desk = poolservice.PoolScheduler(self.peers, self.metrics)
@@ -183,14 +183,14 @@
         self.follower.add_observer(self.restater)
         find = self.bundles.get
         self.owners.find_bundle = find
-        self.claim_desk.find_bundle = find
+        self.claim_server.find_bundle = find
         self.pool_desk.find_bundle = find
         self.runs.find_bundle = find
         self.entry.find_bundle = find
         self.entry.is_ready = self.is_ready
         self.owners.may_take = self._may_take
         self.owners.roles = {
-            owners.CLAIMS_KIND: self.claim_desk,
+            owners.CLAIMS_KIND: self.claim_server,
             owners.POOL_KIND: self.pool_desk,
         }
         self.pool_desk.deliver = self._push
@@ -206,14 +206,16 @@
         router.sync_handlers |= {
             wire.Ping: self._answer_ping,
             wire.PromiseRequest: self.owners.answer_promise,
-            wire.ClaimEnd: self.claim_desk.answer_end,
-            wire.ClaimReport: self.claim_desk.answer_report,
-            wire.ClaimQuery: self.claim_desk.answer_query,
+            wire.ClaimEnd: self.claim_server.answer_end,
+            wire.ClaimReport: self.claim_server.answer_report,
+            wire.ClaimQuery: self.claim_server.answer_query,
             wire.Register: self.pool_desk.answer_register,
             wire.FetchState: self._answer_fetch,
             wire.Drain: self._answer_drain,
         }
-        router.async_handlers[wire.ClaimRequest] = self.claim_desk.answer_claim
+        router.async_handlers[wire.ClaimRequest] = (
+            self.claim_server.answer_claim
+        )
         router.stream_handlers[wire.Attach] = self.attacher.serve
         router.push_handlers |= {
             wire.Register: self.pool_desk.handle_register,
@@ -237,7 +239,7 @@
             tree.start('log', self.follower.follow)
             tree.start('peers', lambda: self.peers.run(listener))
             tree.start('owners', self.owners.run)
-            tree.start('claim desk', self.claim_desk.run)
+            tree.start('claim desk', self.claim_server.run)
             tree.start('pool desk', self.pool_desk.run)
             tree.start('claims', self.claim_client.run)
             tree.start('pools', self._run_pools)
@@ -274,7 +276,7 @@
             'log_next': self.follower.next,
             'clock_offset_s': round(self.peers.find_clock_offset(), 3),
             'open_requests': self.runs.count(),
-            'claims': self.claim_desk.count_claims(),
+            'claims': self.claim_server.count_claims(),
             'peers': sorted(
                 str(item.host) for item in self.peers.list_dialed()
             ),
