--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -142,7 +142,9 @@
             self.claim_server,
             self.store,
         )
-        self.pool_desk = poolservice.PoolScheduler(self.peers, self.metrics)
+        self.pool_scheduler = poolservice.PoolScheduler(
+            self.peers, self.metrics
+        )
         self.pool_client = poolclient.PoolClient(
             self.incarnation,
             self.view,
@@ -184,17 +186,17 @@
         find = self.bundles.get
         self.owners.find_bundle = find
         self.claim_server.find_bundle = find
-        self.pool_desk.find_bundle = find
+        self.pool_scheduler.find_bundle = find
         self.runs.find_bundle = find
         self.entry.find_bundle = find
         self.entry.is_ready = self.is_ready
         self.owners.may_take = self._may_take
         self.owners.roles = {
             owners.CLAIMS_KIND: self.claim_server,
-            owners.POOL_KIND: self.pool_desk,
+            owners.POOL_KIND: self.pool_scheduler,
         }
-        self.pool_desk.deliver = self._push
-        self.bundles.on_change.append(self.pool_desk.update_bundle)
+        self.pool_scheduler.deliver = self._push
+        self.bundles.on_change.append(self.pool_scheduler.update_bundle)
         self.peers.make_ping = self._make_ping
         self.peers.on_pong = self._take_pong
         self.peers.on_lost = self._forget_connection
@@ -209,7 +211,7 @@
             wire.ClaimEnd: self.claim_server.answer_end,
             wire.ClaimReport: self.claim_server.answer_report,
             wire.ClaimQuery: self.claim_server.answer_query,
-            wire.Register: self.pool_desk.answer_register,
+            wire.Register: self.pool_scheduler.answer_register,
             wire.FetchState: self._answer_fetch,
             wire.Drain: self._answer_drain,
         }
@@ -218,10 +220,10 @@
         )
         router.stream_handlers[wire.Attach] = self.attacher.serve
         router.push_handlers |= {
-            wire.Register: self.pool_desk.handle_register,
-            wire.Started: self.pool_desk.handle_started,
-            wire.Finished: self.pool_desk.handle_finished,
-            wire.Withdraw: self.pool_desk.handle_withdraw,
+            wire.Register: self.pool_scheduler.handle_register,
+            wire.Started: self.pool_scheduler.handle_started,
+            wire.Finished: self.pool_scheduler.handle_finished,
+            wire.Withdraw: self.pool_scheduler.handle_withdraw,
             wire.Grant: self.pool_client.handle_grant,
             wire.Shed: self.pool_client.handle_shed,
             wire.Withdrawn: self.pool_client.handle_withdrawn,
@@ -240,7 +242,7 @@
             tree.start('peers', lambda: self.peers.run(listener))
             tree.start('owners', self.owners.run)
             tree.start('claim desk', self.claim_server.run)
-            tree.start('pool desk', self.pool_desk.run)
+            tree.start('pool desk', self.pool_scheduler.run)
             tree.start('claims', self.claim_client.run)
             tree.start('pools', self._run_pools)
             tree.start('runs', self.runs.run)
@@ -293,7 +295,7 @@
                 }
                 for shard, item in sorted(self.view.entries.items())
             },
-            'pools': self.pool_desk.describe(),
+            'pools': self.pool_scheduler.describe(),
             'counts': self.metrics.counts,
         }
 
@@ -388,7 +390,7 @@
     def _forget_connection(self, incarnation: ids.Incarnation) -> None:
         self.pool_client.mark_unregistered(incarnation)
         if self.peers.find(incarnation) is None:
-            self.pool_desk.drop_sender(incarnation)
+            self.pool_scheduler.drop_sender(incarnation)
 
     def _make_ping(self) -> wire.Ping:
         return wire.Ping(
