--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -94,13 +94,13 @@
         # A peer with a newer bundle than ours.
         self._newer_at: ids.Incarnation | None = None
         self._newer_seen = anyio.Event()
-        self._build_agreement()
+        self._build_shared_state()
         self._build_requests()
         self._tie_parts()
         self._callers = asgi.Server(self.entry, config.callers)
         self._operators = asgi.Server(self.operators, config.operators_listen)
 
-    def _build_agreement(self) -> None:
+    def _build_shared_state(self) -> None:
         config = self.settings
         self.log = platformlog.PlatformLog(config.log)
         self.follower = logfollower.LogFollower(self.log, self.incarnation)
