--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -96,7 +96,7 @@
         self._newer_seen = anyio.Event()
         self._build_shared_state()
         self._build_requests()
-        self._tie_parts()
+        self._connect_components()
         self._callers = asgi.Server(self.entry, config.callers)
         self._operators = asgi.Server(self.operators, config.operators_listen)
 
@@ -179,7 +179,7 @@
             self.start_drain,
         )
 
-    def _tie_parts(self) -> None:
+    def _connect_components(self) -> None:
         self.follower.add_observer(self.bundles)
         self.follower.add_observer(self.view)
         self.follower.add_observer(self.restater)
