--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -201,9 +201,9 @@
         self.peers.on_pong = self._take_pong
         self.peers.on_lost = self._forget_connection
         self.peers.find_needed = self.owners.find_needed_hosts
-        self._fill_router()
+        self._register_handlers()
 
-    def _fill_router(self) -> None:
+    def _register_handlers(self) -> None:
         router = self.router
         router.sync_handlers |= {
             wire.Ping: self._answer_ping,
