--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -90,7 +90,7 @@
             config.host, config.trace_file
         )
         self.is_draining = False
-        self._drain_asked = anyio.Event()
+        self._drain_requested = anyio.Event()
         # A peer with a newer bundle than ours.
         self._newer_at: ids.Incarnation | None = None
         self._newer_seen = anyio.Event()
@@ -254,7 +254,7 @@
             tree.start('callers', self._callers.serve)
             tree.start('signals', self._watch_signals)
             eliot.log_message('daemon:started', incarnation=self.incarnation)
-            await self._drain_asked.wait()
+            await self._drain_requested.wait()
             await self._drain()
         await self._close()
 
@@ -266,7 +266,7 @@
 
     def start_drain(self) -> None:
         """Begin a graceful stop."""
-        self._drain_asked.set()
+        self._drain_requested.set()
 
     def describe(self) -> dict[str, ty.Any]:
         """Return the daemon's state for operators."""
@@ -321,7 +321,7 @@
             signal.SIGTERM, signal.SIGINT
         ) as received:
             async for _ in received:
-                if not self._drain_asked.is_set():
+                if not self._drain_requested.is_set():
                     self.start_drain()
                     continue
                 eliot.log_message('daemon:second-signal')
