--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -92,7 +92,7 @@
         self.is_draining = False
         self._drain_requested = anyio.Event()
         # A peer with a newer bundle than ours.
-        self._newer_at: ids.Incarnation | None = None
+        self._newer_bundle_peer: ids.Incarnation | None = None
         self._newer_seen = anyio.Event()
         self._build_shared_state()
         self._build_requests()
@@ -417,16 +417,16 @@
         # The peer has a newer bundle than we: the log is out for us, or
         # slow. What was accepted must not wait for that.
         if version > self.bundles.version:
-            self._newer_at = peer
+            self._newer_bundle_peer = peer
             self._newer_seen.set()
 
     async def _fetch_forever(self) -> None:
         while True:
             await self._newer_seen.wait()
             self._newer_seen = anyio.Event()
-            assert self._newer_at is not None
+            assert self._newer_bundle_peer is not None
             reply = await self._call(
-                self._newer_at, wire.FetchState(self.bundles.version)
+                self._newer_bundle_peer, wire.FetchState(self.bundles.version)
             )
             if isinstance(reply, wire.StateReply) and reply.bundle:
                 self.bundles.adopt(reply.bundle)
