--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -93,7 +93,7 @@
         self._drain_requested = anyio.Event()
         # A peer with a newer bundle than ours.
         self._newer_bundle_peer: ids.Incarnation | None = None
-        self._newer_seen = anyio.Event()
+        self._newer_bundle_seen = anyio.Event()
         self._build_shared_state()
         self._build_requests()
         self._connect_components()
@@ -418,12 +418,12 @@
         # slow. What was accepted must not wait for that.
         if version > self.bundles.version:
             self._newer_bundle_peer = peer
-            self._newer_seen.set()
+            self._newer_bundle_seen.set()
 
     async def _fetch_forever(self) -> None:
         while True:
-            await self._newer_seen.wait()
-            self._newer_seen = anyio.Event()
+            await self._newer_bundle_seen.wait()
+            self._newer_bundle_seen = anyio.Event()
             assert self._newer_bundle_peer is not None
             reply = await self._call(
                 self._newer_bundle_peer, wire.FetchState(self.bundles.version)
