--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -86,7 +86,7 @@
             clocks.read_monotonic(),
         )
         self.metrics = metrics.Metrics(config.statsd)
-        self.tracer, self._end_traces = tracing.make_tracer(
+        self.tracer, self._close_tracer = tracing.make_tracer(
             config.host, config.trace_file
         )
         self.is_draining = False
@@ -353,7 +353,7 @@
         await self.relay.close()
         await self.log.close()
         await self.host_list.close()
-        self._end_traces()
+        self._close_tracer()
 
     # Between the parts.
 
