--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -198,7 +198,7 @@
         self.pool_scheduler.deliver = self._push
         self.bundles.on_change.append(self.pool_scheduler.update_bundle)
         self.peers.make_ping = self._make_ping
-        self.peers.on_pong = self._take_pong
+        self.peers.on_pong = self._handle_pong
         self.peers.on_lost = self._forget_connection
         self.peers.find_needed = self.owners.find_needed_hosts
         self._register_handlers()
@@ -408,7 +408,7 @@
             self.is_draining,
         )
 
-    def _take_pong(
+    def _handle_pong(
         self, pong: wire.Pong, connection: peerlink.Connection
     ) -> None:
         self._catch_up(pong.version, connection.incarnation)
