--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -400,7 +400,7 @@
     def _answer_ping(
         self, ping: wire.Ping, sender: ids.Incarnation
     ) -> wire.Pong:
-        self._catch_up(ping.version, sender)
+        self._check_peer_version(ping.version, sender)
         return wire.Pong(
             clocks.read_wall(),
             self.bundles.version,
@@ -411,9 +411,11 @@
     def _handle_pong(
         self, pong: wire.Pong, connection: peerlink.Connection
     ) -> None:
-        self._catch_up(pong.version, connection.incarnation)
+        self._check_peer_version(pong.version, connection.incarnation)
 
-    def _catch_up(self, version: ids.Version, peer: ids.Incarnation) -> None:
+    def _check_peer_version(
+        self, version: ids.Version, peer: ids.Incarnation
+    ) -> None:
         # The peer has a newer bundle than we: the log is out for us, or
         # slow. What was accepted must not wait for that.
         if version > self.bundles.version:
