--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -190,7 +190,7 @@
         self.runs.find_bundle = find
         self.entry.find_bundle = find
         self.entry.is_ready = self.is_ready
-        self.owners.may_take = self._may_take
+        self.owners.may_take = self._may_own_shards
         self.owners.roles = {
             owners.CLAIMS_KIND: self.claim_server,
             owners.POOL_KIND: self.pool_scheduler,
@@ -357,7 +357,7 @@
 
     # Between the parts.
 
-    def _may_take(self) -> bool:
+    def _may_own_shards(self) -> bool:
         config = self.bundles.bundle
         if self.is_draining or config is None:
             return False
