--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -199,7 +199,7 @@
         self.bundles.on_change.append(self.pool_scheduler.update_bundle)
         self.peers.make_ping = self._make_ping
         self.peers.on_pong = self._handle_pong
-        self.peers.on_lost = self._forget_connection
+        self.peers.on_lost = self._handle_lost_connection
         self.peers.find_needed = self.owners.find_needed_hosts
         self._register_handlers()
 
@@ -387,7 +387,7 @@
         except peerlink.PeerLost:
             return None
 
-    def _forget_connection(self, incarnation: ids.Incarnation) -> None:
+    def _handle_lost_connection(self, incarnation: ids.Incarnation) -> None:
         self.pool_client.mark_unregistered(incarnation)
         if self.peers.find(incarnation) is None:
             self.pool_scheduler.drop_sender(incarnation)
