--- a/packages/apricotlandingd/src/apricotlandingd/command.py
+++ b/packages/apricotlandingd/src/apricotlandingd/command.py
@@ -14,7 +14,7 @@
 __all__ = ['main']
 
 # Exit code for settings that cannot be used.
-BAD_SETTINGS = 2
+BAD_SETTINGS_EXIT_CODE = 2
 
 
 @click.command()
@@ -35,7 +35,7 @@
     if loaded.is_error():
         for finding in loaded.error:
             click.echo(f'{path}: {finding}', err=True)
-        sys.exit(BAD_SETTINGS)
+        sys.exit(BAD_SETTINGS_EXIT_CODE)
     config = loaded.ok
     if check:
         click.echo(f'{path}: good')
@@ -53,7 +53,7 @@
             ' this host that are free',
             err=True,
         )
-        sys.exit(BAD_SETTINGS)
+        sys.exit(BAD_SETTINGS_EXIT_CODE)
     finally:
         stop_logs()
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 from apricotstandins import processes
 import systems
 
-BAD_SETTINGS = 2
+BAD_SETTINGS_EXIT_CODE = 2
 
 
 class TestSettings(systems.SystemTestCase):
@@ -35,7 +35,7 @@
         path = self.system.directory / 'bad.yaml'
         path.write_text('host: entry-1\ndomain: d1\ncallers: nowhere\n')
         process = self.start(str(path))
-        self.assertEqual(BAD_SETTINGS, process.wait())
+        self.assertEqual(BAD_SETTINGS_EXIT_CODE, process.wait())
         self.assertIn('line 3: callers', process.read_output())
         self.assertIn('write IP:PORT', process.read_output())
 
@@ -48,7 +48,7 @@
             path = self.system.directory / 'taken.yaml'
             path.write_text(yaml.safe_dump(value))
             process = self.start(str(path))
-            self.assertEqual(BAD_SETTINGS, process.wait())
+            self.assertEqual(BAD_SETTINGS_EXIT_CODE, process.wait())
         self.assertIn('addresses of this host', process.read_output())
 
     def test_log_lines_are_json_and_name_the_request(self) -> None:
