--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -193,9 +193,9 @@
             if kind is _FrameKind.PUSH:
                 self._handle_push(message)
                 continue
-            sync_handlers = self._router.sync_handlers.get(type(message))
-            if sync_handlers is not None:
-                reply = sync_handlers(message, self.incarnation)
+            sync_handler = self._router.sync_handlers.get(type(message))
+            if sync_handler is not None:
+                reply = sync_handler(message, self.incarnation)
                 await self._send(_FrameKind.REPLY, number, reply)
                 continue
             self._group.start_soon(self._answer, number, message)
@@ -220,15 +220,15 @@
 
     async def _answer(self, number: int, message: object) -> None:
         try:
-            stream_handlers = self._router.stream_handlers.get(type(message))
-            if stream_handlers is not None:
-                await self._answer_stream(number, stream_handlers, message)
+            stream_handler = self._router.stream_handlers.get(type(message))
+            if stream_handler is not None:
+                await self._answer_stream(number, stream_handler, message)
                 return
-            async_handlers = self._router.async_handlers.get(type(message))
-            if async_handlers is None:
+            async_handler = self._router.async_handlers.get(type(message))
+            if async_handler is None:
                 name = type(message).__name__
                 raise codec.refuse_frame(f'unexpected {name}')
-            reply = await async_handlers(message, self.incarnation)
+            reply = await async_handler(message, self.incarnation)
         except errors.Refused as error:
             reply = wire.Failed(error.problem.code, error.problem.text)
         except frames.CONNECTION_ERRORS:
@@ -240,9 +240,9 @@
             await self._send(_FrameKind.REPLY, number, reply)
 
     async def _answer_stream(
-        self, number: int, stream_handlers: StreamHandler, message: object
+        self, number: int, stream_handler: StreamHandler, message: object
     ) -> None:
-        async for part in stream_handlers(message, self.incarnation):
+        async for part in stream_handler(message, self.incarnation):
             is_end = isinstance(part, wire.AttachEnd)
             kind = _FrameKind.END if is_end else _FrameKind.PART
             await self._send(kind, number, part)
--- a/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
@@ -221,8 +221,8 @@
     prompt = value.get('prompt')
     if not isinstance(prompt, str) or not prompt.split():
         return '"prompt" must be a text that is not empty'
-    most = value.get('max_tokens', 1)
-    if type(most) is not int or most < 1:
+    token_limit = value.get('max_tokens', 1)
+    if type(token_limit) is not int or token_limit < 1:
         return '"max_tokens" must be a whole number above 0'
     return None
 
--- a/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
@@ -78,13 +78,13 @@
 
     def find_client(self, model: bundle.RunnerModel) -> webclient.WebClient:
         """Return the client for a runner's address."""
-        place = str(model.address)
-        client = self._clients.get(place)
+        address = str(model.address)
+        client = self._clients.get(address)
         if client is None:
             client = webclient.WebClient(
                 model.address, read_timeout=PART_TIMEOUT_S
             )
-            self._clients[place] = client
+            self._clients[address] = client
         return client
 
     async def close(self) -> None:
@@ -167,10 +167,10 @@
     headers: webclient.Headers,
     attempt: Attempt,
 ) -> None:
-    place = f'/v1/generate/{urllib.parse.quote(name)}'
+    base_path = f'/v1/generate/{urllib.parse.quote(name)}'
     for number in range(MAX_RESUMES):
         await anyio.sleep(RESUME_DELAY_S * (number + 1))
-        path = f'{place}?from={reader.count}'
+        path = f'{base_path}?from={reader.line_count}'
         try:
             async with client.open('GET', path, headers) as response:
                 if response.status != 200:
@@ -197,7 +197,7 @@
     ) -> None:
         self.has_end = False
         # Whole lines so far: where to resume.
-        self.count = 0
+        self.line_count = 0
         self._name = name
         self._answer = answer
         self._attempt = attempt
@@ -226,7 +226,7 @@
         forwarded: list[bytes] = []
         for line in data.splitlines(keepends=True):
             value = self._parse(line)
-            self.count += 1
+            self.line_count += 1
             if value.get('end') is True:
                 self._process_end(value)
                 break
@@ -267,13 +267,15 @@
     attempt: Attempt,
 ) -> None:
     path = '/' + urllib.parse.quote(request.head.route.name)
-    found = [
+    all_headers = [
         (b'content-type', b'application/json'),
         (b'idempotency-key', request.head.key.encode()),
         *headers,
     ]
     try:
-        async with client.open('POST', path, found, request.body) as response:
+        async with client.open(
+            'POST', path, all_headers, request.body
+        ) as response:
             # A refusal of the service's own (4xx) is its answer.
             if not 400 <= response.status < 500:
                 if not await _check_status(response, attempt):
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -524,8 +524,8 @@
     def _start_span(
         self, name: str, run: Run
     ) -> ty.ContextManager[trace.Span]:
-        where = trace.set_span_in_context(run.span)
-        return self._tracer.start_as_current_span(name, where)
+        parent_context = trace.set_span_in_context(run.span)
+        return self._tracer.start_as_current_span(name, parent_context)
 
 
 def _cancel_if_repeatable(run: Run, scope: anyio.CancelScope) -> None:
