--- a/packages/apricotlandingd/src/apricotlandingd/requests/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/__init__.py
@@ -1,5 +1,5 @@
-"""A request of the product's own interface, from its caller to its runner.
+"""The path of a request of the native API, from its caller to its runner.
 
-Read ``entry``, ``admission``, ``runs``, ``relay`` and ``answers`` in this
-order.
+The modules in the order in which a request passes them: ``entry``,
+``admission``, ``runs``, ``relay`` and ``answers``.
 """
