--- a/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
@@ -1,8 +1,8 @@
-"""Admission: from an HTTP request to a request that can be scheduled.
+"""Checks an HTTP request and makes it a request that can be scheduled.
 
-Everything that a caller can get wrong is found here, before the request
-costs anything beyond this daemon, and is answered with an error that names
-the remedy.
+All input errors of callers are detected here, before the request uses any
+resource outside this daemon. Each is answered with an error that names the
+remedy.
 """
 
 import collections.abc
@@ -25,7 +25,7 @@
 
 DEADLINE_HEADER = 'apricot-deadline-ms'
 KEY_HEADER = 'idempotency-key'
-# Blocks of a prompt that are looked at; a longer prefix tells no more.
+# Blocks of a prompt that are hashed; more add no information for routing.
 _MAX_PREFIX_BLOCKS = 256
 _BEARER = 'bearer '
 
@@ -35,7 +35,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
-    """What the headers say."""
+    """The checked headers of a request."""
 
     organisation: ids.Organisation
     route: bundle.RouteModel
@@ -51,13 +51,13 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A request that may be scheduled."""
+    """A checked request that can be scheduled."""
 
     head: Head
     kind: bundle.RunnerKind
-    # As it goes to a plain service.
+    # Forwarded unchanged to a plain service.
     body: bytes
-    # Of route and body: a key stands for one of each.
+    # SHA-256 of route and body: a key may be used with one of each only.
     digest: bytes
     prompt: str
     prompt_tokens: int
@@ -66,7 +66,7 @@
 
     @property
     def is_at_most_once(self) -> bool:
-        """Tell whether it must not run twice."""
+        """Tell whether the request must not run twice."""
         return self.head.route.repeat is bundle.Repeat.AT_MOST_ONCE
 
     @property
@@ -87,15 +87,16 @@
 def check_headers(
     config: bundle.Bundle, route_name: str, headers: Headers, count: int
 ) -> expression.Result[Head, errors.Problem]:
-    """Check everything but the body; ``count`` is the number of headers."""
+    """Check everything except the body; ``count`` is the number of headers."""
     if count > config.limits.headers:
         return _fail(
             errors.Kind.HEADERS_TOO_LARGE, limit=config.limits.headers
         )
     organisation = _find_organisation(config, headers)
     if organisation is None:
-        # The same words for no token, a malformed one and a wrong one:
-        # nothing tells a stranger whether an organisation exists.
+        # The same error for a missing, a malformed and a wrong token, so
+        # that unauthenticated callers cannot find out which organisations
+        # exist.
         return _fail(errors.Kind.BAD_CREDENTIALS)
     model = config.organisations[organisation]
     route = config.routes.get(ids.Route(route_name))
@@ -128,7 +129,7 @@
 def check_body(
     config: bundle.Bundle, head: Head, body: bytes
 ) -> expression.Result[Request, errors.Problem]:
-    """Check the body against what the route's runners take."""
+    """Check the body against the format that the route's runners accept."""
     pool = config.pools[ids.Pool(head.route.pool)]
     kind = pool.runners[0].kind
     digest = hashlib.sha256(head.route.name.encode() + b'\0' + body).digest()
@@ -160,8 +161,8 @@
 def hash_prefix(words: list[str]) -> list[int]:
     """Return the hash chain over the full blocks of a prompt.
 
-    Each hash covers its block and all before it, as engines name the
-    blocks of their cache in their events.
+    Each hash covers its block and all preceding blocks. Engines identify
+    the blocks of their prefix cache in their events in the same way.
     """
     chain: list[int] = []
     hasher = xxhash.xxh3_64()
@@ -170,7 +171,7 @@
         if len(chain) == _MAX_PREFIX_BLOCKS:
             break
         hasher.update('\0'.join(words[start : start + size]).encode())
-        # 63 bits: what every codec on the way can carry.
+        # 63 bits fit the integers of every codec in use.
         chain.append(hasher.intdigest() >> 1)
     return chain
 
@@ -189,8 +190,8 @@
     if text is None:
         if route.repeat is bundle.Repeat.AT_MOST_ONCE:
             return None
-        # Only an idempotent request may come without: it gets a name of
-        # its own, under which nobody can ask again.
+        # Only idempotent requests may omit the key. They get a random one,
+        # which no retry can present.
         return ids.Key(str(uuid.UUID(bytes=secrets.token_bytes(16))))
     try:
         return ids.Key(str(uuid.UUID(text.strip().strip('"'))))
