--- a/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/answers.py
@@ -1,11 +1,12 @@
-"""Answers: what a request's runner sent, for all who want to read it.
+"""Stores the answers of runners for the callers that read them.
 
-The task that runs a request appends to its ``Answer``; the caller's
-connection, and any later one that presents the same key, read from it, each
-at its own pace. A caller that goes away therefore harms nothing, and a retry
-finds the answer.
+The task that runs a request appends to its ``Answer``. The caller's
+connection, and any later one that presents the same key, read from it
+independently. A caller that disconnects therefore does not interrupt the
+request, and a retry finds the answer.
 
-Finished answers are kept, oldest dropped first, within a budget of bytes.
+Finished answers are kept within a limit of bytes; the oldest are evicted
+first.
 """
 
 import collections
@@ -21,7 +22,7 @@
 
 __all__ = ['Answer', 'AnswerStore', 'End', 'StoredRequest']
 
-# Bytes that an entry costs beside its chunks.
+# Memory of an entry in addition to its chunks.
 _ENTRY_OVERHEAD_BYTES = 512
 
 RequestId = tuple[ids.Organisation, ids.Key]
@@ -30,49 +31,49 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class End:
-    """How an answer ended; complete if there is no problem."""
+    """The end of an answer; the answer is complete if there is no problem."""
 
     problem: errors.Problem | None = None
 
 
 @ty.final
 class Answer:
-    """One answer, growing until it ends."""
+    """An answer to which chunks are appended until it ends."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty answer."""
         self.chunks: list[bytes] = []
         self.end: End | None = None
         self.runner: ids.Runner | None = None
-        # HTTP status for the caller once there is something to send.
+        # HTTP status to send to the caller with the first chunk.
         self.status = 200
-        # Connections that read it now.
+        # Number of connections that are reading it.
         self.readers = 0
         self._changed = anyio.Event()
 
     def add(self, chunk: bytes) -> None:
-        """Append what the runner sent; nothing after the end."""
+        """Append a chunk; ignored after the end."""
         if self.end is not None:
             return
         self.chunks.append(chunk)
         self._notify_readers()
 
     def finish(self, problem: errors.Problem | None = None) -> None:
-        """End the answer; the first end stands."""
+        """End the answer; ignored if it has ended already."""
         if self.end is not None:
             return
         self.end = End(problem)
         self._notify_readers()
 
     async def wait_for_first_chunk(self) -> None:
-        """Wait until there is a chunk or the end."""
+        """Wait until there is a chunk or the answer has ended."""
         while not self.chunks and self.end is None:
             await self._changed.wait()
 
     async def iterate(self) -> collections.abc.AsyncIterator[bytes]:
         """Yield all chunks from the beginning until the end.
 
-        Chunks that piled up while the reader was busy come as one.
+        Chunks that arrived while the reader was busy are joined into one.
         """
         position = 0
         while True:
@@ -93,7 +94,7 @@
 @ty.final
 @dataclasses.dataclass(slots=True, eq=False)
 class StoredRequest:
-    """A request that this daemon holds, from its claim on."""
+    """A request in the answer store."""
 
     organisation: ids.Organisation
     key: ids.Key
@@ -101,17 +102,18 @@
     ticket: str
     shard: ids.Shard | None
     answer: Answer
-    # What to tell a claim owner.
+    # State to report to a claim owner.
     state: wire.ClaimState = wire.ClaimState.HELD
-    # True once this daemon has the right to run it; until then a claim
-    # owner must not be told that this daemon holds it.
+    # True once this daemon has been granted the claim; until then it must
+    # not be reported to a claim owner as held here.
     is_claimed: bool = False
-    # True once the claim owner knows the state, or needs not know it. Not
-    # dropped before: what is not here was not run, and may be released.
+    # True once the claim owner knows the state or need not know it. Not
+    # evicted before: a request that is missing here counts as not run, and
+    # its claim may be released.
     is_settled: bool = False
 
     def count_bytes(self) -> int:
-        """Return what keeping it costs."""
+        """Return the memory that the entry uses."""
         return _ENTRY_OVERHEAD_BYTES + sum(
             len(chunk) for chunk in self.answer.chunks
         )
@@ -119,10 +121,13 @@
 
 @ty.final
 class AnswerStore:
-    """Requests by organisation and key: open ones and kept answers."""
+    """Open requests and finished answers, by organisation and key."""
 
     def __init__(self, budget: int) -> None:
-        """Start empty; ``budget`` bounds the bytes of ended answers."""
+        """Create an empty store.
+
+        ``budget`` limits the bytes of finished answers.
+        """
         self._budget = budget
         self._open: dict[RequestId, StoredRequest] = {}
         self._ended: collections.OrderedDict[RequestId, StoredRequest] = (
@@ -133,7 +138,7 @@
     def find(
         self, organisation: ids.Organisation, key: ids.Key
     ) -> StoredRequest | None:
-        """Return a request that is open or kept."""
+        """Return an open or finished request; None if there is none."""
         request_id = (organisation, key)
         return self._open.get(request_id) or self._ended.get(request_id)
 
@@ -142,7 +147,7 @@
         self._open[stored.organisation, stored.key] = stored
 
     def close(self, stored: StoredRequest) -> None:
-        """Move a request from the open ones to those kept."""
+        """Move a request from the open to the finished ones."""
         request_id = (stored.organisation, stored.key)
         if self._open.get(request_id) is stored:
             del self._open[request_id]
@@ -151,7 +156,7 @@
         self.evict_oldest()
 
     def evict_oldest(self) -> None:
-        """Drop ended answers, oldest first, until the budget is kept."""
+        """Evict settled answers, oldest first, until they fit the budget."""
         if self._bytes <= self._budget:
             return
         for request_id, stored in list(self._ended.items()):
@@ -163,7 +168,7 @@
                 return
 
     def drop(self, stored: StoredRequest) -> None:
-        """Forget a request."""
+        """Remove a request."""
         request_id = (stored.organisation, stored.key)
         if self._open.get(request_id) is stored:
             del self._open[request_id]
@@ -174,7 +179,7 @@
     def list_claims(
         self, shard: ids.Shard, holder: ids.Incarnation
     ) -> list[wire.HeldClaim]:
-        """Return what this daemon holds of a shard."""
+        """Return the claims of a shard that this daemon holds."""
         everything = [*self._open.values(), *self._ended.values()]
         return [
             wire.HeldClaim(
