--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -1,8 +1,9 @@
-"""Reading an answer that another daemon holds.
+"""Reads an answer from the daemon that holds it.
 
-A caller that retries may reach any daemon. The claim owner says who holds
-the key; this daemon copies the answer from there, from its beginning, while
-it still grows. ``serve`` is the holder's side.
+A caller that retries may reach any daemon. The claim owner tells which
+daemon holds the key. This daemon copies the answer from there, from its
+beginning, also while chunks are still being appended. ``serve`` is the
+holder's side.
 """
 
 import collections.abc
@@ -20,17 +21,18 @@
 
 __all__ = ['Attacher']
 
-# Longest wait for the next part of the answer, in seconds; work may wait
-# in its queue for long, so the reader's own deadline usually ends it.
+# Timeout for the next part of the answer. It is long because the request may
+# wait in its queue; usually the reader's own deadline ends the wait earlier.
 PART_TIMEOUT_S = 3600.0
 _RETRY_AFTER_S = 1.0
-# Code of an end that says: this key is not here and was not run.
+# Code of an AttachEnd for a key that the daemon does not hold and did not
+# run.
 _MISSING_CODE = 'missing'
 
 
 @ty.final
 class Attacher:
-    """Both sides of reading another daemon's answer."""
+    """Copies answers from other daemons and serves them to others."""
 
     def __init__(
         self,
@@ -38,7 +40,7 @@
         claim_client: claims.ClaimClient,
         others: peers.Peers,
     ) -> None:
-        """Prepare."""
+        """Create the client and server of answer copies."""
         self._store = store
         self._claims = claim_client
         self._peers = others
@@ -49,13 +51,13 @@
         shard: ids.Shard,
         reply: wire.ClaimReply,
     ) -> errors.Problem | None:
-        """Copy the holder's answer; return how it ended."""
+        """Copy the holder's answer; return its problem, None if complete."""
         assert reply.holder is not None
         message = wire.Attach(
             stored.organisation, stored.key, shard, reply.ticket
         )
         if reply.holder == self._peers.incarnation:
-            # We held it and have dropped it since.
+            # This daemon held the answer and has evicted it since.
             await self._claims.release_missing(message)
             return self._describe_missing(reply)
         connection = self._peers.find(reply.holder)
@@ -78,7 +80,7 @@
     async def serve(
         self, message: wire.Attach, sender: ids.Incarnation
     ) -> collections.abc.AsyncIterator[wire.Chunk | wire.AttachEnd]:
-        """Yield the answer that this daemon holds."""
+        """Yield the parts of an answer that this daemon holds."""
         stored = self._store.find(message.organisation, message.key)
         if stored is None or stored.ticket != message.ticket:
             await self._claims.release_missing(message)
@@ -131,8 +133,8 @@
         )
 
     def _describe_unreachable(self) -> errors.Problem:
-        # Finished or not: the answer may be kept there, and is not lost
-        # because we are cut off from it.
+        # The holder may still have the answer, finished or not; only the
+        # connection to it is lost.
         return errors.make_problem(
             errors.Kind.HOLDER_UNREACHABLE, claims.RETRY_AFTER_S
         )
