--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -1,9 +1,9 @@
-"""The callers' listener: ``POST /v1/routes/ROUTE``.
+"""The HTTP listener for callers: ``POST /v1/routes/ROUTE``.
 
-One task serves each connection. It checks the request, lets ``runs`` carry
-it, and writes the answer as it grows. An answer of an engine is a stream of
-JSON lines that ends with a line of ours, so that a caller can tell a whole
-answer from one that was cut; docs/CALLERS.md describes it.
+One task serves each connection. It checks the request, passes it to ``runs``
+and streams the answer. The answer of an engine is a stream of JSON lines.
+The daemon adds a last line with the outcome, by which a caller can tell a
+complete answer from a truncated one; see docs/CALLERS.md.
 """
 
 import collections.abc
@@ -26,11 +26,11 @@
 __all__ = ['Entry']
 
 ROUTE_PREFIX = '/v1/routes/'
-# Seconds that a caller may take to send its body.
+# Timeout for receiving the body of a request.
 BODY_TIMEOUT_S = 30.0
-# The task that carries a request ends it at its deadline, and knows whether
-# it has run. Seconds that its word may take before the caller's connection,
-# which does not know, says "unknown".
+# The task that runs a request ends it at its deadline with the right outcome.
+# The caller's connection cannot tell whether the request has run, so it waits
+# this long after the deadline for that outcome before it answers "unknown".
 FINAL_ANSWER_GRACE_S = 0.25
 _JSON = (b'content-type', b'application/json')
 _NDJSON = (b'content-type', b'application/x-ndjson')
@@ -47,7 +47,7 @@
         tracer: tracing.Tracer,
         open_requests: int,
     ) -> None:
-        """Prepare."""
+        """Create the application; ``open_requests`` is the limit."""
         self._runs = all_runs
         self._store = store
         self._tracer = tracer
@@ -55,9 +55,9 @@
         self.find_bundle: collections.abc.Callable[
             [], bundle.Bundle | None
         ] = lambda: None
-        # What /readyz tells the balancer.
+        # The result of /readyz, for the load balancer.
         self.is_ready: collections.abc.Callable[[], bool] = lambda: False
-        # False once a graceful stop takes nothing new.
+        # False once a graceful stop rejects new requests.
         self.is_admitting = True
 
     async def __call__(
@@ -102,7 +102,8 @@
     ) -> admission.Request | errors.Problem:
         config = self.find_bundle()
         if config is None:
-            # Nobody here knows the route, nor what became of the key.
+            # Without a bundle neither the route nor earlier requests under
+            # the key are known, so the outcome is unknown.
             return errors.weaken(
                 errors.make_problem(errors.Kind.NO_BUNDLE, 1.0)
             )
@@ -127,9 +128,9 @@
             )
         except (asgi.Disconnected, TimeoutError):
             return errors.make_problem(errors.Kind.INCOMPLETE_BODY)
-        # Again: a stop may have begun to wait for open requests while the
-        # body came. This one is not among them: it would run, and be cut by
-        # the end of the process.
+        # Checked again: a graceful stop may have begun to wait for open
+        # requests while the body arrived. This request is not among them,
+        # so the process could exit while it runs.
         stopping = self._check_stopping(head)
         if stopping is not None:
             return stopping
@@ -189,7 +190,7 @@
             full = errors.make_problem(errors.Kind.MEMORY_FULL, 1.0)
             if victim is None:
                 return _weaken_if_at_most_once(head, full)
-            # Somebody of a lower tier goes in its place.
+            # Shed the waiting request of the lowest tier instead.
             victim.stop(full, full)
         parent = trace.set_span_in_context(span)
         run = self._runs.start(request, deadline_at, parent)
@@ -198,9 +199,10 @@
     def _stop_if_unread(
         self, request: admission.Request, run: runs.Run
     ) -> None:
-        # The caller of an idempotent request that still waits is gone, and
-        # nobody else reads: it would cost a prefill that is thrown away.
-        # At-most-once work goes on, for the caller that comes back.
+        # The caller of a waiting idempotent request has disconnected and no
+        # other connection reads the answer: running it would waste a
+        # prefill. At-most-once requests go on, because the caller may retry
+        # and read the answer.
         if request.is_at_most_once or run.stored.answer.readers > 0:
             return
         if run.state is runs.RunState.WAITING:
@@ -230,7 +232,7 @@
     send: asgi.Send, request: admission.Request, answer: answers.Answer
 ) -> None:
     if not answer.chunks:
-        # Nothing before the deadline, or an end without a chunk.
+        # No chunk before the deadline, or an end without a chunk.
         problem = answer.end.problem if answer.end else None
         if problem is None:
             problem = errors.make_problem(errors.Kind.DEADLINE_RUNNING)
