--- a/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/relay.py
@@ -1,19 +1,17 @@
-"""The call to a runner: send a request, pass its answer on.
-
-From the moment the first byte leaves for a runner, the request may have run.
-``Attempt`` says how a call ended in the terms that matter for what may be
-done next:
-
-* NOT_TAKEN: nothing was sent, or the runner itself said that it did not take
-  the request. It may go to another runner.
-* FAILED: something was sent and the answer did not come whole. Only an
-  idempotent request may be tried again, and only while its caller has not
-  seen a byte.
-* COMPLETE: the whole answer is in.
-
-An engine's stream that breaks is resumed on the same engine, from the last
-line that came: the engine goes on computing, so resuming wastes no prefill
-and runs nothing twice.
+"""Sends requests to runners and forwards their answers.
+
+Once the first byte has been sent to a runner, the request may have run.
+``AttemptEnd`` says how a call ended, which decides whether it may be retried:
+
+* NOT_TAKEN: nothing was sent, or the runner reported that it did not accept
+  the request. It may be sent to another runner.
+* FAILED: something was sent and the answer is incomplete. Only an idempotent
+  request may be retried, and only while its caller has not received a byte.
+* COMPLETE: the whole answer was received.
+
+A broken stream of an engine is resumed on the same engine after the last line
+received. The engine continues to compute meanwhile, so resuming wastes no
+prefill and runs nothing twice.
 """
 
 import dataclasses
@@ -33,10 +31,11 @@
 __all__ = ['Attempt', 'AttemptEnd', 'Relay']
 
 NOT_TAKEN_HEADER = b'apricot-not-taken'
-# Attempts to go on with a broken stream, and seconds between them.
+# Attempts to resume a broken stream, and the delay before the first of them;
+# the delay grows linearly.
 MAX_RESUMES = 3
 RESUME_DELAY_S = 0.1
-# Longest wait for the next part of an answer, in seconds.
+# Read timeout for the next part of an answer.
 PART_TIMEOUT_S = 60.0
 SERVICE_ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
 
@@ -56,7 +55,7 @@
 
     end: AttemptEnd = AttemptEnd.FAILED
     detail: str = ''
-    # Monotonic times of the start and of the first byte.
+    # Monotonic clock.
     started_at: float = 0.0
     first_byte_at: float | None = None
     output_tokens: int = 0
@@ -65,15 +64,15 @@
 
 
 class _Malformed(Exception):
-    """The runner sent something that cannot be this request's answer."""
+    """The runner sent data that cannot belong to this request's answer."""
 
 
 @ty.final
 class Relay:
-    """Calls to runners, one connection pool for each."""
+    """Calls runners, with a connection pool for each."""
 
     def __init__(self) -> None:
-        """Start without connections."""
+        """Create a relay without connections."""
         self._clients: dict[str, webclient.WebClient] = {}
 
     def find_client(self, model: bundle.RunnerModel) -> webclient.WebClient:
@@ -100,7 +99,7 @@
         answer: answers.Answer,
         headers: webclient.Headers,
     ) -> Attempt:
-        """Send a request to a runner under a name unique to this call."""
+        """Send a request to a runner; ``name`` must be unique to this call."""
         attempt = Attempt(started_at=clocks.read_monotonic())
         client = self.find_client(model)
         if model.kind is bundle.RunnerKind.SERVICE:
@@ -110,14 +109,15 @@
         return attempt
 
     async def cancel(self, name: str, model: bundle.RunnerModel) -> None:
-        """Tell an engine to stop working on a request; best effort."""
+        """Cancel a request on an engine; best effort."""
         try:
             path = f'/v1/generate/{urllib.parse.quote(name)}'
             await self.find_client(model).call(
                 'DELETE', path, read_timeout=2.0
             )
         except webclient.WebError:
-            # It goes on until the end of the output: costly, not wrong.
+            # The engine computes the output to its end, which wastes
+            # capacity but is correct.
             return
 
 
@@ -190,13 +190,13 @@
 
 @ty.final
 class _LineReader:
-    """Reads an engine's JSON lines and checks whose they are."""
+    """Reads an engine's JSON lines and checks that they are this request's."""
 
     def __init__(
         self, name: str, answer: answers.Answer, attempt: Attempt
     ) -> None:
         self.has_end = False
-        # Whole lines so far: where to resume.
+        # Complete lines received; a broken stream is resumed from here.
         self.line_count = 0
         self._name = name
         self._answer = answer
@@ -204,21 +204,21 @@
         self._partial = b''
 
     def drop_partial(self) -> None:
-        """Forget half a line: a resumed stream begins with a whole one."""
+        """Discard a partial line; a resumed stream starts with a full line."""
         self._partial = b''
 
     async def read(self, response: webclient.Response) -> None:
-        """Pass whole lines on until the stream ends.
+        """Forward complete lines until the stream ends.
 
-        Raises Broken, or _Malformed for lines that are not JSON or that
-        belong to another request: connections can be crossed on the way,
-        and a caller must never see another's answer.
+        Raises Broken if the connection breaks, and _Malformed for lines that
+        are not JSON or that belong to another request: connections can be
+        mixed up on the way, and a caller must never get another's answer.
         """
         async for data in response.iterate():
             head, newline, tail = (self._partial + data).rpartition(b'\n')
             self._partial = tail
-            # Read on after the end: a connection whose response was read
-            # to its last byte can be used again.
+            # Read on after the end line: the connection can be reused only
+            # if the response was read to its last byte.
             if newline and not self.has_end:
                 self._process_lines(head + newline)
 
@@ -255,7 +255,7 @@
             attempt.prompt_tokens = int(value.get('prompt_tokens', 0))
             attempt.cached_tokens = int(value.get('cached_tokens', 0))
         except (TypeError, ValueError):
-            # Only statistics; the answer itself is whole.
+            # These are only statistics; the answer itself is complete.
             return
 
 
@@ -276,7 +276,7 @@
         async with client.open(
             'POST', path, all_headers, request.body
         ) as response:
-            # A refusal of the service's own (4xx) is its answer.
+            # A 4xx status is an answer of the service itself.
             if not 400 <= response.status < 500:
                 if not await _check_status(response, attempt):
                     return
