--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -1,16 +1,17 @@
-"""Carries one request from admission to its final answer.
+"""Runs requests from admission to their final answers.
 
-A request is run by a task of its own, apart from its caller's connection: a
-caller that goes away does not cancel work that must not be lost, and one
-that comes back under the same key attaches to it.
+Each request runs in a task of its own, independent of its caller's
+connection: a caller that disconnects does not cancel a request that must not
+be lost, and one that retries with the same key reads the same answer.
 
-The order of steps is what makes the final answer true:
+The order of the steps ensures that the reported outcome is correct:
 
-1. At-most-once work claims its key. Until it is granted nothing is sent.
-2. A runner is asked for. While it waits, the outcome is *not run*.
-3. The state becomes SENT *before* the first byte leaves. From then on the
-   outcome is never *not run* again, unless the runner itself said that it
-   did not take the request.
+1. An at-most-once request claims its key. Nothing is sent before the claim
+   is granted.
+2. The request waits for a runner. While it waits, the outcome is *not run*.
+3. The state becomes SENT *before* the first byte is sent. From then on the
+   outcome is not *not run* again, unless the runner itself reported that it
+   did not accept the request.
 """
 
 import collections.abc
@@ -43,25 +44,25 @@
 __all__ = ['Run', 'RunState', 'Runs']
 
 
-# Retries of this daemon, for each pool: a part of its requests in the last
-# seconds, and a few more so that a daemon with little work may retry at all.
+# Retry budget of this daemon for each pool: a share of its requests in the
+# window, plus a slack so that a daemon with few requests can retry at all.
 RETRY_SHARE = 0.1
 RETRY_SLACK_REQUESTS = 20.0
 RETRY_WINDOW_S = 10.0
-# A claim that takes longer than this, in seconds, has its request wait in the
-# pool's queue. In calm a claim takes a few milliseconds, and then this saves
-# two messages for each request.
+# A request whose claim takes longer than this is queued in the pool meanwhile.
+# Without load a claim takes a few milliseconds; the delay then saves two
+# messages for each request.
 ENQUEUE_DELAY_S = 0.1
-# Seconds for which the claim of a request that was shed meanwhile is waited
-# for. Without its word a caller of at-most-once work hears "unknown" of what
-# never ran, and may not send it under another key. A claim takes milliseconds,
-# on a busy host a few tenths of a second; a claim owner that is silent holds
-# the refusal up by no more than this.
+# How long to wait for the claim of a request that was shed meanwhile. Without
+# the claim owner's reply, the caller of an at-most-once request gets "unknown"
+# although it never ran, and may not send it under another key. A claim takes
+# milliseconds, on a busy host a few tenths of a second; a claim owner that
+# does not answer delays the refusal by no more than this.
 CLAIM_GRACE_S = 0.25
 
 
 class RunState(enum.Enum):
-    """How far a request has come."""
+    """The progress of a request."""
 
     CLAIMING = 'claiming'
     WAITING = 'waiting'
@@ -71,7 +72,7 @@
 
 @ty.final
 class Run:
-    """One request that this daemon carries."""
+    """A request that this daemon runs."""
 
     def __init__(
         self,
@@ -80,24 +81,24 @@
         deadline_at: float,
         parent: context.Context,
     ) -> None:
-        """Begin at the claim."""
+        """Create a run in the state CLAIMING."""
         self.request = request
         self.stored = stored
         self.deadline_at = deadline_at
         self.parent = parent
         self.state = RunState.CLAIMING
-        # While this is set no final answer says "not run". An earlier call
-        # under an at-most-once key may have run elsewhere, until the claim
-        # owner was heard; and a call to a runner that failed may have run,
-        # although the request waits again.
+        # While this is set the outcome is not reported as "not run": until
+        # the claim owner has replied, an earlier call under an at-most-once
+        # key may have run elsewhere; and after a failed call to a runner the
+        # request may have run although it is queued again.
         self.may_have_run = request.is_at_most_once
-        # What the work must end with when its scope is cancelled.
+        # The problem to report when the scope is cancelled by ``stop``.
         self.stop_problem: errors.Problem | None = None
         self.scope = anyio.CancelScope()
         self.span: trace.Span = trace.INVALID_SPAN
 
     def stop(self, not_run: errors.Problem, unknown: errors.Problem) -> None:
-        """End the work now, with what is true of it."""
+        """Cancel the request and report the problem for its state."""
         is_sent = self.state is RunState.SENT
         self.stop_problem = unknown if is_sent else not_run
         self.scope.cancel()
@@ -105,7 +106,7 @@
 
 @ty.final
 class Runs:
-    """All requests that this daemon carries."""
+    """All requests that this daemon runs."""
 
     def __init__(
         self,
@@ -118,7 +119,7 @@
         counts: metrics.Metrics,
         tracer: tracing.Tracer,
     ) -> None:
-        """Prepare; ``run`` serves."""
+        """Create the manager; ``run`` serves."""
         self._incarnation = incarnation
         self._store = store
         self._claims = claim_client
@@ -139,7 +140,7 @@
         self.idle = anyio.Event()
 
     async def run(self) -> None:
-        """Carry requests until cancelled."""
+        """Run requests until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
             await anyio.sleep_forever()
@@ -158,7 +159,7 @@
         deadline_at: float,
         parent: context.Context,
     ) -> Run:
-        """Begin to carry a request."""
+        """Start the task that runs a request."""
         self._number += 1
         head = request.head
         shard = request.shard if request.is_at_most_once else None
@@ -178,7 +179,7 @@
         return run
 
     def stop_all(self) -> None:
-        """End every open request with its honest final answer."""
+        """Cancel every open request with the outcome for its state."""
         for run in self.list_runs():
             run.stop(
                 errors.make_problem(errors.Kind.STOPPING, 0.0),
@@ -186,7 +187,10 @@
             )
 
     def find_lowest_waiting(self, above: ids.Tier) -> Run | None:
-        """Return the newest of the lowest tier that waits, if lower."""
+        """Return the newest waiting request of the lowest tier.
+
+        Returns None if no waiting request has a lower tier than ``above``.
+        """
         lowest: Run | None = None
         for run in self._runs.values():
             if run.state is not RunState.WAITING:
@@ -204,7 +208,7 @@
             self.idle = anyio.Event()
             await self.idle.wait()
 
-    # One request.
+    # Handling of one request.
 
     async def _handle_request(self, run: Run) -> None:
         head = run.request.head
@@ -278,8 +282,8 @@
     async def _claim_while_queued(
         self, run: Run, ticket: poolclient.Ticket
     ) -> wire.ClaimReply | None:
-        # Claims the key and, if that takes long, waits in the pool's queue
-        # meanwhile, where the request can be shed.
+        # Claims the key. If that takes long, the request is queued in the
+        # pool meanwhile, where it can be shed.
         refusal: errors.Refused | None = None
         holder: wire.ClaimReply | None = None
         async with anyio.create_task_group() as group:
@@ -303,14 +307,16 @@
         await anyio.sleep(ENQUEUE_DELAY_S)
         self._pools.add(ticket)
         await self._pools.wait_until_shed(ticket)
-        # Confirmed now, whatever the claim says: it will not run, and until
-        # then the scheduler may shed nothing of a higher tier.
+        # Confirm the shedding at once, whatever the claim's result: the
+        # request will not run, and until the confirmation the scheduler may
+        # shed nothing of a higher tier.
         self._pools.remove(ticket)
         await anyio.sleep(CLAIM_GRACE_S)
         scope.cancel()
 
     async def _claim(self, run: Run) -> wire.ClaimReply | None:
-        # Returns the reply of a holder to attach to; None if granted.
+        # Returns None if the claim is granted, else the reply that names the
+        # holder.
         request = run.request
         assert run.stored.shard is not None
         message = wire.ClaimRequest(
@@ -335,8 +341,8 @@
         self, run: Run, reply: wire.ClaimReply
     ) -> errors.Problem | None:
         assert run.stored.shard is not None
-        # The work is the holder's: were it counted as sent, our own stop
-        # would call it unknown, which is true in any case.
+        # The request runs at the holder. In the state SENT a stop of this
+        # daemon reports "unknown", which is correct in any case.
         run.state = RunState.SENT
         return await self._attacher.copy(run.stored, run.stored.shard, reply)
 
@@ -390,7 +396,7 @@
         config = self.find_bundle()
         model = None if config is None else _find_runner(config, runner)
         if model is None:
-            # A newer bundle has dropped it since the grant.
+            # A newer bundle has removed the runner since the grant.
             attempt = relay.Attempt(relay.AttemptEnd.NOT_TAKEN, 'removed')
             self._report_attempt(ticket, attempt)
             return attempt
@@ -423,7 +429,7 @@
                     await self._cancel_on_engine(name, model)
                 if attempt.end is relay.AttemptEnd.FAILED:
                     run.may_have_run = True
-                    # As far as we know: the engine may not have begun.
+                    # An upper bound: the engine may not have begun.
                     self._metrics.count(
                         'prefill.wasted', run.request.prompt_tokens
                     )
@@ -435,8 +441,9 @@
     async def _cancel_on_engine(
         self, name: str, model: bundle.RunnerModel
     ) -> None:
-        # The deadline or a stop has cancelled us. An engine that is not
-        # told would go on computing an answer that nobody reads.
+        # The deadline or a stop has cancelled this request. Without a cancel
+        # request the engine would go on computing an answer that nobody
+        # reads.
         if model.kind is not bundle.RunnerKind.ENGINE:
             return
         with anyio.move_on_after(1.0, shield=True):
@@ -470,7 +477,7 @@
             return False
         return self._budget.take(pool, 1, now)
 
-    # The end.
+    # Completion.
 
     def _finish(self, run: Run, problem: errors.Problem | None) -> None:
         stored = run.stored
@@ -494,13 +501,13 @@
                 self._store.drop(stored)
             return
         if problem is not None and not stored.is_claimed:
-            # Refused by the claim owner, or copied from the holder. If the
-            # owner granted it after we had given up, it is released.
+            # Refused by the claim owner, or copied from the holder. A claim
+            # that the owner granted after the request had ended is released.
             self._claims.report_outcome(stored, wire.ClaimState.RELEASED)
             self._store.drop(stored)
             return
         if problem is None and not stored.is_claimed:
-            # A copy: the holder keeps the original.
+            # The answer is a copy; the holder stores the original.
             stored.is_settled = True
             self._store.drop(stored)
             return
@@ -513,8 +520,8 @@
             self._claims.report_outcome(stored, wire.ClaimState.UNKNOWN)
 
     def _describe_fault(self, run: Run, error: Exception) -> errors.Problem:
-        # A fault of ours, not of the caller's. Whatever it was, nothing
-        # stronger may be said than how far the request had come.
+        # An internal error, not the caller's. The outcome depends only on
+        # the state that the request had reached.
         if run.state is RunState.SENT:
             return errors.make_problem(
                 errors.Kind.OUTCOME_UNKNOWN, detail=repr(error)
@@ -529,8 +536,9 @@
 
 
 def _cancel_if_repeatable(run: Run, scope: anyio.CancelScope) -> None:
-    # Called when the runner has gone silent. What must not run twice stays:
-    # the runner may only be cut off from the scheduler.
+    # Called when the runner no longer answers the scheduler. At-most-once
+    # requests are not cancelled: the runner may be well and only its
+    # connection to the scheduler be lost.
     if not run.request.is_at_most_once and not run.stored.answer.chunks:
         scope.cancel()
 
