--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -1,13 +1,13 @@
-"""One connection between two daemons.
+"""The message protocol on a connection between two daemons.
 
 Either side may *call* (one message, one reply), *stream* (one message, many
 parts, one reply) or *push* (one message, no reply). A frame is the array
-``[kind, number, message]``; the number ties replies and parts to the call
-that they answer, never their order.
+``[kind, number, message]``. Replies and parts are matched to their call by
+the number, not by their order.
 
-Handlers are looked up in a ``Router`` by the type of the message. A quick
-handler answers on the spot; a slow one gets a task of its own, so that it
-does not hold up the messages behind it.
+Handlers are looked up in a ``Router`` by the type of the message. Synchronous
+handlers reply in the reading task. Asynchronous handlers run in tasks of
+their own, so that they do not block the messages behind them.
 """
 
 import collections.abc
@@ -61,16 +61,16 @@
 class PeerLost(Exception):
     """The connection broke, or the peer did not answer in time.
 
-    A call that fails like this may have had its effect.
+    A call that fails with this may have taken effect.
     """
 
 
 @ty.final
 class Router:
-    """Handlers by message type."""
+    """The message handlers, by message type."""
 
     def __init__(self) -> None:
-        """Start without any handler."""
+        """Create a router without handlers."""
         self.sync_handlers: dict[type, SyncHandler] = {}
         self.async_handlers: dict[type, AsyncHandler] = {}
         self.stream_handlers: dict[type, StreamHandler] = {}
@@ -79,7 +79,7 @@
 
 @ty.final
 class Connection:
-    """A connection whose two sides have proved who they are."""
+    """A connection whose two sides have authenticated each other."""
 
     def __init__(
         self,
@@ -93,10 +93,10 @@
         self.domain = greeting.domain
         self.stream = stream
         self.is_open = True
-        # What the latest heartbeat said.
+        # As of the latest heartbeat.
         self.is_draining = False
-        # The peer's wall clock less ours, in seconds, as well as the
-        # latest heartbeat could tell.
+        # The peer's wall clock minus the local one, estimated from the
+        # latest heartbeat.
         self.clock_offset_s = 0.0
         self._router = router
         self._number = 0
@@ -104,7 +104,7 @@
         self._group: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Read until the connection ends; raises what ended it."""
+        """Read until the connection ends; raises the error that ended it."""
         try:
             async with anyio.create_task_group() as group:
                 self._group = group
@@ -117,7 +117,10 @@
                 await self.stream.close()
 
     async def call(self, message: object, timeout: float) -> ty.Any:
-        """Return the reply; PeerLost after ``timeout`` seconds."""
+        """Send a message and return its reply.
+
+        Raises PeerLost, also after ``timeout`` seconds without a reply.
+        """
         with self._open_call() as (number, parts):
             with anyio.fail_after(timeout):
                 await self._send(_FrameKind.CALL, number, message)
@@ -129,7 +132,7 @@
     ) -> collections.abc.AsyncIterator[ty.Any]:
         """Yield the parts of a streamed answer and its end.
 
-        ``timeout`` bounds the wait for each part, in seconds. Raises
+        ``timeout`` limits the wait for each part, in seconds. Raises
         PeerLost.
         """
         with self._open_call(math.inf) as (number, parts):
@@ -142,7 +145,7 @@
                     return
 
     def push(self, message: object) -> None:
-        """Send a message that is not answered; dropped if that fails."""
+        """Send a message without a reply; dropped on connection errors."""
         if self._group is None or not self.is_open:
             return
         self._group.start_soon(self._send_push, message)
@@ -151,9 +154,9 @@
     def _open_call(
         self, buffer: float = 1
     ) -> collections.abc.Iterator[tuple[int, _Receiver]]:
-        """Yield a call's number and where its answer arrives.
+        """Yield a call's number and the stream of its replies.
 
-        Turns whatever breaks a connection into PeerLost.
+        Raises PeerLost for all connection errors.
         """
         if not self.is_open:
             raise PeerLost(f'{self.host}: the connection is closed')
@@ -203,7 +206,7 @@
     def _deliver(self, kind: _FrameKind, number: int, message: object) -> None:
         reply = self._replies.get(number)
         if reply is None:
-            # Its caller gave up; a late answer goes to nobody else.
+            # The call has ended, for example by its timeout.
             return
         with contextlib.suppress(
             anyio.WouldBlock,
