--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -1,13 +1,15 @@
-"""The other daemons: who they are, and the connections to them.
-
-The platform's host list says where daemons listen. One task dials each host
-that this daemon needs, greets it, sends heartbeats, and dials again when the
-connection breaks; another task serves each connection that is accepted.
-
-With few hosts every daemon dials every other. Above ``MESH_LIMIT_HOSTS`` hosts it
-dials only owners and successors of shards and its own ``NEIGHBOUR_COUNT``, chosen
-by rendezvous hashing, so that the number of connections follows the number of
-shards and not that of hosts. ``connect`` dials any other host for one call.
+"""The connections to the other daemons.
+
+The platform's host list gives the addresses of daemons. One task for each
+host that this daemon needs dials it, does the handshake, sends heartbeats,
+and dials again when the connection breaks. Another task serves each accepted
+connection.
+
+With few hosts every daemon dials every other. Above ``MESH_LIMIT_HOSTS`` hosts
+it dials only owners and successors of shards and its own neighbours, which are
+``NEIGHBOUR_COUNT`` hosts chosen by rendezvous hashing, so that the number of
+connections grows with the number of shards and not with that of hosts.
+``connect`` dials any other host for one call.
 """
 
 import collections
@@ -38,8 +40,8 @@
 HOST_LIST_INTERVAL_S = 0.5
 MESH_LIMIT_HOSTS = 16
 NEIGHBOUR_COUNT = 6
-# What ends a connection without being a fault of ours; the tasks of one
-# connection raise theirs in a group.
+# Errors that end a connection in normal operation; errors of the tasks of a
+# connection are raised in a group.
 _LINK_ERRORS = (
     *frames.CONNECTION_ERRORS,
     errors.Refused,
@@ -54,10 +56,10 @@
 def rank_hosts(
     name: str, hosts: collections.abc.Iterable[ids.Host]
 ) -> list[ids.Host]:
-    """Return hosts in rendezvous order for a name.
+    """Return hosts in the order of rendezvous hashing for a name.
 
-    Each name has its own order, and a host that comes or goes changes the
-    place of no other two.
+    Each name has its own order. Adding or removing a host does not change
+    the relative order of the others.
     """
 
     def compute_weight(host: ids.Host) -> int:
@@ -68,7 +70,7 @@
 
 @ty.final
 class Peers:
-    """Connections to and from other daemons."""
+    """Connections from and to other daemons."""
 
     def __init__(
         self,
@@ -79,12 +81,12 @@
         hosts: hostlist.HostList,
         router: peerlink.Router,
     ) -> None:
-        """Prepare; ``run`` does the work."""
+        """Create without connections; ``run`` makes them."""
         self.host = host
         self.incarnation = incarnation
         self.domain = domain
         self.router = router
-        # The list as it was last read, by name; entry hosts and runners.
+        # The host list as last read, by name; entry hosts and runners.
         self.listed: dict[str, hostlist.HostEntry] = {}
         # Hosts that roles need a connection to; see ``MESH_LIMIT_HOSTS``.
         self.find_needed: collections.abc.Callable[[], set[ids.Host]] = (
@@ -94,7 +96,7 @@
         self.on_pong: collections.abc.Callable[
             [wire.Pong, peerlink.Connection], None
         ] = lambda pong, connection: None
-        # Hears of every connection that broke.
+        # Called for every connection that has ended.
         self.on_lost: collections.abc.Callable[[ids.Incarnation], None] = (
             lambda incarnation: None
         )
@@ -102,20 +104,20 @@
         self._hosts = hosts
         self._dialed: dict[ids.Incarnation, peerlink.Connection] = {}
         self._accepted: dict[ids.Incarnation, peerlink.Connection] = {}
-        # Hosts that a call waits for, each with the number of such calls.
+        # Number of calls of ``connect`` that wait for each host.
         self._awaited_hosts: collections.Counter[ids.Host] = (
             collections.Counter()
         )
 
     def find(self, incarnation: ids.Incarnation) -> peerlink.Connection | None:
-        """Return an open connection; None if there is none."""
+        """Return an open connection to a daemon; None if there is none."""
         found = self._dialed.get(incarnation)
         if found is None:
             found = self._accepted.get(incarnation)
         return found
 
     def is_replaced(self, incarnation: ids.Incarnation) -> bool:
-        """Tell whether another incarnation runs on its host by now."""
+        """Tell whether another incarnation on its host is connected."""
         host = ids.parse_host(incarnation)
         return any(
             item.host == host and item.incarnation != incarnation
@@ -123,23 +125,23 @@
         )
 
     def list_dialed(self) -> list[peerlink.Connection]:
-        """Return the connections that this daemon keeps heartbeats on."""
+        """Return the connections on which this daemon sends heartbeats."""
         return list(self._dialed.values())
 
     async def connect(
         self, host: ids.Host, timeout: float
     ) -> peerlink.Connection | None:
-        """Return a connection to a host, dialling it if need be.
+        """Return a connection to a host, dialling it if necessary.
 
         Returns None if the host is not on the host list, or after
-        ``timeout`` seconds. A host that has just started, or that is no
-        neighbour of ours, has no connection yet; without the wait an
-        operator's call to it would fail though the host is well.
+        ``timeout`` seconds. A host that has just started, or that is not a
+        neighbour, is not connected yet; without the wait an operator's call
+        to it would fail although the host is healthy.
         """
         self._awaited_hosts[host] += 1
         try:
             with anyio.move_on_after(timeout):
-                # An empty list is one that was not read yet.
+                # An empty list has not been read yet.
                 while not self.listed or str(host) in self.listed:
                     for connection in self.list_dialed():
                         if connection.host == host:
@@ -150,7 +152,7 @@
         return None
 
     def list_live(self) -> set[ids.Host]:
-        """Return entry hosts that the platform says are live, and us."""
+        """Return the live entry hosts of the host list and this host."""
         found = {
             ids.Host(name)
             for name, entry in self.listed.items()
@@ -161,16 +163,16 @@
         return found
 
     def find_clock_offset(self) -> float:
-        """Return how far our wall clock is behind most peers', in seconds.
+        """Return the seconds by which the local wall clock is behind.
 
-        The median over us and all peers: one host that is off does not
-        move it.
+        This is the median over this host and all dialled peers, so that one
+        host with a wrong clock does not affect it.
         """
         offsets = [item.clock_offset_s for item in self._dialed.values()]
         return statistics.median([0.0, *offsets])
 
     async def run(self, listener: anyio.abc.Listener[ty.Any]) -> None:
-        """Accept, follow the host list and dial, until cancelled."""
+        """Accept connections, poll the host list and dial, until cancelled."""
         async with supervisor.Supervisor('peers') as tree:
             tree.start('listener', lambda: listener.serve(self._accept))
             await self._follow_hosts(tree)
@@ -180,8 +182,8 @@
             try:
                 entries = await self._hosts.read()
             except hostlist.HostListUnreachable:
-                # The last list stands: hosts are not gone because the
-                # list is.
+                # Keep the last list: an unreachable list does not mean that
+                # the hosts are gone.
                 entries = list(self.listed.values())
             self.listed = {entry.name: entry for entry in entries}
             self._adjust_dialers(tree)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -21,9 +21,9 @@
 
 NEAR = ids.Host('entry-1')
 HOSTS = [ids.Host(f'entry-{number}') for number in range(2, 60)]
-# The last that ``NEAR`` would choose as a neighbour.
+# The last host that ``NEAR`` would choose as a neighbour.
 FAR = peers.rank_hosts(str(NEAR), HOSTS)[-1]
-# Nothing listens here.
+# No process listens on this port.
 CLOSED = addresses.Address('127.0.0.1', 1)
 
 
@@ -38,17 +38,17 @@
 
 
 class TestReach(testtools.TestCase):
-    """An operator's call reaches a daemon that no heartbeat goes to."""
+    """Calls to daemons that are not dialled for heartbeats."""
 
     def test_host_beyond_the_neighbours(self) -> None:
-        # Among many hosts a daemon dials only its neighbours and the owners
-        # of shards. An operator who drained any other through it was told
-        # that the connection is lost; it is dialled for the call instead.
+        # Guards against a drain that fails for a host which is neither a
+        # neighbour nor an owner of shards: it is not dialled otherwise, and
+        # the operator was told that the connection is lost.
         anyio.run(serve_and_check, self.check_far_host)
 
     def test_unknown_host(self) -> None:
-        # A name that the host list does not know has no address to dial;
-        # the operator hears so at once instead of after the limit.
+        # A host that is not on the host list has no address to dial; the
+        # call returns at once instead of after its timeout.
         anyio.run(serve_and_check, self.check_unknown_host)
 
     async def check_far_host(self, near: peers.Peers) -> None:
