--- a/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
@@ -1,11 +1,12 @@
 """The configuration bundle in force.
 
-Bundles reach a daemon by two ways: the log, which decides, and other
-daemons, which hand on what the log has decided already. A record of the log
-is valid if its base is the version in force, its signatures are good and its
-text passes every check; the first valid one on a base wins at its offset,
-and the one that came second is told to whom it lost. The version in force
-never goes down, whatever arrives late or again.
+A daemon receives bundles in two ways: from the log, which is authoritative,
+and from other daemons, which forward the bundle that the log has put in force.
+A record of the log is valid if its base is the version in force, its
+signatures are valid and its text passes every check. Of several valid records
+on one base the first in the log wins; the others are refused with an error
+that names the author of the winner. The version in force never decreases,
+also when records arrive late or repeatedly.
 """
 
 import collections.abc
@@ -28,17 +29,17 @@
 
 @ty.final
 class BundleStore:
-    """Follows the bundles of the log."""
+    """Applies the bundle records of the log."""
 
     def __init__(self, keys: signatures.PublicKeys) -> None:
-        """Start without a bundle; ``keys`` are the operators' by name."""
+        """Create an empty store; ``keys`` are the operators' keys by name."""
         self._keys = keys
         self.record: records.BundleRecord | None = None
         self.bundle: bundle.Bundle | None = None
-        # Who hears of each new bundle.
+        # Called with each new bundle.
         self.on_change: list[OnChange] = []
-        # What became of bundles that were not accepted, by sender and
-        # number of their record; kept until asked for.
+        # Problems of refused bundles, by sender and sequence number of
+        # their record.
         self.refusals: dict[tuple[ids.Incarnation, int], errors.Problem] = {}
         self._is_partial = False
         self._first = ids.Offset(0)
@@ -56,7 +57,7 @@
         return self.bundle
 
     def begin(self, first: ids.Offset) -> None:
-        """Start over at ``first``; the version in force stays."""
+        """Restart at offset ``first``; the version in force is kept."""
         self._first = first
         self._is_partial = True
         self._deferred.clear()
@@ -72,14 +73,14 @@
         if not isinstance(body, records.BundleRecord):
             return
         if self._is_partial:
-            # What came before the first record that we have is not known:
-            # this one may have lost to a record that retention dropped.
+            # The records before the first one read are unknown: this record
+            # may have lost to one that was removed by retention.
             self._deferred.append((offset, envelope))
             return
         self._apply_record(envelope)
 
     def adopt(self, record: records.BundleRecord) -> bool:
-        """Take over what another daemon says is in force, if newer."""
+        """Apply a bundle that is in force at another daemon, if newer."""
         if record.version <= self.version:
             return False
         checked = self.check_record(record)
@@ -92,7 +93,7 @@
     def check_record(
         self, record: records.BundleRecord
     ) -> expression.Result[bundle.Bundle, errors.Problem]:
-        """Check signatures and text, whatever the version in force."""
+        """Check signatures and text, but not the version in force."""
         wrong = signatures.describe_bad_signature(record, self._keys)
         if wrong is not None:
             return expression.Error(_refuse(wrong))
@@ -112,7 +113,7 @@
     def describe_conflict(
         self, record: records.BundleRecord
     ) -> errors.Problem | None:
-        """Return why a checked record cannot be next; None if it can."""
+        """Return why a checked record cannot be applied; None if it can."""
         if record.base != self.version:
             author = '' if self.record is None else self.record.author
             return errors.make_problem(
@@ -166,8 +167,8 @@
         before = self.bundle.ownership.claim_shards
         if found.ownership.claim_shards == before:
             return None
-        # Another number of shards gives keys to other owners, who know
-        # nothing of what was granted: a key could be granted twice.
+        # A different number of shards assigns keys to other owners, which do
+        # not know the claims granted so far: a key could be granted twice.
         return _refuse(f'ownership.claim_shards must stay {before}')
 
     def _put_in_force(
