--- a/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
@@ -1,16 +1,16 @@
-"""Reads the platform's log in order, and appends to it without doubt.
+"""Reads the platform's log in order, and appends records to it reliably.
 
-Every observer sees every valid record once, in the order of the offsets.
+Every observer receives every valid record once, in the order of the offsets.
 
-``append`` returns only when it is certain: the offset where the record
-stands, or None if it never will. An append whose reply was lost may take
-effect at any later time, so its sender appends a ``Mark`` with the next
-number and reads on. Once any record with a higher number of its own has been
-read, the doubtful one either was read before it or is void for every reader.
+``append`` returns only when the result is certain: the offset of the record,
+or None if the record is void. An append whose reply was lost may take effect
+at any later time, so the sender appends a ``Mark`` with the next sequence
+number and reads on. Once any of its records with a higher number has been
+read, the uncertain record either was read before or is void for all readers.
 
-An own record that was read back also proves that the log had been read to
-its end at the time when the record was *sent*: ``confirmed_at``. A read
-alone proves nothing, since nothing promises that it is fresh.
+A daemon that reads back its own record also knows that it has read the log up
+to its end as of the time when the record was *sent*: ``confirmed_at``. A read
+alone does not show this, because reads are not guaranteed to be fresh.
 """
 
 import collections.abc
@@ -28,22 +28,22 @@
 
 __all__ = ['LogFollower', 'Observer']
 
-# Seconds before an append in doubt is settled by another one.
+# Delay before a mark is appended to settle an uncertain append.
 SETTLE_INTERVAL_S = 0.5
 _INITIAL_DELAY_S = 0.05
 _MAX_DELAY_S = 1.0
 
 
 class Observer(ty.Protocol):
-    """Something that follows the log."""
+    """A receiver of the records of the log."""
 
     def begin(self, first: ids.Offset) -> None:
-        """Start over: the records before ``first`` are not to be had."""
+        """Restart: the records before ``first`` are not available."""
 
     def observe(
         self, offset: ids.Offset, envelope: records.Envelope, now: float
     ) -> None:
-        """Take note of the next record."""
+        """Process the next record."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -56,12 +56,12 @@
 
 @ty.final
 class LogFollower:
-    """One daemon's reader and writer of the log."""
+    """The reader and writer of the log in a daemon."""
 
     def __init__(
         self, log: platformlog.PlatformLog, incarnation: ids.Incarnation
     ) -> None:
-        """Prepare to read from the beginning."""
+        """Create a follower that reads from offset 0."""
         self._log = log
         self._incarnation = incarnation
         self._observers: list[Observer] = []
@@ -70,20 +70,20 @@
         self._lock = anyio.Lock()
         self._pending: list[_Pending] = []
         self.next = ids.Offset(0)
-        # Sending time of the latest own record that was read back.
+        # Time at which the latest own record that was read back was sent.
         self.confirmed_at: float | None = None
-        # When the log last answered a read.
+        # Time of the latest answer to a read.
         self.read_at: float | None = None
-        # Set once everything that the log had has been read.
+        # Set once the log has been read to its end.
         self.has_caught_up = anyio.Event()
         self.changed = anyio.Event()
 
     def add_observer(self, observer: Observer) -> None:
-        """Tell an observer of every record from now on."""
+        """Pass all further records to an observer."""
         self._observers.append(observer)
 
     async def follow(self) -> None:
-        """Read until cancelled."""
+        """Read the log until cancelled."""
         delay = _INITIAL_DELAY_S
         while True:
             try:
@@ -96,10 +96,10 @@
             self.apply_batch(batch, clocks.read_monotonic())
 
     async def append(self, body: object) -> ids.Offset | None:
-        """Append a record; return where it stands, or None if it is void.
+        """Append a record; return its offset, or None if it is void.
 
-        Waits as long as it takes to be certain; during an outage of the
-        log that is until the outage ends.
+        Waits until the result is certain; during an outage of the log this
+        is until the outage ends.
         """
         async with self._lock:
             pending = await self._send(body)
@@ -111,7 +111,7 @@
                 await self._send(records.Mark())
 
     async def confirm(self) -> None:
-        """Prove that the log has been read to its end."""
+        """Confirm with a mark that the log has been read to its end."""
         await self.append(records.Mark())
 
     async def _send(self, body: object) -> _Pending:
@@ -124,8 +124,8 @@
         try:
             await self._log.append(envelope.encode())
         except platformlog.LogUnreachable:
-            # Nothing was sent, but the number is used up: only reading a
-            # later one settles it, which costs nothing extra.
+            # Nothing was sent, but the sequence number is used: only reading
+            # a later one settles the append, at no extra cost.
             await anyio.sleep(SETTLE_INTERVAL_S)
         except platformlog.LogDoubt:
             eliot.log_message('log:doubt', sequence=pending.sequence)
@@ -133,11 +133,11 @@
         return pending
 
     def apply_batch(self, batch: platformlog.LogBatch, now: float) -> None:
-        """Take note of records that were read."""
+        """Pass a batch of records to the observers."""
         self.read_at = now
         if batch.first > self.next:
-            # Retention dropped records that were never read: what was
-            # known of the owners may be wrong now, and is forgotten.
+            # Retention removed records before they were read: the known
+            # owners may be outdated, so the observers restart.
             eliot.log_message('log:gap', next=self.next, first=batch.first)
             for observer in self._observers:
                 observer.begin(batch.first)
@@ -156,14 +156,15 @@
         try:
             envelope = records.decode_envelope(data)
         except errors.Refused as error:
-            # One bad record must not stop every daemon for good.
+            # A malformed record must not stop all daemons permanently.
             eliot.log_message(
                 'log:unreadable', offset=offset, problem=str(error)
             )
             return
         highest = self._highest.get(envelope.sender, 0)
         if envelope.sequence <= highest:
-            # It arrived behind a higher number: its sender gave it up.
+            # A record of this sender with a higher number came before, so
+            # this one is void.
             return
         self._highest[envelope.sender] = envelope.sequence
         for observer in self._observers:
@@ -185,7 +186,7 @@
 
 
 async def wait_for_change(follower: LogFollower, seconds: float) -> None:
-    """Wait until the log brings a record, at most so many seconds."""
+    """Wait until a record is read from the log, with a timeout."""
     with anyio.move_on_after(seconds):
         await follower.changed.wait()
 
