--- a/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
@@ -1,10 +1,10 @@
-"""Says again what the log is about to forget.
+"""Appends long-lived state to the log again before retention removes it.
 
-The log keeps records for a limited time. A daemon that starts later than
-that must still learn the bundle in force and the owners of shards, so one
-daemon appends both again, long before retention ends. The live host that
-ranks first does it; the others step in, one after the other, if they do not
-see it done.
+The log keeps records for a limited time. A daemon that starts later must
+still learn the bundle in force and the owners of shards, so one daemon
+appends both again well before the retention ends. This is the live host that
+ranks first. The others do it one after the other, in the order of their rank,
+if they do not see the restatement.
 """
 
 import typing as ty
@@ -21,15 +21,15 @@
 
 __all__ = ['Restater']
 
-# A restatement is made this many times in a retention.
+# Restatements in a retention period.
 _RESTATEMENTS_PER_RETENTION = 4.0
-# Extra wait of each further rank, as a part of the interval.
+# Additional delay of each further rank, as a share of the interval.
 _RANK_DELAY_RATIO = 0.05
 
 
 @ty.final
 class Restater:
-    """Appends restatements, and watches those of others."""
+    """Appends restatements unless another daemon does."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         store: bundlestore.BundleStore,
         others: peers.Peers,
     ) -> None:
-        """Prepare; ``retention_s`` is how long the log keeps records."""
+        """Create; ``retention_s`` is the retention period of the log."""
         self._interval = retention_s / _RESTATEMENTS_PER_RETENTION
         self._follower = follower
         self._view = view
@@ -48,24 +48,24 @@
         self._seen_at = clocks.read_monotonic()
 
     def begin(self, first: ids.Offset) -> None:
-        """Nothing: what was forgotten is for the other observers."""
+        """Do nothing; only the other observers keep state of the log."""
 
     def observe(
         self, offset: ids.Offset, envelope: records.Envelope, now: float
     ) -> None:
-        """Note that somebody restated."""
+        """Record the time of each restatement."""
         if isinstance(envelope.body, records.OwnersRestated):
             self._seen_at = now
 
     async def run(self) -> None:
-        """Restate whenever it is due, until cancelled."""
+        """Append restatements when they are due, until cancelled."""
         while True:
             await anyio.sleep(self._interval / 10.0)
             if self.is_due(clocks.read_monotonic()):
                 await self._restate()
 
     def is_due(self, now: float) -> bool:
-        """Tell whether it is this daemon's turn."""
+        """Tell whether this daemon must append a restatement now."""
         if self._view.is_partial or self._store.record is None:
             return False
         order = peers.rank_hosts('restate', self._peers.list_live())
