--- a/packages/apricotlandingd/src/apricotlandingd/__init__.py
+++ b/packages/apricotlandingd/src/apricotlandingd/__init__.py
@@ -1,18 +1,18 @@
 """The daemon that every entry host runs.
 
-Two ways to run it:
+It has two variants:
 
-* ``gateway`` is the daemon on a platform that keeps configuration and
-  registrations itself; start with its package text.
-* ``daemon`` is the daemon with the product's own interface. Follow one
-  request: ``requests.entry`` takes it from its caller, ``requests.admission``
-  checks it, ``requests.runs`` carries it through ``ownership.claims`` (who may
-  run this key), ``pools.poolclient`` (which runner has room) and
-  ``requests.relay`` (the call to the runner), and ``requests.answers`` keeps
-  what comes back.
+* ``gateway`` is the daemon for a platform that stores configuration and
+  registrations itself; start with the docstring of its package.
+* ``daemon`` is the daemon with the native API. A request passes these modules:
+  ``requests.entry`` receives it from its caller, ``requests.admission`` checks
+  it, and ``requests.runs`` runs it with ``ownership.claims`` (which daemon may
+  run the key), ``pools.poolclient`` (which runner has a free slot) and
+  ``requests.relay`` (the call to the runner); ``requests.answers`` stores the
+  answer.
 
-What daemons of the second kind agree on goes through the platform's log:
-``configuration`` reads and appends, ``ownership`` decides who owns what,
-``pools`` schedules, ``peering`` connects, ``operators`` serves apricotctl.
-A gateway imports none of it.
+Daemons of the second variant share their state through the platform's log:
+``configuration`` reads and appends records, ``ownership`` assigns shards to
+owners, ``pools`` schedules, ``peering`` connects the daemons and ``operators``
+serves apricotctl. A gateway imports none of these packages.
 """
