--- a/packages/apricotlandingd/src/apricotlandingd/command.py
+++ b/packages/apricotlandingd/src/apricotlandingd/command.py
@@ -13,7 +13,7 @@
 
 __all__ = ['main']
 
-# Exit code for settings that cannot be used.
+# Invalid settings, or addresses that cannot be bound.
 BAD_SETTINGS_EXIT_CODE = 2
 
 
@@ -29,7 +29,7 @@
 def main(path: pathlib.Path, check: bool) -> None:
     """Run the apricotlanding daemon of this host.
 
-    SIGTERM stops it gracefully; a second one ends what is left.
+    SIGTERM stops it gracefully; a second one cancels the open requests.
     """
     loaded = settings.load_settings(path)
     if loaded.is_error():
