--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -1,23 +1,24 @@
-"""The daemon: builds its parts, ties them together, and runs the tree.
+"""Builds the components of the daemon, connects them and runs their tasks.
 
     daemon
-    ├── callers      HTTP listener, one task a connection
+    ├── callers      HTTP listener, one task for each connection
     ├── operators    HTTP listener
     ├── log          reads the platform's log
-    ├── peers        accepts; one task a peer that it dials
-    ├── owners       takes, renews and releases shards
-    ├── claim desk   claims of the shards that it owns
-    ├── pool desk    queues of the pools that it owns
-    ├── claims, pools, runs   the requests that it carries
-    ├── reports      tells new owners what it holds
-    ├── fetch        gets newer bundles from peers
-    ├── restate      says again what the log is about to forget
-    └── metrics      sends counts
-
-A graceful stop (SIGTERM, or ``apricotctl drain``) goes in this order: not
-ready for the balancer; shards handed over; after a grace nothing new is
-taken; requests in progress end; exit. A second signal, or the stop limit of
-the settings, ends what is left, each with the answer that is true of it.
+    ├── peers        listener, and one task for each peer that it dials
+    ├── owners       acquires, renews and releases shards
+    ├── claim desk   answers claims for the shards that it owns
+    ├── pool desk    schedules the queues of the pools that it owns
+    ├── claims, pools, runs   the requests that it runs
+    ├── reports      reports the claims that it holds to new owners
+    ├── fetch        fetches newer bundles from peers
+    ├── restate      appends state again before the log's retention ends
+    └── metrics      sends metrics
+
+A graceful stop (SIGTERM, or ``apricotctl drain``) has these steps: /readyz
+reports not ready to the load balancer; shards are handed over; after a grace
+period new requests are rejected; open requests end; the process exits. A
+second signal, or ``stop_limit_s`` of the settings, cancels the remaining
+requests, each with the outcome for its state.
 """
 
 import functools
@@ -61,8 +62,8 @@
 
 CALL_TIMEOUT_S = 1.0
 REPORT_INTERVAL_S = 1.0
-# Seconds that callers get at most to read their final answers before the
-# exit. A caller that takes 64 KB in this time is slower than any link here.
+# Timeout for callers to read their final answers before the exit. A caller
+# that needs longer for 64 KB is slower than any link in use.
 CLOSE_TIMEOUT_S = 2.0
 
 
@@ -71,14 +72,14 @@
     """One daemon process."""
 
     def __init__(self, config: settings.Settings) -> None:
-        """Build all parts and bind the HTTP addresses.
+        """Build all components and bind the HTTP addresses.
 
         Raises OSError if an address cannot be bound.
         """
         self.settings = config
         self.host = ids.Host(config.host)
-        # Bound before the incarnation is named: its name says that nobody
-        # else listens there. See ``ids``.
+        # Bound before the incarnation is named, because its name implies
+        # that no other process listens on this address. See ``ids``.
         self._peer_socket = asgi.bind_address(config.peers)
         self.incarnation = ids.make_incarnation(
             self.host,
@@ -91,7 +92,7 @@
         )
         self.is_draining = False
         self._drain_requested = anyio.Event()
-        # A peer with a newer bundle than ours.
+        # A peer that has a newer bundle than this daemon.
         self._newer_bundle_peer: ids.Incarnation | None = None
         self._newer_bundle_seen = anyio.Event()
         self._build_shared_state()
@@ -229,10 +230,10 @@
             wire.Withdrawn: self.pool_client.handle_withdrawn,
         }
 
-    # Running.
+    # Tasks.
 
     async def run(self) -> None:
-        """Run until a graceful stop has ended."""
+        """Run until a graceful stop has completed."""
         self._peer_socket.setblocking(False)
         listener = await anyio.abc.SocketListener.from_socket(
             self._peer_socket
@@ -259,7 +260,7 @@
         await self._close()
 
     def is_ready(self) -> bool:
-        """Tell the balancer whether to send callers here."""
+        """Tell whether the load balancer may send requests here."""
         if self.is_draining or self.bundles.bundle is None:
             return False
         return self.view.entries != {}
@@ -314,7 +315,7 @@
                     self.claim_client.report_claims(shard)
             await logfollower.wait_for_change(self.follower, REPORT_INTERVAL_S)
 
-    # Stopping.
+    # Shutdown.
 
     async def _watch_signals(self) -> None:
         with anyio.open_signal_receiver(
@@ -339,7 +340,7 @@
             if limit.cancelled_caught:
                 self.runs.stop_all()
                 await self.runs.wait_until_idle()
-        # Nothing is in progress; what callers have not read yet still leaves.
+        # No request is open; send what callers have not read yet.
         async with anyio.create_task_group() as group:
             for listener in (self._callers, self._operators):
                 group.start_soon(shutdown.finish, listener, CLOSE_TIMEOUT_S)
@@ -355,7 +356,7 @@
         await self.host_list.close()
         self._close_tracer()
 
-    # Between the parts.
+    # Calls between the components.
 
     def _may_own_shards(self) -> bool:
         config = self.bundles.bundle
@@ -416,8 +417,8 @@
     def _check_peer_version(
         self, version: ids.Version, peer: ids.Incarnation
     ) -> None:
-        # The peer has a newer bundle than we: the log is out for us, or
-        # slow. What was accepted must not wait for that.
+        # If the peer has a newer bundle, the log is unreachable from here or
+        # slow. An accepted bundle must not wait for it, so it is fetched.
         if version > self.bundles.version:
             self._newer_bundle_peer = peer
             self._newer_bundle_seen.set()
