--- a/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
+++ b/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
@@ -1,12 +1,12 @@
-"""The operators' listener, for ``apricotctl``.
+"""The HTTP API for operators, used by ``apricotctl``.
 
-A caller shows a token whose SHA-256 stands in the settings. Paths:
+A client authenticates with a token whose SHA-256 is in the settings. Paths:
 
-* ``GET /v1/status``: this daemon, its shards, queues and peers.
+* ``GET /v1/status``: the state of this daemon, its shards, queues and peers.
 * ``GET /v1/bundle``: the bundle in force.
-* ``POST /v1/bundle``: submit a signed bundle; answers once the log has
-  decided, or says that it is doubtful.
-* ``GET /v1/explain?organisation=O&key=K``: what became of a request.
+* ``POST /v1/bundle``: submit a signed bundle; answers when its record has
+  been read back from the log, or after a timeout that the result is unknown.
+* ``GET /v1/explain?organisation=O&key=K``: the outcome of a request.
 * ``POST /v1/drain?host=H``: stop a daemon gracefully.
 """
 
@@ -33,11 +33,11 @@
 
 __all__ = ['OperatorApi']
 
-# How long a submission may wait for the log, in seconds.
+# Timeout of a submission for reading its record back from the log.
 SUBMIT_TIMEOUT_S = 10.0
 BUNDLE_LIMIT_BYTES = 16 * 1024 * 1024
 _CALL_TIMEOUT_S = 2.0
-# Longer than the longest pause between two tries to dial a host.
+# Longer than the maximum delay between two attempts to dial a host.
 _CONNECT_TIMEOUT_S = 5.0
 
 Query = dict[str, str]
@@ -72,7 +72,7 @@
         describe: collections.abc.Callable[[], dict[str, ty.Any]],
         drain: collections.abc.Callable[[], None],
     ) -> None:
-        """Prepare."""
+        """Create the application."""
         self._digests = token_digests
         self.store = store
         self.follower = follower
@@ -115,7 +115,7 @@
 
 @_route('GET', '/v1/status')
 async def show_status(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
-    """Return this daemon's state."""
+    """Return the state of this daemon."""
     return api.describe()
 
 
@@ -136,7 +136,7 @@
 
 @_route('POST', '/v1/bundle')
 async def submit_bundle(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
-    """Append a bundle and say what the log decided."""
+    """Append a bundle to the log and return whether it is in force."""
     record = submissions.read_submission(body)
     checked = api.store.check_record(record)
     if checked.is_error():
@@ -154,7 +154,7 @@
         current = api.store.record
         assert current is not None
         if current.base >= record.version:
-            # It was in force and has been replaced since.
+            # The bundle was in force and has been replaced since.
             return {'version': record.version, 'in_force': False}
     lost = api.store.describe_conflict(record)
     if lost is not None:
@@ -166,7 +166,7 @@
 
 @_route('GET', '/v1/explain')
 async def explain_key(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
-    """Return what the claim owner knows of a key."""
+    """Return the claim owner's state of a key."""
     config = api.store.bundle
     if config is None:
         raise _refuse(errors.Kind.NO_BUNDLE)
