--- a/packages/apricotlandingd/src/apricotlandingd/settings.py
+++ b/packages/apricotlandingd/src/apricotlandingd/settings.py
@@ -1,7 +1,7 @@
-"""The daemon's settings: one YAML file, checked when it starts.
+"""The daemon's settings: a YAML file that is checked at start.
 
-Settings say what belongs to this host: its name, failure domain, addresses
-and keys. What belongs to the business stands in the bundle.
+Settings hold what is specific to this host: its name, failure domain,
+addresses and keys. Routes, organisations and pools are in the bundle.
 """
 
 import pathlib
@@ -22,7 +22,7 @@
 
 @ty.final
 class Operator(pydantic.BaseModel):
-    """Somebody who may sign bundles."""
+    """A person who may sign bundles."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
@@ -44,7 +44,7 @@
 
 @ty.final
 class Settings(pydantic.BaseModel):
-    """Checked settings."""
+    """The checked settings."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
@@ -53,35 +53,35 @@
     ]
     # Failure domain.
     domain: ty.Annotated[str, pydantic.Field(min_length=1)]
-    # Where the balancer sends callers.
+    # Listener for callers, to which the load balancer connects.
     callers: addresses.AddressField
-    # Where other daemons connect.
+    # Listener for other daemons.
     peers: addresses.AddressField
-    # Where apricotctl connects.
+    # Listener for apricotctl.
     operators_listen: addresses.AddressField
-    # The platform's log and host list.
+    # Services of the platform.
     log: addresses.AddressField
     host_list: addresses.AddressField
-    # How long the log keeps records, in seconds.
+    # Retention period of the log.
     log_retention_s: ty.Annotated[float, pydantic.Field(gt=0)] = 86_400.0
     # Shared by all daemons of one system.
     peer_key: ty.Annotated[str, pydantic.Field(min_length=_PEER_KEY_LENGTH)]
-    # SHA-256 of each token that apricotctl may show.
+    # SHA-256 of each token that apricotctl may use.
     operator_token_sha256: ty.Annotated[
         list[str], pydantic.Field(min_length=1)
     ]
     operators: ty.Annotated[list[Operator], pydantic.Field(min_length=2)]
     statsd: addresses.AddressField | None = None
-    # File for spans, one JSON line each; no traces if not given.
+    # File for spans, one JSON line each; tracing is off if it is not set.
     trace_file: pathlib.Path | None = None
-    # Seconds after a stop signal in which new requests are still taken,
-    # until the balancer has seen /readyz.
+    # How long new requests are still accepted after a stop signal, until the
+    # load balancer has polled /readyz.
     drain_grace_s: ty.Annotated[float, pydantic.Field(ge=0)] = 2.0
-    # Seconds that a graceful stop may take; work that is left is ended.
+    # Timeout of a graceful stop; the remaining requests are cancelled.
     stop_limit_s: ty.Annotated[float, pydantic.Field(gt=0)] = 600.0
-    # Bytes of finished answers that are kept for retries.
+    # Limit of finished answers that are kept for retries.
     kept_answer_bytes: ty.Annotated[int, pydantic.Field(ge=0)] = 33_554_432
-    # Most requests that are open at a time.
+    # Limit of concurrently open requests.
     open_requests: ty.Annotated[int, pydantic.Field(gt=0)] = 5000
 
     def read_operator_keys(self) -> dict[str, ed25519.Ed25519PublicKey]:
@@ -95,7 +95,7 @@
 def load_settings(
     path: pathlib.Path,
 ) -> expression.Result[Settings, list[yamlfiles.Finding]]:
-    """Read a settings file, or return every mistake in it."""
+    """Read a settings file and return the settings or all their errors."""
     try:
         text = path.read_bytes()
     except OSError as error:
