--- a/tests/test_daemon_stop.py
+++ b/tests/test_daemon_stop.py
@@ -11,7 +11,7 @@
 import systems
 
 # Seconds after SIGTERM in which the daemons of these systems still admit.
-GRACE = 0.3
+DRAIN_GRACE_S = 0.3
 
 
 @pytest.mark.processes
@@ -36,7 +36,7 @@
             caller.sendall(self._make_head(key, len(body)) + body[:20])
             time.sleep(0.3)
             daemon.send(signal.SIGTERM)
-            time.sleep(GRACE + 0.5)
+            time.sleep(DRAIN_GRACE_S + 0.5)
             caller.sendall(body[20:])
             answer = systems.read_all(caller)
         daemon.wait()
