--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -25,7 +25,7 @@
 import systems
 
 GOOD_BODY: ty.Final = {'prompt': 'a b c', 'max_tokens': 2}
-TOO_LONG = 200_000
+TOO_LARGE_BYTES = 200_000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -48,7 +48,7 @@
     BadCall('wrong credentials', 401, 'APL101', token='wrong'),  # noqa: S106
     BadCall('unknown route', 404, 'APL102', route='nowhere'),
     BadCall('endless route', 404, 'APL102', route='x' * 3000),
-    BadCall('body too large', 413, 'APL103', body=b'x' * TOO_LONG),
+    BadCall('body too large', 413, 'APL103', body=b'x' * TOO_LARGE_BYTES),
     BadCall(
         'too many headers',
         431,
@@ -106,7 +106,7 @@
     hosts = 1
 
     def configure(self) -> None:
-        self.system.limits = {'body_bytes': TOO_LONG // 2}
+        self.system.limits = {'body_bytes': TOO_LARGE_BYTES // 2}
 
     def test_each_is_refused_with_its_remedy(self) -> None:
         for case in BAD_CALLS:
