--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -236,7 +236,7 @@
             _frame(msgpack.packb([1, 'one', 2, 3, 4, 5])),
             b'\x00\x00',
         ):
-            self.knock(data)
+            self.send_raw_bytes(data)
         self.check_status()
 
     def test_wrong_key_is_turned_away_before_any_message(self) -> None:
@@ -266,7 +266,7 @@
                 return error
         return None
 
-    def knock(self, data: bytes) -> None:
+    def send_raw_bytes(self, data: bytes) -> None:
         host, _, port = self.system.daemons['entry-1'].peers.rpartition(':')
         with socket.create_connection((host, int(port)), 5.0) as connection:
             connection.sendall(data)
