--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -156,10 +156,10 @@
             (b'POST / HTTP/1.1\r\nx: ', b'y' * 60_000),
             (b'POST /', b'y' * 60_000),
         ):
-            self.assertLess(self.flood(begin, part, 300), 100)
+            self.assertLess(self.send_until_closed(begin, part, 300), 100)
         self.check_alive()
 
-    def flood(self, begin: bytes, part: bytes, times: int) -> int:
+    def send_until_closed(self, begin: bytes, part: bytes, times: int) -> int:
         """Return how many parts were taken before the connection ended."""
         host, _, port = self.system.daemons['entry-1'].callers.rpartition(':')
         with socket.create_connection((host, int(port)), 5.0) as connection:
