--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -115,8 +115,10 @@
                 (case.status, case.code), (reply.status, reply.code), case.name
             )
             # An expired key may have run long ago.
-            said = 'unknown' if case.code == 'APL108' else 'not-run'
-            self.assertEqual(said, reply.outcome, case.name)
+            expected_outcome = (
+                'unknown' if case.code == 'APL108' else 'not-run'
+            )
+            self.assertEqual(expected_outcome, reply.outcome, case.name)
             self.assertTrue(reply.read_lines()[-1]['remedy'], case.name)
         self.check_alive()
 
