--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -253,7 +253,7 @@
 
     async def greet(self, key: bytes) -> Exception | None:
         host, _, port = self.system.daemons['entry-1'].peers.rpartition(':')
-        mine = handshake.make_greeting(
+        greeting = handshake.make_greeting(
             ids.Host('stranger'),
             ids.Incarnation('stranger/1'),
             ids.Domain('d9'),
@@ -261,7 +261,7 @@
         async with await anyio.connect_tcp(host, int(port)) as raw:
             stream = frames.FrameStream(raw)
             try:
-                await handshake.greet_acceptor(stream, mine, key)
+                await handshake.greet_acceptor(stream, greeting, key)
                 await stream.send([1, 1, [20, 'not', 'enough']])
                 await stream.receive()
             except Exception as error:
