--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -19,10 +19,10 @@
     [peers.Peers], collections.abc.Coroutine[ty.Any, ty.Any, None]
 ]
 
-NEAR = ids.Host('entry-1')
+LOCAL_HOST = ids.Host('entry-1')
 HOSTS = [ids.Host(f'entry-{number}') for number in range(2, 60)]
-# The last host that ``NEAR`` would choose as a neighbour.
-FAR = peers.rank_hosts(str(NEAR), HOSTS)[-1]
+# The last host that ``LOCAL_HOST`` would choose as a neighbour.
+FAR = peers.rank_hosts(str(LOCAL_HOST), HOSTS)[-1]
 # No process listens on this port.
 CLOSED = addresses.Address('127.0.0.1', 1)
 
@@ -69,7 +69,7 @@
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         places = dict.fromkeys(HOSTS, CLOSED)
         places[FAR] = addresses.Address('127.0.0.1', port)
-        near = make_peers(NEAR, places)
+        near = make_peers(LOCAL_HOST, places)
         far = make_peers(FAR, {})
         async with anyio.create_task_group() as group:
             group.start_soon(far.run, listener)
