--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,7 +22,7 @@
 LOCAL_HOST = ids.Host('entry-1')
 HOSTS = [ids.Host(f'entry-{number}') for number in range(2, 60)]
 # The last host that ``LOCAL_HOST`` would choose as a neighbour.
-FAR = peers.rank_hosts(str(LOCAL_HOST), HOSTS)[-1]
+DISTANT_HOST = peers.rank_hosts(str(LOCAL_HOST), HOSTS)[-1]
 # No process listens on this port.
 CLOSED = addresses.Address('127.0.0.1', 1)
 
@@ -53,9 +53,9 @@
 
     async def check_far_host(self, near: peers.Peers) -> None:
         self.assertEqual([], near.list_dialed())
-        connection = await near.connect(FAR, 20.0)
+        connection = await near.connect(DISTANT_HOST, 20.0)
         assert connection is not None
-        self.assertEqual(FAR, connection.host)
+        self.assertEqual(DISTANT_HOST, connection.host)
 
     async def check_unknown_host(self, near: peers.Peers) -> None:
         found = await near.connect(ids.Host('entry-none'), math.inf)
@@ -68,9 +68,9 @@
         own = await open_listener()
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         places = dict.fromkeys(HOSTS, CLOSED)
-        places[FAR] = addresses.Address('127.0.0.1', port)
+        places[DISTANT_HOST] = addresses.Address('127.0.0.1', port)
         near = make_peers(LOCAL_HOST, places)
-        far = make_peers(FAR, {})
+        far = make_peers(DISTANT_HOST, {})
         async with anyio.create_task_group() as group:
             group.start_soon(far.run, listener)
             group.start_soon(near.run, own)
