--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -51,14 +51,14 @@
         # call returns at once instead of after its timeout.
         anyio.run(serve_and_check, self.check_unknown_host)
 
-    async def check_far_host(self, near: peers.Peers) -> None:
-        self.assertEqual([], near.list_dialed())
-        connection = await near.connect(DISTANT_HOST, 20.0)
+    async def check_far_host(self, local_peers: peers.Peers) -> None:
+        self.assertEqual([], local_peers.list_dialed())
+        connection = await local_peers.connect(DISTANT_HOST, 20.0)
         assert connection is not None
         self.assertEqual(DISTANT_HOST, connection.host)
 
-    async def check_unknown_host(self, near: peers.Peers) -> None:
-        found = await near.connect(ids.Host('entry-none'), math.inf)
+    async def check_unknown_host(self, local_peers: peers.Peers) -> None:
+        found = await local_peers.connect(ids.Host('entry-none'), math.inf)
         self.assertIsNone(found)
 
 
@@ -69,14 +69,14 @@
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         places = dict.fromkeys(HOSTS, CLOSED)
         places[DISTANT_HOST] = addresses.Address('127.0.0.1', port)
-        near = make_peers(LOCAL_HOST, places)
+        local_peers = make_peers(LOCAL_HOST, places)
         far = make_peers(DISTANT_HOST, {})
         async with anyio.create_task_group() as group:
             group.start_soon(far.run, listener)
-            group.start_soon(near.run, own)
-            while not near.listed:
+            group.start_soon(local_peers.run, own)
+            while not local_peers.listed:
                 await anyio.sleep(0.01)
-            await check(near)
+            await check(local_peers)
             group.cancel_scope.cancel()
 
 
