--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -70,9 +70,9 @@
         places = dict.fromkeys(HOSTS, CLOSED)
         places[DISTANT_HOST] = addresses.Address('127.0.0.1', port)
         local_peers = make_peers(LOCAL_HOST, places)
-        far = make_peers(DISTANT_HOST, {})
+        distant_peers = make_peers(DISTANT_HOST, {})
         async with anyio.create_task_group() as group:
-            group.start_soon(far.run, listener)
+            group.start_soon(distant_peers.run, listener)
             group.start_soon(local_peers.run, own)
             while not local_peers.listed:
                 await anyio.sleep(0.01)
