--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -24,7 +24,7 @@
 # The last host that ``LOCAL_HOST`` would choose as a neighbour.
 DISTANT_HOST = peers.rank_hosts(str(LOCAL_HOST), HOSTS)[-1]
 # No process listens on this port.
-CLOSED = addresses.Address('127.0.0.1', 1)
+CLOSED_ADDRESS = addresses.Address('127.0.0.1', 1)
 
 
 class FixedList:
@@ -67,7 +67,7 @@
         listener = await open_listener()
         own = await open_listener()
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        places = dict.fromkeys(HOSTS, CLOSED)
+        places = dict.fromkeys(HOSTS, CLOSED_ADDRESS)
         places[DISTANT_HOST] = addresses.Address('127.0.0.1', port)
         local_peers = make_peers(LOCAL_HOST, places)
         distant_peers = make_peers(DISTANT_HOST, {})
