--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -27,7 +27,7 @@
 CLOSED_ADDRESS = addresses.Address('127.0.0.1', 1)
 
 
-class FixedList:
+class FixedHostList:
     """A host list that does not change."""
 
     def __init__(self, entries: list[hostlist.HostEntry]) -> None:
@@ -100,7 +100,7 @@
         ids.make_incarnation(host, host, 0.0),
         domain,
         b'a shared key of the tests',
-        ty.cast('hostlist.HostList', FixedList(entries)),
+        ty.cast('hostlist.HostList', FixedHostList(entries)),
         router,
     )
     made.make_ping = make_ping
