--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -67,9 +67,9 @@
         listener = await open_listener()
         own = await open_listener()
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        places = dict.fromkeys(HOSTS, CLOSED_ADDRESS)
-        places[DISTANT_HOST] = addresses.Address('127.0.0.1', port)
-        local_peers = make_peers(LOCAL_HOST, places)
+        addresses_by_host = dict.fromkeys(HOSTS, CLOSED_ADDRESS)
+        addresses_by_host[DISTANT_HOST] = addresses.Address('127.0.0.1', port)
+        local_peers = make_peers(LOCAL_HOST, addresses_by_host)
         distant_peers = make_peers(DISTANT_HOST, {})
         async with anyio.create_task_group() as group:
             group.start_soon(distant_peers.run, listener)
@@ -86,12 +86,12 @@
 
 
 def make_peers(
-    host: ids.Host, places: dict[ids.Host, addresses.Address]
+    host: ids.Host, addresses_by_host: dict[ids.Host, addresses.Address]
 ) -> peers.Peers:
     domain = ids.Domain('d1')
     entries = [
         hostlist.HostEntry(name, hostlist.HostState.LIVE, domain, address)
-        for name, address in places.items()
+        for name, address in addresses_by_host.items()
     ]
     router = peerlink.Router()
     router.sync_handlers[wire.Ping] = answer_ping
