--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -44,14 +44,14 @@
         # Guards against a drain that fails for a host which is neither a
         # neighbour nor an owner of shards: it is not dialled otherwise, and
         # the operator was told that the connection is lost.
-        anyio.run(serve_and_check, self.check_far_host)
+        anyio.run(serve_and_check, self.check_distant_host)
 
     def test_unknown_host(self) -> None:
         # A host that is not on the host list has no address to dial; the
         # call returns at once instead of after its timeout.
         anyio.run(serve_and_check, self.check_unknown_host)
 
-    async def check_far_host(self, local_peers: peers.Peers) -> None:
+    async def check_distant_host(self, local_peers: peers.Peers) -> None:
         self.assertEqual([], local_peers.list_dialed())
         connection = await local_peers.connect(DISTANT_HOST, 20.0)
         assert connection is not None
