--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -37,7 +37,7 @@
         return self.entries
 
 
-class TestReach(testtools.TestCase):
+class TestConnect(testtools.TestCase):
     """Calls to daemons that are not dialled for heartbeats."""
 
     def test_host_beyond_the_neighbours(self) -> None:
