--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -241,7 +241,7 @@
             self.send_raw_bytes(data)
         self.check_status()
 
-    def test_wrong_key_is_turned_away_before_any_message(self) -> None:
+    def test_wrong_key_is_rejected_before_any_message(self) -> None:
         error = anyio.run(self.greet, b'not the key that the others have')
         self.assertIsInstance(error, Exception)
         self.check_status()
