--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -227,7 +227,7 @@
 
     hosts = 1
 
-    def test_strangers_learn_nothing_and_harm_nothing(self) -> None:
+    def test_malformed_peer_frames_do_no_harm(self) -> None:
         long_frame = struct.pack('>I', 1 << 30) + b'x' * 100
         for data in (
             b'GET / HTTP/1.1\r\n\r\n',
