--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -361,7 +361,7 @@
     def test_good_bundle(self) -> None:
         self.assertEqual([], self.check(self.system.make_bundle(1, 0)))
 
-    def test_each_mistake_is_named_where_it_stands(self) -> None:
+    def test_each_error_names_its_path(self) -> None:
         for change, expected in BAD_BUNDLES:
             value = self.system.make_bundle(1, 0)
             change(value)
