--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -149,7 +149,7 @@
         self.send_raw(b'\x16\x03\x01 this is not HTTP \r\n\r\n')
         self.check_alive()
 
-    def test_endless_head_is_cut_off(self) -> None:
+    def test_endless_head_closes_the_connection(self) -> None:
         # Headers, one header or the path go on for ever. The daemon keeps
         # what it has read of a head, so it must not read on: its memory
         # would grow by what is sent.
