--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -24,7 +24,7 @@
             'statsd': f'127.0.0.1:{processes.find_port()}',
         }
 
-    def test_traces_and_metrics_that_are_away_cost_nothing(self) -> None:
+    def test_unavailable_traces_and_metrics_do_no_harm(self) -> None:
         for _ in range(5):
             key = callers.make_key()
             body = {'prompt': 'a b c', 'max_tokens': 4}
