--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -31,7 +31,7 @@
             reply = self.post('entry-1', 'rebuild', body, key)
             self.assertTrue(reply.is_whole(key, 4))
 
-    def test_bad_settings_end_with_the_remedy(self) -> None:
+    def test_bad_settings_exit_with_the_remedy(self) -> None:
         path = self.system.directory / 'bad.yaml'
         path.write_text('host: entry-1\ndomain: d1\ncallers: nowhere\n')
         process = self.start(str(path))
