--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -39,7 +39,7 @@
         self.assertIn('line 3: callers', process.read_output())
         self.assertIn('write IP:PORT', process.read_output())
 
-    def test_taken_address_ends_with_the_remedy(self) -> None:
+    def test_used_address_exits_with_the_remedy(self) -> None:
         with socket.create_server(('127.0.0.1', 0)) as taken:
             good = self.system.directory / 'entry-1.yaml'
             value = yaml.safe_load(good.read_text())
