--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -32,7 +32,7 @@
             self.assertEqual('not-run', item.reply.outcome)
             self.assertEqual(0, self.system.count_executions(item.key))
 
-    def test_order_holds_when_the_scheduler_dies(self) -> None:
+    def test_tiers_hold_when_the_scheduler_is_killed(self) -> None:
         # The scheduler's host dies in the middle of the burst. The callers
         # on the other hosts wait; the next scheduler learns of them from
         # their daemons and must not shed before it has heard of all.
