--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -208,7 +208,7 @@
                 self.assertTrue(reply.is_whole(key, 4))
                 self.assertLess(reply.total_s, 30.0)
 
-    def test_planned_stop_cuts_nothing(self) -> None:
+    def test_graceful_stop_completes_all_requests(self) -> None:
         # Requests run and wait at a daemon when it is asked to stop. All
         # end whole, and the daemon then exits with 0.
         process = self.system.find_process('entry-1')
