--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -222,7 +222,7 @@
                 self.assertTrue(future.result().is_whole(key, 12))
             self.assertEqual(0, process.wait())
 
-    def test_second_signal_ends_with_the_truth(self) -> None:
+    def test_second_signal_reports_true_outcomes(self) -> None:
         # Some requests run, others still wait. Those that wait hear that
         # they were not run, those that run that the outcome is unknown.
         process = self.system.find_process('entry-1')
