--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -264,7 +264,7 @@
             'at-most-once work is served again',
         )
 
-    def test_drain_from_afar(self) -> None:
+    def test_drain_through_another_daemon(self) -> None:
         reply = self.system.call_operator(
             'entry-1', 'POST', '/v1/drain?host=entry-2'
         )
