--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -187,7 +187,7 @@
             reply = self.post(host, 'note', body, callers.make_key())
             self.assertEqual('planner-2', reply.headers['apricot-runner'])
 
-    def test_idempotent_work_leaves_a_runner_that_freezes(self) -> None:
+    def test_idempotent_requests_leave_a_frozen_runner(self) -> None:
         # An engine stops answering with requests on it that have shown
         # nothing yet. The scheduler notices its silence, and the daemons
         # send those that may run twice to the other engine.
