--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -138,7 +138,7 @@
         self.assertTrue(reply.is_whole(key, 12), reply)
         self.assertEqual('planner-2', reply.headers['apricot-runner'])
 
-    def test_late_answer_goes_to_the_caller_that_comes_back(self) -> None:
+    def test_late_answer_is_read_by_a_retry(self) -> None:
         # The caller gives up waiting; the answer is finished after that and
         # kept, and its next call through another daemon gets it whole.
         for name in ('planner-1', 'planner-2'):
