--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -129,7 +129,7 @@
                 ('not-run', 'APL202'), (reply.outcome, reply.code)
             )
 
-    def test_runner_that_refuses_costs_nothing(self) -> None:
+    def test_refusal_of_a_runner_is_retried(self) -> None:
         # "Not taken" is the runner's own word: another one may run it,
         # even at-most-once work.
         self.system.set_faults('planner-1', is_refusing=True)
