--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -77,7 +77,7 @@
         self.assertTrue(reply.is_whole(key, 12), reply)
         self.assertEqual(1, self.system.count_executions(key))
 
-    def test_another_requests_answer_is_never_passed_on(self) -> None:
+    def test_answer_of_another_request_is_not_forwarded(self) -> None:
         # The engine answers under another request's name, as when two
         # connections are crossed. An at-most-once caller hears "unknown".
         for name in ('planner-1', 'planner-2'):
