--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -311,7 +311,7 @@
 class TestExplain(systems.SystemTestCase):
     """Operators can ask what became of a request."""
 
-    def test_explain_knows_the_end(self) -> None:
+    def test_explain_reports_the_final_state(self) -> None:
         key = callers.make_key()
         self.post('entry-1', 'manifest', {'van': 1}, key)
         processes.wait_until(
