--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -213,7 +213,7 @@
         # end whole, and the daemon then exits with 0.
         process = self.system.find_process('entry-1')
         with concurrent.futures.ThreadPoolExecutor(24) as pool:
-            posted = self.post_all_slow(pool, 10.0)
+            posted = self.post_slow_requests(pool, 10.0)
             process.send(signal.SIGTERM)
             processes.wait_until(
                 lambda: self.read_ready('entry-1') == 503, 'not ready'
@@ -227,7 +227,7 @@
         # they were not run, those that run that the outcome is unknown.
         process = self.system.find_process('entry-1')
         with concurrent.futures.ThreadPoolExecutor(24) as pool:
-            posted = self.post_all_slow(pool, 200.0)
+            posted = self.post_slow_requests(pool, 200.0)
             process.send(signal.SIGTERM)
             time.sleep(1.0)
             process.send(signal.SIGTERM)
@@ -272,7 +272,7 @@
         process = self.system.find_process('entry-2')
         self.assertEqual(0, process.wait())
 
-    def post_all_slow(
+    def post_slow_requests(
         self, pool: concurrent.futures.Executor, straggle: float
     ) -> dict[str, concurrent.futures.Future[callers.Reply]]:
         """Post 24 requests to slow engines; return when all are open."""
