--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -216,7 +216,7 @@
             posted = self.post_slow_requests(pool, 10.0)
             process.send(signal.SIGTERM)
             processes.wait_until(
-                lambda: self.read_ready('entry-1') == 503, 'not ready'
+                lambda: self.read_readyz_status('entry-1') == 503, 'not ready'
             )
             for key, future in posted.items():
                 self.assertTrue(future.result().is_whole(key, 12))
@@ -297,7 +297,7 @@
         )
         time.sleep(0.5)
 
-    def read_ready(self, host: str) -> int:
+    def read_readyz_status(self, host: str) -> int:
         address = self.system.daemons[host].callers
         return callers.call_http(address, 'GET', '/readyz').status
 
