--- a/tests/systems.py
+++ b/tests/systems.py
@@ -1,4 +1,4 @@
-"""Base of the tests that run real processes."""
+"""The base class of tests that run real processes."""
 
 import pathlib
 import socket
@@ -16,7 +16,7 @@
 
 
 class SystemTestCase(testtools.TestCase):
-    """Starts a system for each test and ends all of it afterwards."""
+    """Starts a system for each test and stops it afterwards."""
 
     hosts = 3
     runners: ty.ClassVar[ty.Sequence[deployment.RunnerPlan]] = (
@@ -64,7 +64,7 @@
 
 
 def read_all(caller: socket.socket) -> bytes:
-    """Return what comes until the connection ends."""
+    """Return the data received until the connection ends."""
     received = b''
     while data := caller.recv(65536):
         received += data
