--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Whatever callers, peers, operators or files get wrong is said clearly."""
+"""Bad input of callers, peers, operators and files is answered clearly."""
 
 import collections.abc
 import dataclasses
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BadCall:
-    """A request and how it must be refused."""
+    """A bad request and the expected error."""
 
     name: str
     status: int
@@ -101,7 +101,7 @@
 
 
 class TestBadCalls(systems.SystemTestCase):
-    """One daemon is shown everything that callers get wrong."""
+    """One daemon receives every kind of bad request."""
 
     hosts = 1
 
@@ -114,7 +114,7 @@
             self.assertEqual(
                 (case.status, case.code), (reply.status, reply.code), case.name
             )
-            # An expired key may have run long ago.
+            # The request of an expired key may have run earlier.
             expected_outcome = (
                 'unknown' if case.code == 'APL108' else 'not-run'
             )
@@ -123,8 +123,8 @@
         self.check_alive()
 
     def test_refusals_of_credentials_look_the_same(self) -> None:
-        # Nothing tells a stranger whether a token, an organisation or a
-        # route exists.
+        # An unauthenticated caller must not find out whether a token, an
+        # organisation or a route exists.
         bodies = {
             self.call(BadCall('', 401, '', token=token, route=route)).body
             for token in (None, '', 'wrong')
@@ -150,9 +150,9 @@
         self.check_alive()
 
     def test_endless_head_closes_the_connection(self) -> None:
-        # Headers, one header or the path go on for ever. The daemon keeps
-        # what it has read of a head, so it must not read on: its memory
-        # would grow by what is sent.
+        # The headers, one header or the path never end. The daemon buffers
+        # the head, so it must stop reading: otherwise its memory grows with
+        # the data that is sent.
         for begin, part in (
             (b'POST / HTTP/1.1\r\n', b'x: y\r\n' * 10_000),
             (b'POST / HTTP/1.1\r\nx: ', b'y' * 60_000),
@@ -162,7 +162,7 @@
         self.check_alive()
 
     def send_until_closed(self, begin: bytes, part: bytes, times: int) -> int:
-        """Return how many parts were taken before the connection ended."""
+        """Return how many parts were accepted before the connection ended."""
         host, _, port = self.system.daemons['entry-1'].callers.rpartition(':')
         with socket.create_connection((host, int(port)), 5.0) as connection:
             try:
@@ -213,7 +213,7 @@
             try:
                 connection.sendall(data)
             except OSError:
-                # It has closed the connection already, as it may.
+                # The daemon may have closed the connection already.
                 return
 
     def check_alive(self) -> None:
@@ -223,7 +223,7 @@
 
 
 class TestBadPeers(systems.SystemTestCase):
-    """Strangers and broken peers knock at the peers' listener."""
+    """Unauthenticated and faulty peers connect to the peers' listener."""
 
     hosts = 1
 
@@ -247,7 +247,8 @@
         self.check_status()
 
     def test_right_key_and_wrong_messages(self) -> None:
-        # A peer of ours with a fault: its connection ends, nothing else.
+        # Malformed messages of an authenticated peer end its connection
+        # only.
         anyio.run(self.greet, deployment.PEER_KEY.encode())
         self.check_status()
 
@@ -289,7 +290,7 @@
 
 Change = collections.abc.Callable[[dict[str, ty.Any]], object]
 
-# What is changed in a good bundle, and the paths that must be named.
+# A change of a valid bundle, and the paths that the errors must name.
 BAD_BUNDLES: ty.Final[list[tuple[Change, list[str]]]] = [
     (lambda value: value.update(tires=[]), ['tires']),
     (lambda value: value.pop('tiers'), ['tiers']),
@@ -346,11 +347,11 @@
 
 
 class TestBadFiles(testtools.TestCase):
-    """Bundles and settings are checked, all mistakes in one run."""
+    """Checks of bundles and settings report all errors in one run."""
 
     def setUp(self) -> None:
         super().setUp()
-        # Nothing is started, so the directory need not exist.
+        # No process is started, so the directory need not exist.
         self.system = deployment.Deployment(ty.cast(ty.Any, None))
 
     def check(self, value: dict[str, ty.Any] | str) -> list[yamlfiles.Finding]:
