--- a/tests/test_daemon_stop.py
+++ b/tests/test_daemon_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop of the daemon with the product's own interface."""
+"""A graceful stop of the daemon with the native API."""
 
 import json
 import signal
@@ -10,21 +10,21 @@
 from apricotstandins import callers
 import systems
 
-# Seconds after SIGTERM in which the daemons of these systems still admit.
+# How long the daemons under test accept new requests after SIGTERM.
 DRAIN_GRACE_S = 0.3
 
 
 @pytest.mark.processes
 class TestStop(systems.SystemTestCase):
-    """SIGTERM while a request is on its way in."""
+    """SIGTERM while a request is being received."""
 
     hosts = 3
 
     def test_request_whose_body_ends_after_the_grace_is_not_run(self) -> None:
-        # A caller got an error that says nothing, and its at-most-once
-        # request had run. Its head came before the grace of a stop was over
-        # and its body after; the daemon took it, did not count it as open,
-        # and ended half a second later while a runner worked.
+        # Guards against an uninformative error for an at-most-once request
+        # that has run. The head arrives within the grace period of a stop and
+        # the body after it. The daemon accepted the request but did not count
+        # it as open, and exited half a second later while a runner worked.
         for name in ('planner-1', 'planner-2'):
             self.system.set_faults(name, straggle=200.0)
         daemon = self.system.find_process('entry-1')
