--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""What must always hold, beyond what the fault matrix shows."""
+"""Guarantees of the daemons that the fault matrix does not cover."""
 
 import concurrent.futures
 import json
@@ -14,7 +14,7 @@
 
 
 class TestOverload(systems.SystemTestCase):
-    """One small engine, and ten times what it can take."""
+    """One small engine, and ten times the load that it can serve."""
 
     runners = bursts.RUNNERS
 
@@ -26,16 +26,16 @@
         shed = [item for item in posted if item.reply.code == bursts.SHED]
         self.assertNotEqual([], shed)
         self.assertEqual([], self.find_inversions(posted))
-        # What is shed hears so at once and is told when to come back.
+        # A shed request is refused at once, with the time of a retry.
         for item in shed:
             self.assertIn('retry-after', item.reply.headers)
             self.assertEqual('not-run', item.reply.outcome)
             self.assertEqual(0, self.system.count_executions(item.key))
 
     def test_tiers_hold_when_the_scheduler_is_killed(self) -> None:
-        # The scheduler's host dies in the middle of the burst. The callers
-        # on the other hosts wait; the next scheduler learns of them from
-        # their daemons and must not shed before it has heard of all.
+        # The scheduler's host is killed during the burst while requests wait
+        # at the other hosts. Their daemons register them with the next
+        # scheduler, which must not shed before all are registered.
         victim = self.system.find_owner('pool/planners')
         process = self.system.find_process(victim)
         timer = threading.Timer(1.0, process.kill)
@@ -47,8 +47,8 @@
             self.assertNotEqual('cut', item.reply.outcome)
 
     def test_check_finds_inversions_without_tiers(self) -> None:
-        # The same burst under the policy without tiers: if this found
-        # nothing, the tests above could not fail.
+        # The same burst under a policy without tiers: if the check found no
+        # inversions here, the tests above could not fail.
         self.system.pool_settings |= {'policy': 'first-come'}
         self.system.submit(self.system.make_bundle(2, 1))
         self.assertNotEqual([], self.find_inversions(self.post_burst()))
@@ -62,14 +62,14 @@
 
 
 class TestAnswers(systems.SystemTestCase):
-    """Every caller gets its own whole answer, or the truth."""
+    """Every caller gets its own complete answer or a correct outcome."""
 
     body: ty.Final = {'prompt': systems.make_prompt(40), 'max_tokens': 12}
 
     def test_stream_that_breaks_is_resumed(self) -> None:
-        # The connection to the engine breaks after three tokens. The
-        # engine goes on, the daemon asks it for the rest: one execution,
-        # one whole answer.
+        # The connection to the engine breaks after three tokens. The engine
+        # continues and the daemon resumes the stream: one execution, one
+        # complete answer.
         for name in ('planner-1', 'planner-2'):
             self.system.set_faults(name, cut_streams=1, cut_after=3)
         key = callers.make_key()
@@ -78,8 +78,9 @@
         self.assertEqual(1, self.system.count_executions(key))
 
     def test_answer_of_another_request_is_not_forwarded(self) -> None:
-        # The engine answers under another request's name, as when two
-        # connections are crossed. An at-most-once caller hears "unknown".
+        # The engine answers with the name of another request, as if two
+        # connections had been mixed up. An at-most-once caller gets
+        # "unknown".
         for name in ('planner-1', 'planner-2'):
             self.system.set_faults(name, wrong_names=1)
         key = callers.make_key()
@@ -88,8 +89,8 @@
         self.assertEqual(0, reply.count_tokens())
 
     def test_idempotent_request_goes_to_another_runner(self) -> None:
-        # One engine sends lines that are not JSON; nothing has gone to the
-        # caller yet, so the other engine may do it again.
+        # One engine sends lines that are not JSON. Nothing has been sent to
+        # the caller yet, so the request may be retried on the other engine.
         self.system.set_faults('planner-1', malformed=1)
         self.system.set_faults('planner-2', malformed=0)
         key = callers.make_key()
@@ -97,9 +98,10 @@
         self.assertTrue(reply.is_whole(key, 12), reply)
 
     def test_stop_after_a_failed_call_is_not_called_not_run(self) -> None:
-        # An idempotent request was computed by one engine, whose answer
-        # cannot be read, and waits again, for both engines refuse it. The
-        # daemon is stopped: it has run, whatever its state is now.
+        # Guards against "not run" for an idempotent request that has run: one
+        # engine computed it and sent an unreadable answer, it was queued
+        # again because both engines refuse it, and the daemon is stopped
+        # while it waits.
         self.system.set_faults('planner-1', malformed=1)
         self.system.set_faults('planner-2', is_refusing=True)
         key = callers.make_key()
@@ -116,8 +118,9 @@
             self.assertEqual('unknown', future.result().outcome)
 
     def test_deadline_of_a_request_that_waits_is_not_run(self) -> None:
-        # Nobody takes it. Its caller hears the task that carries it, which
-        # knows that it was not run, and not a timer that does not.
+        # No runner accepts the request. The caller gets the outcome of the
+        # task that runs it, which knows that it was not run, and not that of
+        # a timer that does not know.
         for name in ('planner-1', 'planner-2'):
             self.system.set_faults(name, is_refusing=True)
         for _ in range(3):
@@ -130,8 +133,8 @@
             )
 
     def test_refusal_of_a_runner_is_retried(self) -> None:
-        # "Not taken" is the runner's own word: another one may run it,
-        # even at-most-once work.
+        # The runner itself reports "not taken", so another one may run the
+        # request, even an at-most-once request.
         self.system.set_faults('planner-1', is_refusing=True)
         key = callers.make_key()
         reply = self.post('entry-3', 'rebuild', self.body, key)
@@ -139,8 +142,8 @@
         self.assertEqual('planner-2', reply.headers['apricot-runner'])
 
     def test_late_answer_is_read_by_a_retry(self) -> None:
-        # The caller gives up waiting; the answer is finished after that and
-        # kept, and its next call through another daemon gets it whole.
+        # The caller times out before the answer is finished. The answer is
+        # stored, and a retry through another daemon gets all of it.
         for name in ('planner-1', 'planner-2'):
             self.system.set_faults(name, straggle=20.0)
         key = callers.make_key()
@@ -151,7 +154,7 @@
 
     def test_service_call_that_breaks_is_not_repeated(self) -> None:
         # The service runs the change and the connection breaks before its
-        # answer. Whoever asks again under the key hears "unknown" too.
+        # answer. Every retry with the key gets "unknown" too.
         self.system.set_faults('manifest-1', cut_answers=1)
         key = callers.make_key()
         for host in ('entry-1', 'entry-2', 'entry-1'):
@@ -161,11 +164,12 @@
 
 
 class TestMembership(systems.SystemTestCase):
-    """Runners and daemons leave without costing work."""
+    """Runners and daemons leave without loss of requests."""
 
     def test_leaving_runner_gets_nothing_new(self) -> None:
         self.system.set_host_state('planner-1', 'leaving')
-        # The lists are read twice a second and decided on four times.
+        # The host list is polled twice a second, and scheduling decisions
+        # are made four times a second.
         time.sleep(3.0)
         before = self.system.read_witness('planner-1')['accepted']
         body = {'prompt': systems.make_prompt(20), 'max_tokens': 4}
@@ -177,7 +181,7 @@
         self.assertEqual(before, after)
 
     def test_silent_runner_gets_nothing_new(self) -> None:
-        # It is not on any list as leaving; it just no longer answers.
+        # The runner is not listed as leaving; it no longer answers.
         for name, process in self.system.processes.items():
             if name.startswith('planner-1/'):
                 process.pause()
@@ -188,9 +192,9 @@
             self.assertEqual('planner-2', reply.headers['apricot-runner'])
 
     def test_idempotent_requests_leave_a_frozen_runner(self) -> None:
-        # An engine stops answering with requests on it that have shown
-        # nothing yet. The scheduler notices its silence, and the daemons
-        # send those that may run twice to the other engine.
+        # An engine stops answering while it has requests without output. The
+        # scheduler detects this, and the daemons retry the idempotent ones on
+        # the other engine.
         for name, process in self.system.processes.items():
             if name.startswith('planner-1/'):
                 process.pause()
@@ -209,8 +213,8 @@
                 self.assertLess(reply.total_s, 30.0)
 
     def test_graceful_stop_completes_all_requests(self) -> None:
-        # Requests run and wait at a daemon when it is asked to stop. All
-        # end whole, and the daemon then exits with 0.
+        # A daemon with running and waiting requests is stopped. All of them
+        # are completed, and the daemon then exits with 0.
         process = self.system.find_process('entry-1')
         with concurrent.futures.ThreadPoolExecutor(24) as pool:
             posted = self.post_slow_requests(pool, 10.0)
@@ -223,8 +227,8 @@
             self.assertEqual(0, process.wait())
 
     def test_second_signal_reports_true_outcomes(self) -> None:
-        # Some requests run, others still wait. Those that wait hear that
-        # they were not run, those that run that the outcome is unknown.
+        # Some requests run and others wait. Those that wait must end with
+        # "not run", those that run with "unknown".
         process = self.system.find_process('entry-1')
         with concurrent.futures.ThreadPoolExecutor(24) as pool:
             posted = self.post_slow_requests(pool, 200.0)
@@ -241,10 +245,10 @@
             self.assertEqual(0, process.wait())
 
     def test_owner_and_successor_die_together(self) -> None:
-        # Two of three daemons die at once and are restarted. The next
-        # owner cannot tell a dead pair from one behind a cut, and would wait
-        # the whole outage limit of a minute; the restarted daemons' records
-        # tell it that the old processes have ended.
+        # Two of three daemons are killed at once and restarted. The next
+        # owner cannot tell killed daemons from partitioned ones and would
+        # wait for the whole outage limit of a minute. The records of the
+        # restarted daemons show that the old processes have ended.
         victims = ['entry-1', 'entry-2']
         for host in victims:
             process = self.system.find_process(host)
@@ -253,7 +257,8 @@
             self.system.start_daemon(host)
         self.system.wait_ready()
         body = {'prompt': systems.make_prompt(20), 'max_tokens': 5}
-        # Keys from before the takeover stay unknown; new ones run.
+        # The outcome of keys from before the takeover stays unknown; requests
+        # with new keys run.
         processes.wait_until(
             lambda: (
                 self.post(
@@ -309,7 +314,7 @@
 
 
 class TestExplain(systems.SystemTestCase):
-    """Operators can ask what became of a request."""
+    """Operators can query the outcome of a request."""
 
     def test_explain_reports_the_final_state(self) -> None:
         key = callers.make_key()
