--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""A daemon and its settings: bad ones, and helpers that are away."""
+"""Bad settings, and trace files and metrics hosts that are unavailable."""
 
 import json
 import socket
@@ -13,12 +13,12 @@
 
 
 class TestSettings(systems.SystemTestCase):
-    """One daemon, whose traces and metrics go nowhere."""
+    """One daemon, whose traces and metrics cannot be delivered."""
 
     hosts = 1
 
     def configure(self) -> None:
-        # A directory that does not exist, and a port where nobody listens.
+        # A directory that does not exist, and a port without a listener.
         self.system.more_settings |= {
             'trace_file': '/proc/nowhere/spans',
             'statsd': f'127.0.0.1:{processes.find_port()}',
