--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A request goes from its caller through the system and back."""
+"""Requests pass from the caller through the whole system and back."""
 
 import json
 
@@ -7,7 +7,7 @@
 
 
 class TestWholePath(systems.SystemTestCase):
-    """Three daemons, two unlike engines, one plain service."""
+    """Three daemons, two different engines, one plain service."""
 
     def test_engine_answer_is_whole_through_each_daemon(self) -> None:
         for host in self.system.daemons:
