--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -226,7 +226,7 @@
                 problem = await self._run_until_end(run)
         except Exception as error:
             eliot.write_traceback()
-            problem = self._describe_fault(run, error)
+            problem = self._describe_internal_error(run, error)
         if problem is not None and run.may_have_run:
             problem = errors.weaken(problem)
         self._finish(run, problem)
@@ -519,7 +519,9 @@
         else:
             self._claims.report_outcome(stored, wire.ClaimState.UNKNOWN)
 
-    def _describe_fault(self, run: Run, error: Exception) -> errors.Problem:
+    def _describe_internal_error(
+        self, run: Run, error: Exception
+    ) -> errors.Problem:
         # An internal error, not the caller's. The outcome depends only on
         # the state that the request had reached.
         if run.state is RunState.SENT:
