--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -230,12 +230,12 @@
         if problem is not None and run.may_have_run:
             problem = errors.weaken(problem)
         self._finish(run, problem)
-        span.set_attribute('outcome', _name_outcome(problem))
+        span.set_attribute('outcome', _get_outcome_value(problem))
         span.end()
         with action.context():
             eliot.log_message(
                 'request:end',
-                outcome=_name_outcome(problem),
+                outcome=_get_outcome_value(problem),
                 code=problem.code if problem else None,
                 runner=run.stored.answer.runner,
             )
@@ -483,7 +483,7 @@
         stored = run.stored
         run.state = RunState.ENDED
         stored.answer.finish(problem)
-        outcome = _name_outcome(problem)
+        outcome = _get_outcome_value(problem)
         self._metrics.count(f'{outcome}.{run.request.head.tier_name}')
         self._settle(stored, problem)
         del self._runs[stored.ticket]
@@ -545,7 +545,7 @@
         scope.cancel()
 
 
-def _name_outcome(problem: errors.Problem | None) -> str:
+def _get_outcome_value(problem: errors.Problem | None) -> str:
     if problem is None:
         return errors.Outcome.COMPLETE.value
     return problem.outcome.value
