--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -267,10 +267,10 @@
         try:
             if request.is_at_most_once:
                 with self._start_span('claim', run):
-                    holder = await self._claim_while_queued(run, ticket)
-                if holder is not None:
+                    holder_reply = await self._claim_while_queued(run, ticket)
+                if holder_reply is not None:
                     self._pools.remove(ticket)
-                    return await self._copy_answer(run, holder)
+                    return await self._copy_answer(run, holder_reply)
             run.stored.is_claimed = True
             self._metrics.count(f'admitted.{request.head.tier_name}')
             ticket.is_ready = True
@@ -285,21 +285,21 @@
         # Claims the key. If that takes long, the request is queued in the
         # pool meanwhile, where it can be shed.
         refusal: errors.Refused | None = None
-        holder: wire.ClaimReply | None = None
+        holder_reply: wire.ClaimReply | None = None
         async with anyio.create_task_group() as group:
             group.start_soon(
                 self._enqueue_after_delay, ticket, group.cancel_scope
             )
             try:
-                holder = await self._claim(run)
+                holder_reply = await self._claim(run)
             except errors.Refused as error:
                 refusal = error
             group.cancel_scope.cancel()
         if refusal is not None:
             raise refusal
-        if holder is None and ticket.problem is not None:
+        if holder_reply is None and ticket.problem is not None:
             raise errors.Refused(ticket.problem)
-        return holder
+        return holder_reply
 
     async def _enqueue_after_delay(
         self, ticket: poolclient.Ticket, scope: anyio.CancelScope
