--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -132,7 +132,7 @@
             RETRY_SHARE, RETRY_SLACK_REQUESTS, RETRY_WINDOW_S
         )
         self._runs: dict[str, Run] = {}
-        self._number = 0
+        self._ticket_number = 0
         self._group: anyio.abc.TaskGroup | None = None
         self.find_bundle: collections.abc.Callable[
             [], bundle.Bundle | None
@@ -160,14 +160,14 @@
         parent: context.Context,
     ) -> Run:
         """Start the task that runs a request."""
-        self._number += 1
+        self._ticket_number += 1
         head = request.head
         shard = request.shard if request.is_at_most_once else None
         stored = answers.StoredRequest(
             organisation=head.organisation,
             key=head.key,
             digest=request.digest,
-            ticket=f'{self._incarnation}/{self._number}',
+            ticket=f'{self._incarnation}/{self._ticket_number}',
             shard=shard,
             answer=answers.Answer(),
         )
