--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -99,7 +99,7 @@
         # latest heartbeat.
         self.clock_offset_s = 0.0
         self._router = router
-        self._number = 0
+        self._call_number = 0
         self._replies: dict[int, _Sender] = {}
         self._group: anyio.abc.TaskGroup | None = None
 
@@ -160,8 +160,8 @@
         """
         if not self.is_open:
             raise PeerLost(f'{self.host}: the connection is closed')
-        self._number += 1
-        number = self._number
+        self._call_number += 1
+        number = self._call_number
         sender, receiver = anyio.create_memory_object_stream[
             tuple[_FrameKind, ty.Any]
         ](buffer)
