--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -63,7 +63,7 @@
         connection = self._peers.find(reply.holder)
         if connection is None:
             if self._peers.is_replaced(reply.holder):
-                return self._describe_dead(reply)
+                return self._describe_restarted(reply)
             return self._describe_unreachable()
         try:
             async for part in connection.iterate(message, PART_TIMEOUT_S):
@@ -124,7 +124,7 @@
             return errors.make_problem(errors.Kind.ANSWER_GONE)
         return errors.make_problem(errors.Kind.NO_OWNER, _RETRY_AFTER_S)
 
-    def _describe_dead(self, reply: wire.ClaimReply) -> errors.Problem:
+    def _describe_restarted(self, reply: wire.ClaimReply) -> errors.Problem:
         if reply.verdict is wire.ClaimVerdict.FINISHED:
             return errors.make_problem(errors.Kind.ANSWER_GONE)
         return errors.make_problem(
