--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -72,7 +72,7 @@
                 elif isinstance(part, wire.AttachEnd):
                     stored.answer.runner = part.runner
                     stored.answer.status = part.status
-                    return self._read_end(part, reply)
+                    return self._decode_end(part, reply)
         except peerlink.PeerLost as error:
             eliot.log_message('attach:lost', error=str(error))
         return self._describe_unreachable()
@@ -103,7 +103,7 @@
             problem.outcome,
         )
 
-    def _read_end(
+    def _decode_end(
         self, end: wire.AttachEnd, reply: wire.ClaimReply
     ) -> errors.Problem | None:
         if not end.code:
