--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -163,8 +163,8 @@
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(_watch_caller, receive, group.cancel_scope)
-                left = deadline_at - clocks.read_monotonic()
-                with anyio.move_on_after(left + FINAL_ANSWER_GRACE_S):
+                remaining_s = deadline_at - clocks.read_monotonic()
+                with anyio.move_on_after(remaining_s + FINAL_ANSWER_GRACE_S):
                     await answer.wait_for_first_chunk()
                 await _send_answer(send, request, answer)
                 group.cancel_scope.cancel()
