--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -187,11 +187,11 @@
             return stored, None
         if self._runs.count() >= self._open_requests:
             victim = self._runs.find_lowest_waiting(head.tier)
-            full = errors.make_problem(errors.Kind.MEMORY_FULL, 1.0)
+            full_problem = errors.make_problem(errors.Kind.MEMORY_FULL, 1.0)
             if victim is None:
-                return _weaken_if_at_most_once(head, full)
+                return _weaken_if_at_most_once(head, full_problem)
             # Shed the waiting request of the lowest tier instead.
-            victim.stop(full, full)
+            victim.stop(full_problem, full_problem)
         parent = trace.set_span_in_context(span)
         run = self._runs.start(request, deadline_at, parent)
         return run.stored, run
