--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -206,8 +206,8 @@
         if request.is_at_most_once or run.stored.answer.readers > 0:
             return
         if run.state is runs.RunState.WAITING:
-            gone = errors.make_problem(errors.Kind.CALLER_GONE)
-            run.stop(gone, gone)
+            gone_problem = errors.make_problem(errors.Kind.CALLER_GONE)
+            run.stop(gone_problem, gone_problem)
 
 
 def _weaken_if_at_most_once(
