--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -247,8 +247,8 @@
     async for part in answer.iterate():
         await asgi.send_part(send, part)
     assert answer.end is not None
-    last = _make_end_line(request, answer.end.problem)
-    await asgi.send_part(send, _encode_line(last), is_last=True)
+    end_line = _make_end_line(request, answer.end.problem)
+    await asgi.send_part(send, _encode_line(end_line), is_last=True)
 
 
 async def _send_service_answer(
