--- a/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
@@ -94,9 +94,9 @@
         self, record: records.BundleRecord
     ) -> expression.Result[bundle.Bundle, errors.Problem]:
         """Check signatures and text, but not the version in force."""
-        wrong = signatures.describe_bad_signature(record, self._keys)
-        if wrong is not None:
-            return expression.Error(_refuse(wrong))
+        mistake = signatures.describe_bad_signature(record, self._keys)
+        if mistake is not None:
+            return expression.Error(_refuse(mistake))
         checked = bundle.check_bundle(record.text, policies.list_names())
         if checked.is_error():
             first = checked.error[0]
--- a/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/admission.py
@@ -139,9 +139,9 @@
         value = json.loads(body)
     except (ValueError, RecursionError):
         return _fail(errors.Kind.BAD_BODY, detail='not JSON')
-    wrong = _describe_bad_body(value)
-    if wrong is not None:
-        return _fail(errors.Kind.BAD_BODY, detail=wrong)
+    mistake = _describe_bad_body(value)
+    if mistake is not None:
+        return _fail(errors.Kind.BAD_BODY, detail=mistake)
     prompt = value['prompt']
     words = prompt.split()
     return expression.Ok(
