--- a/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
@@ -87,7 +87,7 @@
         if checked.is_error():
             eliot.log_message('bundle:bad-peer', problem=str(checked.error))
             return False
-        self._put_in_force(record, checked.ok)
+        self._activate(record, checked.ok)
         return True
 
     def check_record(
@@ -158,7 +158,7 @@
         problem = self._check_change(checked.ok)
         if problem is not None:
             return problem
-        self._put_in_force(record, checked.ok)
+        self._activate(record, checked.ok)
         return None
 
     def _check_change(self, found: bundle.Bundle) -> errors.Problem | None:
@@ -171,7 +171,7 @@
         # not know the claims granted so far: a key could be granted twice.
         return _refuse(f'ownership.claim_shards must stay {before}')
 
-    def _put_in_force(
+    def _activate(
         self, record: records.BundleRecord, found: bundle.Bundle
     ) -> None:
         self.record = record
