--- a/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
@@ -42,7 +42,7 @@
         # their record.
         self.refusals: dict[tuple[ids.Incarnation, int], errors.Problem] = {}
         self._is_partial = False
-        self._first = ids.Offset(0)
+        self._first_offset = ids.Offset(0)
         self._deferred: list[tuple[ids.Offset, records.Envelope]] = []
 
     @property
@@ -58,7 +58,7 @@
 
     def begin(self, first: ids.Offset) -> None:
         """Restart at offset ``first``; the version in force is kept."""
-        self._first = first
+        self._first_offset = first
         self._is_partial = True
         self._deferred.clear()
 
@@ -125,7 +125,7 @@
         return None
 
     def _apply_restated(self, restated: records.BundleRestated) -> None:
-        if self._is_partial and restated.as_of < self._first:
+        if self._is_partial and restated.as_of < self._first_offset:
             return
         self.adopt(restated.bundle)
         if not self._is_partial:
