--- a/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/logfollower.py
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Pending:
+class _PendingAppend:
     sequence: int
     sent_at: float
     is_settled: anyio.Event
@@ -68,7 +68,7 @@
         self._highest: dict[ids.Incarnation, int] = {}
         self._sequence = 0
         self._lock = anyio.Lock()
-        self._pending: list[_Pending] = []
+        self._pending: list[_PendingAppend] = []
         self.next = ids.Offset(0)
         # Time at which the latest own record that was read back was sent.
         self.confirmed_at: float | None = None
@@ -114,10 +114,10 @@
         """Confirm with a mark that the log has been read to its end."""
         await self.append(records.Mark())
 
-    async def _send(self, body: object) -> _Pending:
+    async def _send(self, body: object) -> _PendingAppend:
         self._sequence += 1
         envelope = records.Envelope(self._incarnation, self._sequence, body)
-        pending = _Pending(
+        pending = _PendingAppend(
             self._sequence, clocks.read_monotonic(), anyio.Event()
         )
         self._pending.append(pending)
@@ -173,7 +173,7 @@
             self._settle(offset, envelope.sequence)
 
     def _settle(self, offset: ids.Offset, sequence: int) -> None:
-        still_pending: list[_Pending] = []
+        still_pending: list[_PendingAppend] = []
         for pending in self._pending:
             if pending.sequence > sequence:
                 still_pending.append(pending)
