--- a/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
@@ -45,7 +45,7 @@
         self._view = view
         self._store = store
         self._peers = others
-        self._seen_at = clocks.read_monotonic()
+        self._restated_at = clocks.read_monotonic()
 
     def begin(self, first: ids.Offset) -> None:
         """Do nothing; only the other observers keep state of the log."""
@@ -55,7 +55,7 @@
     ) -> None:
         """Record the time of each restatement."""
         if isinstance(envelope.body, records.OwnersRestated):
-            self._seen_at = now
+            self._restated_at = now
 
     async def run(self) -> None:
         """Append restatements when they are due, until cancelled."""
@@ -71,7 +71,7 @@
         order = peers.rank_hosts('restate', self._peers.list_live())
         rank = order.index(self._peers.host)
         wait = self._interval * (1.0 + rank * _RANK_DELAY_RATIO)
-        return now >= self._seen_at + wait
+        return now >= self._restated_at + wait
 
     async def _restate(self) -> None:
         as_of = self._follower.next
