--- a/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
@@ -40,7 +40,7 @@
         others: peers.Peers,
     ) -> None:
         """Create; ``retention_s`` is the retention period of the log."""
-        self._interval = retention_s / _RESTATEMENTS_PER_RETENTION
+        self._interval_s = retention_s / _RESTATEMENTS_PER_RETENTION
         self._follower = follower
         self._view = view
         self._store = store
@@ -60,7 +60,7 @@
     async def run(self) -> None:
         """Append restatements when they are due, until cancelled."""
         while True:
-            await anyio.sleep(self._interval / 10.0)
+            await anyio.sleep(self._interval_s / 10.0)
             if self.is_due(clocks.read_monotonic()):
                 await self._restate()
 
@@ -70,7 +70,7 @@
             return False
         order = peers.rank_hosts('restate', self._peers.list_live())
         rank = order.index(self._peers.host)
-        wait = self._interval * (1.0 + rank * _RANK_DELAY_RATIO)
+        wait = self._interval_s * (1.0 + rank * _RANK_DELAY_RATIO)
         return now >= self._restated_at + wait
 
     async def _restate(self) -> None:
