--- a/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/restating.py
@@ -70,8 +70,8 @@
             return False
         order = peers.rank_hosts('restate', self._peers.list_live())
         rank = order.index(self._peers.host)
-        wait = self._interval_s * (1.0 + rank * _RANK_DELAY_RATIO)
-        return now >= self._restated_at + wait
+        delay_s = self._interval_s * (1.0 + rank * _RANK_DELAY_RATIO)
+        return now >= self._restated_at + delay_s
 
     async def _restate(self) -> None:
         as_of = self._follower.next
