--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -210,9 +210,9 @@
         known.discard(self.host)
         if len(known) <= MESH_LIMIT_HOSTS:
             return known
-        near = rank_hosts(str(self.host), known)[:NEIGHBOUR_COUNT]
+        neighbours = rank_hosts(str(self.host), known)[:NEIGHBOUR_COUNT]
         awaited = set(+self._awaited_hosts)
-        return known & (self.find_needed() | awaited | set(near))
+        return known & (self.find_needed() | awaited | set(neighbours))
 
     def _make_dialer(
         self, host: ids.Host
