--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -280,8 +280,8 @@
                 try:
                     await connection.run()
                 finally:
-                    mine = self._accepted.get(connection.incarnation)
-                    if mine is connection:
+                    registered = self._accepted.get(connection.incarnation)
+                    if registered is connection:
                         del self._accepted[connection.incarnation]
                     self.on_lost(connection.incarnation)
             except _LINK_ERRORS as error:
