--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -65,7 +65,7 @@
 async def serve_and_check(check: Check) -> None:
     with anyio.fail_after(60):
         listener = await open_listener()
-        own = await open_listener()
+        local_listener = await open_listener()
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         addresses_by_host = dict.fromkeys(HOSTS, CLOSED_ADDRESS)
         addresses_by_host[DISTANT_HOST] = addresses.Address('127.0.0.1', port)
@@ -73,7 +73,7 @@
         distant_peers = make_peers(DISTANT_HOST, {})
         async with anyio.create_task_group() as group:
             group.start_soon(distant_peers.run, listener)
-            group.start_soon(local_peers.run, own)
+            group.start_soon(local_peers.run, local_listener)
             while not local_peers.listed:
                 await anyio.sleep(0.01)
             await check(local_peers)
