--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -184,12 +184,12 @@
         self.follower.add_observer(self.bundles)
         self.follower.add_observer(self.view)
         self.follower.add_observer(self.restater)
-        find = self.bundles.get
-        self.owners.find_bundle = find
-        self.claim_server.find_bundle = find
-        self.pool_scheduler.find_bundle = find
-        self.runs.find_bundle = find
-        self.entry.find_bundle = find
+        get_bundle = self.bundles.get
+        self.owners.find_bundle = get_bundle
+        self.claim_server.find_bundle = get_bundle
+        self.pool_scheduler.find_bundle = get_bundle
+        self.runs.find_bundle = get_bundle
+        self.entry.find_bundle = get_bundle
         self.entry.is_ready = self.is_ready
         self.owners.may_take = self._may_own_shards
         self.owners.roles = {
