--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -108,7 +108,8 @@
         with concurrent.futures.ThreadPoolExecutor(1) as pool:
             future = pool.submit(self.post, 'entry-1', 'note', self.body, key)
             processes.wait_until(
-                lambda: self.system.count_executions(key) > 0, 'it has run'
+                lambda: self.system.count_executions(key) > 0,
+                'the request has run',
             )
             self.system.set_faults('planner-1', is_refusing=True)
             process = self.system.find_process('entry-1')
@@ -220,7 +221,8 @@
             posted = self.post_slow_requests(pool, 10.0)
             process.send(signal.SIGTERM)
             processes.wait_until(
-                lambda: self.read_readyz_status('entry-1') == 503, 'not ready'
+                lambda: self.read_readyz_status('entry-1') == 503,
+                'entry-1 is not ready',
             )
             for key, future in posted.items():
                 self.assertTrue(future.result().is_whole(key, 12))
@@ -266,7 +268,7 @@
                 ).status
                 == 200
             ),
-            'at-most-once work is served again',
+            'at-most-once requests are served again',
         )
 
     def test_drain_through_another_daemon(self) -> None:
@@ -320,7 +322,8 @@
         key = callers.make_key()
         self.post('entry-1', 'manifest', {'van': 1}, key)
         processes.wait_until(
-            lambda: 'finished' in self.explain(key), 'the owner knows'
+            lambda: 'finished' in self.explain(key),
+            'the claim owner reports the end',
         )
         self.assertIn('free', self.explain(callers.make_key()))
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -56,7 +56,8 @@
         self.post('entry-1', 'manifest', {'van': 1}, key)
         process = self.system.find_process('entry-1')
         processes.wait_until(
-            lambda: '"request:end"' in process.read_output(), 'a log line'
+            lambda: '"request:end"' in process.read_output(),
+            'the request:end line',
         )
         lines = [
             json.loads(line) for line in process.read_output().splitlines()
