--- a/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
+++ b/packages/apricotlandingd/src/apricotlandingd/configuration/bundlestore.py
@@ -39,7 +39,7 @@
         # Called with each new bundle.
         self.on_change: list[OnChange] = []
         # Problems of refused bundles, by sender and sequence number of
-        # their record.
+        # their record; stored for later queries.
         self.refusals: dict[tuple[ids.Incarnation, int], errors.Problem] = {}
         self._is_partial = False
         self._first_offset = ids.Offset(0)
--- a/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peers.py
@@ -163,7 +163,7 @@
         return found
 
     def find_clock_offset(self) -> float:
-        """Return the seconds by which the local wall clock is behind.
+        """Return the seconds by which the local wall clock is behind others.
 
         This is the median over this host and all dialled peers, so that one
         host with a wrong clock does not affect it.
