--- a/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
+++ b/packages/apricotlandingd/src/apricotlandingd/operators/operatorapi.py
@@ -1,12 +1,12 @@
-"""The operators' listener, for ``apricotctl``.
+"""The HTTP API for operators, used by ``apricotctl``.
 
-A caller shows a token whose SHA-256 stands in the settings. Paths:
+A client authenticates with a token whose SHA-256 is in the settings. Paths:
 
-* ``GET /v1/status``: this daemon, its shards, queues and peers.
+* ``GET /v1/status``: the state of this daemon, its shards, queues and peers.
 * ``GET /v1/bundle``: the bundle in force.
-* ``POST /v1/bundle``: submit a signed bundle; answers once the log has
-  decided, or says that it is doubtful.
-* ``GET /v1/explain?organisation=O&key=K``: what became of a request.
+* ``POST /v1/bundle``: submit a signed bundle; answers when its record has
+  been read back from the log, or after a timeout that the result is unknown.
+* ``GET /v1/explain?organisation=O&key=K``: the outcome of a request.
 * ``POST /v1/drain?host=H``: stop a daemon gracefully.
 """
 
@@ -33,12 +33,12 @@
 
 __all__ = ['OperatorApi']
 
-# How long a submission may wait for the log, in seconds.
-SUBMIT_TIMEOUT = 10.0
-BUNDLE_LIMIT = 16 * 1024 * 1024
-_CALL_TIMEOUT = 2.0
-# Longer than the longest pause between two tries to dial a host.
-_REACH_TIMEOUT = 5.0
+# Timeout of a submission for reading its record back from the log.
+SUBMIT_TIMEOUT_S = 10.0
+BUNDLE_LIMIT_BYTES = 16 * 1024 * 1024
+_CALL_TIMEOUT_S = 2.0
+# Longer than the maximum delay between two attempts to dial a host.
+_CONNECT_TIMEOUT_S = 5.0
 
 Query = dict[str, str]
 Handler = collections.abc.Callable[
@@ -48,14 +48,14 @@
 _handlers: dict[tuple[str, str], Handler] = {}
 
 
-def _handle(
+def _route(
     method: str, path: str
 ) -> collections.abc.Callable[[Handler], Handler]:
-    def file_handler(handler: Handler) -> Handler:
+    def add_handler(handler: Handler) -> Handler:
         _handlers[method, path] = handler
         return handler
 
-    return file_handler
+    return add_handler
 
 
 @ty.final
@@ -72,7 +72,7 @@
         describe: collections.abc.Callable[[], dict[str, ty.Any]],
         drain: collections.abc.Callable[[], None],
     ) -> None:
-        """Prepare."""
+        """Create the application."""
         self._digests = token_digests
         self.store = store
         self.follower = follower
@@ -90,7 +90,7 @@
             handler = _handlers.get((scope['method'], scope['path']))
             if handler is None:
                 raise _refuse(errors.Kind.NOT_FOUND, path=scope['path'])
-            body = await asgi.read_body(receive, BUNDLE_LIMIT)
+            body = await asgi.read_body(receive, BUNDLE_LIMIT_BYTES)
             pairs = urllib.parse.parse_qsl(scope['query_string'].decode())
             value = await handler(self, dict(pairs), body)
         except errors.Refused as error:
@@ -98,7 +98,7 @@
             return
         except asgi.BodyTooLarge:
             problem = errors.make_problem(
-                errors.Kind.BODY_TOO_LARGE, limit=BUNDLE_LIMIT
+                errors.Kind.BODY_TOO_LARGE, limit=BUNDLE_LIMIT_BYTES
             )
             await asgi.send_problem(send, problem)
             return
@@ -113,13 +113,13 @@
         raise _refuse(errors.Kind.NOT_AN_OPERATOR)
 
 
-@_handle('GET', '/v1/status')
+@_route('GET', '/v1/status')
 async def show_status(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
-    """Return this daemon's state."""
+    """Return the state of this daemon."""
     return api.describe()
 
 
-@_handle('GET', '/v1/bundle')
+@_route('GET', '/v1/bundle')
 async def show_bundle(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
     """Return the bundle in force."""
     record = api.store.record
@@ -134,9 +134,9 @@
     }
 
 
-@_handle('POST', '/v1/bundle')
+@_route('POST', '/v1/bundle')
 async def submit_bundle(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
-    """Append a bundle and say what the log decided."""
+    """Append a bundle to the log and return whether it is in force."""
     record = submissions.decode_submission(body)
     checked = api.store.check_record(record)
     if checked.is_error():
@@ -144,7 +144,7 @@
     conflict = api.store.describe_conflict(record)
     if conflict is not None and record != api.store.record:
         raise errors.Refused(conflict)
-    with anyio.move_on_after(SUBMIT_TIMEOUT) as limit:
+    with anyio.move_on_after(SUBMIT_TIMEOUT_S) as limit:
         await api.follower.append(record)
     if limit.cancelled_caught:
         raise _refuse(errors.Kind.BUNDLE_DOUBTFUL)
@@ -154,7 +154,7 @@
         current = api.store.record
         assert current is not None
         if current.base >= record.version:
-            # It was in force and has been replaced since.
+            # The bundle was in force and has been replaced since.
             return {'version': record.version, 'in_force': False}
     lost = api.store.describe_conflict(record)
     if lost is not None:
@@ -164,9 +164,9 @@
     )
 
 
-@_handle('GET', '/v1/explain')
+@_route('GET', '/v1/explain')
 async def explain_key(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
-    """Return what the claim owner knows of a key."""
+    """Return the claim owner's state of a key."""
     config = api.store.bundle
     if config is None:
         raise _refuse(errors.Kind.NO_BUNDLE)
@@ -188,18 +188,18 @@
     }
 
 
-@_handle('POST', '/v1/drain')
+@_route('POST', '/v1/drain')
 async def drain_host(api: OperatorApi, query: Query, body: bytes) -> ty.Any:
     """Stop a daemon gracefully: this one or another."""
     host = ids.Host(query.get('host', str(api.peers.host)))
     if host == api.peers.host:
         api.drain()
         return {'draining': host}
-    connection = await api.peers.reach(host, _REACH_TIMEOUT)
+    connection = await api.peers.connect(host, _CONNECT_TIMEOUT_S)
     if connection is None:
         raise _refuse(errors.Kind.PEER_UNREACHABLE, host=host)
     try:
-        await connection.call(wire.Drain(), _CALL_TIMEOUT)
+        await connection.call(wire.Drain(), _CALL_TIMEOUT_S)
     except peerlink.PeerLost:
         raise _refuse(errors.Kind.PEER_LOST, host=host) from None
     return {'draining': host}
--- a/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
+++ b/packages/apricotlandingd/src/apricotlandingd/peering/peerlink.py
@@ -1,13 +1,13 @@
-"""One connection between two daemons.
+"""The message protocol on a connection between two daemons.
 
 Either side may *call* (one message, one reply), *stream* (one message, many
 parts, one reply) or *push* (one message, no reply). A frame is the array
-``[kind, number, message]``; the number ties replies and parts to the call
-that they answer, never their order.
+``[kind, number, message]``. Replies and parts are matched to their call by
+the number, not by their order.
 
-Handlers are looked up in a ``Router`` by the type of the message. A quick
-handler answers on the spot; a slow one gets a task of its own, so that it
-does not hold up the messages behind it.
+Handlers are looked up in a ``Router`` by the type of the message. Synchronous
+handlers reply in the reading task. Asynchronous handlers run in tasks of
+their own, so that they do not block the messages behind them.
 """
 
 import collections.abc
@@ -30,15 +30,15 @@
 
 __all__ = ['Connection', 'PeerLost', 'Router']
 
-Quick = collections.abc.Callable[[ty.Any, ids.Incarnation], object]
-Slow = collections.abc.Callable[
+SyncHandler = collections.abc.Callable[[ty.Any, ids.Incarnation], object]
+AsyncHandler = collections.abc.Callable[
     [ty.Any, ids.Incarnation], collections.abc.Awaitable[object]
 ]
 Part = wire.Chunk | wire.AttachEnd
-Streaming = collections.abc.Callable[
+StreamHandler = collections.abc.Callable[
     [ty.Any, ids.Incarnation], collections.abc.AsyncIterator[Part]
 ]
-Push = collections.abc.Callable[[ty.Any, ids.Incarnation], None]
+PushHandler = collections.abc.Callable[[ty.Any, ids.Incarnation], None]
 
 
 class _FrameKind(enum.IntEnum):
@@ -61,25 +61,25 @@
 class PeerLost(Exception):
     """The connection broke, or the peer did not answer in time.
 
-    A call that fails like this may have had its effect.
+    A call that fails with this may have taken effect.
     """
 
 
 @ty.final
 class Router:
-    """Handlers by message type."""
+    """The message handlers, by message type."""
 
     def __init__(self) -> None:
-        """Start without any handler."""
-        self.quick: dict[type, Quick] = {}
-        self.slow: dict[type, Slow] = {}
-        self.streaming: dict[type, Streaming] = {}
-        self.pushes: dict[type, Push] = {}
+        """Create a router without handlers."""
+        self.sync_handlers: dict[type, SyncHandler] = {}
+        self.async_handlers: dict[type, AsyncHandler] = {}
+        self.stream_handlers: dict[type, StreamHandler] = {}
+        self.push_handlers: dict[type, PushHandler] = {}
 
 
 @ty.final
 class Connection:
-    """A connection whose two sides have proved who they are."""
+    """A connection whose two sides have authenticated each other."""
 
     def __init__(
         self,
@@ -93,18 +93,18 @@
         self.domain = greeting.domain
         self.stream = stream
         self.is_open = True
-        # What the latest heartbeat said.
+        # As of the latest heartbeat.
         self.is_draining = False
-        # The peer's wall clock less ours, in seconds, as well as the
-        # latest heartbeat could tell.
+        # The peer's wall clock minus the local one, estimated from the
+        # latest heartbeat.
         self.clock_offset_s = 0.0
         self._router = router
-        self._number = 0
+        self._call_number = 0
         self._replies: dict[int, _Sender] = {}
         self._group: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Read until the connection ends; raises what ended it."""
+        """Read until the connection ends; raises the error that ended it."""
         try:
             async with anyio.create_task_group() as group:
                 self._group = group
@@ -117,7 +117,10 @@
                 await self.stream.close()
 
     async def call(self, message: object, timeout: float) -> ty.Any:
-        """Return the reply; PeerLost after ``timeout`` seconds."""
+        """Send a message and return its reply.
+
+        Raises PeerLost, also after ``timeout`` seconds without a reply.
+        """
         with self._open_call() as (number, parts):
             with anyio.fail_after(timeout):
                 await self._send(_FrameKind.CALL, number, message)
@@ -129,7 +132,7 @@
     ) -> collections.abc.AsyncIterator[ty.Any]:
         """Yield the parts of a streamed answer and its end.
 
-        ``timeout`` bounds the wait for each part, in seconds. Raises
+        ``timeout`` limits the wait for each part, in seconds. Raises
         PeerLost.
         """
         with self._open_call(math.inf) as (number, parts):
@@ -142,23 +145,23 @@
                     return
 
     def push(self, message: object) -> None:
-        """Send a message that is not answered; dropped if that fails."""
+        """Send a message without a reply; dropped on connection errors."""
         if self._group is None or not self.is_open:
             return
-        self._group.start_soon(self._send_quietly, message)
+        self._group.start_soon(self._send_push, message)
 
     @contextlib.contextmanager
     def _open_call(
         self, buffer: float = 1
     ) -> collections.abc.Iterator[tuple[int, _Receiver]]:
-        """Yield a call's number and where its answer arrives.
+        """Yield a call's number and the stream of its replies.
 
-        Turns whatever breaks a connection into PeerLost.
+        Raises PeerLost for all connection errors.
         """
         if not self.is_open:
             raise PeerLost(f'{self.host}: the connection is closed')
-        self._number += 1
-        number = self._number
+        self._call_number += 1
+        number = self._call_number
         sender, receiver = anyio.create_memory_object_stream[
             tuple[_FrameKind, ty.Any]
         ](buffer)
@@ -178,7 +181,7 @@
         packed = wire.registry.pack(message)
         await self.stream.send([int(kind), number, packed])
 
-    async def _send_quietly(self, message: object) -> None:
+    async def _send_push(self, message: object) -> None:
         with contextlib.suppress(*frames.CONNECTION_ERRORS):
             await self._send(_FrameKind.PUSH, 0, message)
 
@@ -191,11 +194,11 @@
                 self._deliver(kind, number, message)
                 continue
             if kind is _FrameKind.PUSH:
-                self._take_push(message)
+                self._handle_push(message)
                 continue
-            quick = self._router.quick.get(type(message))
-            if quick is not None:
-                reply = quick(message, self.incarnation)
+            sync_handler = self._router.sync_handlers.get(type(message))
+            if sync_handler is not None:
+                reply = sync_handler(message, self.incarnation)
                 await self._send(_FrameKind.REPLY, number, reply)
                 continue
             self._group.start_soon(self._answer, number, message)
@@ -203,7 +206,7 @@
     def _deliver(self, kind: _FrameKind, number: int, message: object) -> None:
         reply = self._replies.get(number)
         if reply is None:
-            # Its caller gave up; a late answer goes to nobody else.
+            # The call has ended, for example by its timeout.
             return
         with contextlib.suppress(
             anyio.WouldBlock,
@@ -212,8 +215,8 @@
         ):
             reply.send_nowait((kind, message))
 
-    def _take_push(self, message: object) -> None:
-        handler = self._router.pushes.get(type(message))
+    def _handle_push(self, message: object) -> None:
+        handler = self._router.push_handlers.get(type(message))
         if handler is None:
             raise codec.make_frame_error(
                 f'unexpected {type(message).__name__}'
@@ -222,15 +225,15 @@
 
     async def _answer(self, number: int, message: object) -> None:
         try:
-            streaming = self._router.streaming.get(type(message))
-            if streaming is not None:
-                await self._answer_parts(number, streaming, message)
+            stream_handler = self._router.stream_handlers.get(type(message))
+            if stream_handler is not None:
+                await self._answer_stream(number, stream_handler, message)
                 return
-            slow = self._router.slow.get(type(message))
-            if slow is None:
+            async_handler = self._router.async_handlers.get(type(message))
+            if async_handler is None:
                 name = type(message).__name__
                 raise codec.make_frame_error(f'unexpected {name}')
-            reply = await slow(message, self.incarnation)
+            reply = await async_handler(message, self.incarnation)
         except errors.Refused as error:
             reply = wire.Failed(error.problem.code, error.problem.text)
         except frames.CONNECTION_ERRORS:
@@ -241,10 +244,10 @@
         with contextlib.suppress(*frames.CONNECTION_ERRORS):
             await self._send(_FrameKind.REPLY, number, reply)
 
-    async def _answer_parts(
-        self, number: int, streaming: Streaming, message: object
+    async def _answer_stream(
+        self, number: int, stream_handler: StreamHandler, message: object
     ) -> None:
-        async for part in streaming(message, self.incarnation):
+        async for part in stream_handler(message, self.incarnation):
             is_end = isinstance(part, wire.AttachEnd)
             kind = _FrameKind.END if is_end else _FrameKind.PART
             await self._send(kind, number, part)
