--- a/packages/apricotstandins/src/apricotstandins/deployment.py
+++ b/packages/apricotstandins/src/apricotstandins/deployment.py
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class DaemonPlace:
+class EntryHost:
     """One entry host."""
 
     host: str
@@ -89,7 +89,7 @@
         self.runner_addresses = {
             plan.name: _make_address() for plan in self.runners
         }
-        self.daemons: dict[str, DaemonPlace] = {}
+        self.daemons: dict[str, EntryHost] = {}
         self.processes: dict[str, processes.Process] = {}
         self.author_pem = signatures.make_private_key()
         self.approver_pem = signatures.make_private_key()
@@ -142,9 +142,9 @@
                 arguments.append('--checks-fencing')
         self._start(plan.name, arguments + listen)
 
-    def add_daemon(self, host: str, domain: str) -> DaemonPlace:
+    def add_daemon(self, host: str, domain: str) -> EntryHost:
         """Give a daemon its addresses."""
-        place = DaemonPlace(
+        place = EntryHost(
             host,
             domain,
             callers=_make_address(),
@@ -385,9 +385,7 @@
         self._start('relay', arguments)
         self.wait_for_http(self.relay_control, '/standin/routes')
 
-    def _find_peer_address(
-        self, viewer: DaemonPlace, place: DaemonPlace
-    ) -> str:
+    def _find_peer_address(self, viewer: EntryHost, place: EntryHost) -> str:
         name = f'{viewer.host}>{place.host}'
         return self.relays.get(name, place.peers)
 
@@ -398,7 +396,7 @@
         self.processes[f'{name}/{process.pid}'] = process
         return process
 
-    def _make_settings(self, place: DaemonPlace) -> dict[str, ty.Any]:
+    def _make_settings(self, place: EntryHost) -> dict[str, ty.Any]:
         keys = ((AUTHOR, self.author_pem), (APPROVER, self.approver_pem))
         return {
             'host': place.host,
@@ -450,7 +448,7 @@
             if place.process is not None and place.process.is_running()
         )
 
-    def _is_ready(self, place: DaemonPlace) -> bool:
+    def _is_ready(self, place: EntryHost) -> bool:
         reply = callers.call_http(place.callers, 'GET', '/readyz')
         if reply.status != 200:
             return False
