--- a/packages/apricotstandins/src/apricotstandins/deployment.py
+++ b/packages/apricotstandins/src/apricotstandins/deployment.py
@@ -94,7 +94,7 @@
         self.author_pem = signatures.make_private_key()
         self.approver_pem = signatures.make_private_key()
         # Merged into the settings of daemons that are started later.
-        self.more_settings: dict[str, ty.Any] = {'drain_grace_s': 0.3}
+        self.extra_settings: dict[str, ty.Any] = {'drain_grace_s': 0.3}
         # Merged into the ``ownership`` part of bundles.
         self.ownership: dict[str, ty.Any] = {
             'claim_shards': 4,
@@ -416,7 +416,7 @@
                 for name, pem in keys
             ],
             'trace_file': str(self.directory / f'{place.host}.spans'),
-        } | self.more_settings
+        } | self.extra_settings
 
     def _make_pools(self) -> list[dict[str, ty.Any]]:
         pools: dict[str, dict[str, ty.Any]] = {}
--- a/tests/test_bundles.py
+++ b/tests/test_bundles.py
@@ -155,7 +155,7 @@
 
     def configure(self) -> None:
         # State is repeated four times within this retention period.
-        self.system.more_settings |= {'log_retention_s': 2.0}
+        self.system.extra_settings |= {'log_retention_s': 2.0}
 
     def test_daemon_that_starts_after_records_expired(self) -> None:
         # All but the last eight records are dropped when a host is replaced:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -19,7 +19,7 @@
 
     def configure(self) -> None:
         # A directory that does not exist, and a port where nobody listens.
-        self.system.more_settings |= {
+        self.system.extra_settings |= {
             'trace_file': '/proc/nowhere/spans',
             'statsd': f'127.0.0.1:{processes.find_port()}',
         }
