--- a/bench/compare.py
+++ b/bench/compare.py
@@ -66,7 +66,7 @@
     ]
     system = deployment.Deployment(directory, plans)
     names = [name for name, _ in traces.DEPLOYMENTS['festin'].organisations]
-    system.bundle_parts['organisations'] = [
+    system.bundle_overrides['organisations'] = [
         {
             'name': name,
             'weight': 1.0,
--- a/packages/apricotstandins/src/apricotstandins/deployment.py
+++ b/packages/apricotstandins/src/apricotstandins/deployment.py
@@ -106,7 +106,7 @@
         # Merged into every pool.
         self.pool_settings: dict[str, ty.Any] = {}
         # Replaces top-level parts of every bundle.
-        self.bundle_parts: dict[str, ty.Any] = {}
+        self.bundle_overrides: dict[str, ty.Any] = {}
 
     # Starting.
 
@@ -215,7 +215,7 @@
             'routes': _make_routes({plan.pool for plan in self.runners}),
             'pools': self._make_pools(),
         }
-        return value | self.bundle_parts | changes
+        return value | self.bundle_overrides | changes
 
     def sign(
         self, value: dict[str, ty.Any], author: str = AUTHOR
