--- a/packages/apricotstandins/src/apricotstandins/deployment.py
+++ b/packages/apricotstandins/src/apricotstandins/deployment.py
@@ -326,7 +326,7 @@
                 viewer.host_list, 'POST', '/standin/lag', {'lag_s': seconds}
             )
 
-    def set_links(self, **faults: dict[str, ty.Any]) -> None:
+    def set_link_faults(self, **faults: dict[str, ty.Any]) -> None:
         """Set faults of relays by name, ``entry-1>entry-2``."""
         _call_json(self.relay_control, 'POST', '/standin/routes', faults)
 
@@ -345,12 +345,12 @@
                 'cut_forward': is_cut and (is_from or not is_one_way),
                 'cut_back': is_cut and (not is_from or not is_one_way),
             }
-        self.set_links(**faults)
+        self.set_link_faults(**faults)
 
     def cut_log(self, host: str, is_cut: bool) -> None:
         """Cut a host off from the log only, or heal it."""
         fault = {'cut_forward': is_cut, 'cut_back': is_cut}
-        self.set_links(**{f'{host}>log': fault})
+        self.set_link_faults(**{f'{host}>log': fault})
 
     def find_process(self, host: str) -> processes.Process:
         """Return a daemon's latest process; KeyError if it never had one."""
--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -514,7 +514,7 @@
 
 @fault('slow-links', heal_links)
 def slow_links(cell: Cell) -> None:
-    cell.system.set_links(
+    cell.system.set_link_faults(
         **{
             name: {'delay_s': 0.1}
             for name in cell.system.relays
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -235,7 +235,7 @@
     cell.pair = [
         host for host in cell.system.daemons if host != cell.scheduler
     ]
-    cell.system.set_links(
+    cell.system.set_link_faults(
         **{
             f'{source}>{target}': {'cut_forward': True, 'cut_back': True}
             for source, target in itertools.permutations(cell.pair)
