--- a/demo/demo.py
+++ b/demo/demo.py
@@ -118,7 +118,9 @@
     print(f'  answer  {describe_answer(reply)}')
     is_own = reply.headers.get('apricot-request') == key
     if 'prompt' in wish.body:
-        is_own = is_own and reply.is_whole(key, wish.body['max_tokens'])
+        is_own = is_own and reply.is_complete_answer(
+            key, wish.body['max_tokens']
+        )
     else:
         is_own = is_own and json.loads(reply.body)['key'] == key
     processes.wait_until(
--- a/packages/apricotstandins/src/apricotstandins/callers.py
+++ b/packages/apricotstandins/src/apricotstandins/callers.py
@@ -71,7 +71,7 @@
         """Return how many tokens came."""
         return sum(1 for line in self.read_lines() if 'index' in line)
 
-    def is_whole(self, key: str, tokens: int) -> bool:
+    def is_complete_answer(self, key: str, tokens: int) -> bool:
         """Tell whether it is the whole answer to this key and no other."""
         lines = self.read_lines()
         if self.outcome != 'complete' or len(lines) != tokens + 1:
--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -97,9 +97,9 @@
     ) -> list[deployment.RunnerPlan]:
         return [plan for plan in system.runners if plan.kind == self.kind]
 
-    def is_whole(self, reply: callers.Reply, key: str) -> bool:
+    def is_complete_answer(self, reply: callers.Reply, key: str) -> bool:
         if self.kind == 'engine':
-            return reply.is_whole(key, TOKENS)
+            return reply.is_complete_answer(key, TOKENS)
         lines = reply.read_lines()
         return reply.outcome == 'complete' and lines[0].get('key') == key
 
@@ -699,7 +699,9 @@
         wrong.append(f'last word {last.outcome} {last.code}')
     if caller.total_s > DEADLINE + 2.0:
         wrong.append(f'last word after {caller.total_s:.1f} s')
-    if last.outcome == 'complete' and not work.is_whole(last, cell.key):
+    if last.outcome == 'complete' and not work.is_complete_answer(
+        last, cell.key
+    ):
         wrong.append('the answer is not whole or not its own')
     count = count_executions(system, cell.key)
     if count > 1:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -217,7 +217,7 @@
     def check_alive(self) -> None:
         key = callers.make_key()
         reply = self.post('entry-1', 'rebuild', GOOD_BODY, key)
-        self.assertTrue(reply.is_whole(key, 2))
+        self.assertTrue(reply.is_complete_answer(key, 2))
 
 
 class TestBadPeers(systems.SystemTestCase):
--- a/tests/test_bundles.py
+++ b/tests/test_bundles.py
@@ -174,7 +174,7 @@
         key = callers.make_key()
         body = {'prompt': systems.make_prompt(20), 'max_tokens': 5}
         reply = self.post('entry-3', 'note', body, key)
-        self.assertTrue(reply.is_whole(key, 5))
+        self.assertTrue(reply.is_complete_answer(key, 5))
 
     def has_restated(self) -> bool:
         status = self.system.read_status('entry-1')
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -74,7 +74,7 @@
             self.system.set_faults(name, cut_streams=1, cut_after=3)
         key = callers.make_key()
         reply = self.post('entry-1', 'rebuild', self.body, key)
-        self.assertTrue(reply.is_whole(key, 12), reply)
+        self.assertTrue(reply.is_complete_answer(key, 12), reply)
         self.assertEqual(1, self.system.count_executions(key))
 
     def test_another_requests_answer_is_never_passed_on(self) -> None:
@@ -94,7 +94,7 @@
         self.system.set_faults('planner-2', malformed=0)
         key = callers.make_key()
         reply = self.post('entry-2', 'note', self.body, key)
-        self.assertTrue(reply.is_whole(key, 12), reply)
+        self.assertTrue(reply.is_complete_answer(key, 12), reply)
 
     def test_stop_after_a_failed_call_is_not_called_not_run(self) -> None:
         # An idempotent request was computed by one engine, whose answer
@@ -135,7 +135,7 @@
         self.system.set_faults('planner-1', is_refusing=True)
         key = callers.make_key()
         reply = self.post('entry-3', 'rebuild', self.body, key)
-        self.assertTrue(reply.is_whole(key, 12), reply)
+        self.assertTrue(reply.is_complete_answer(key, 12), reply)
         self.assertEqual('planner-2', reply.headers['apricot-runner'])
 
     def test_late_answer_goes_to_the_caller_that_comes_back(self) -> None:
@@ -146,7 +146,7 @@
         key = callers.make_key()
         self.post('entry-1', 'rebuild', self.body, key, timeout=0.4)
         reply = self.post('entry-2', 'rebuild', self.body, key)
-        self.assertTrue(reply.is_whole(key, 12), reply)
+        self.assertTrue(reply.is_complete_answer(key, 12), reply)
         self.assertEqual(1, self.system.count_executions(key))
 
     def test_service_call_that_breaks_is_not_repeated(self) -> None:
@@ -205,7 +205,7 @@
             ]
             for key, future in zip(keys, futures, strict=True):
                 reply = future.result()
-                self.assertTrue(reply.is_whole(key, 4))
+                self.assertTrue(reply.is_complete_answer(key, 4))
                 self.assertLess(reply.total_s, 30.0)
 
     def test_planned_stop_cuts_nothing(self) -> None:
@@ -219,7 +219,7 @@
                 lambda: self.read_ready('entry-1') == 503, 'not ready'
             )
             for key, future in posted.items():
-                self.assertTrue(future.result().is_whole(key, 12))
+                self.assertTrue(future.result().is_complete_answer(key, 12))
             self.assertEqual(0, process.wait())
 
     def test_second_signal_ends_with_the_truth(self) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -29,7 +29,7 @@
             key = callers.make_key()
             body = {'prompt': 'a b c', 'max_tokens': 4}
             reply = self.post('entry-1', 'rebuild', body, key)
-            self.assertTrue(reply.is_whole(key, 4))
+            self.assertTrue(reply.is_complete_answer(key, 4))
 
     def test_bad_settings_end_with_the_remedy(self) -> None:
         path = self.system.directory / 'bad.yaml'
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -15,7 +15,7 @@
                 key = callers.make_key()
                 body = {'prompt': systems.make_prompt(50), 'max_tokens': 9}
                 reply = self.post(host, route, body, key)
-                self.assertTrue(reply.is_whole(key, 9), reply)
+                self.assertTrue(reply.is_complete_answer(key, 9), reply)
                 self.assertEqual(1, self.system.count_executions(key))
 
     def test_service_answer_is_its_callers_own(self) -> None:
