--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -301,7 +301,7 @@
             {'prompt': 'a b c', 'max_tokens': 1},
             callers.make_key(),
         )
-        through.append(reply.first_s)
+        through.append(reply.first_byte_s)
     for name, values in (('direct', direct), ('through', through)):
         cuts = statistics.quantiles(values, n=100)
         click.echo(
@@ -324,7 +324,7 @@
     reply = callers.call_http(
         system.runner_addresses['planner-1'], 'POST', '/v1/generate', body
     )
-    return reply.first_s
+    return reply.first_byte_s
 
 
 def time_requests(
--- a/packages/apricotstandins/src/apricotstandins/callers.py
+++ b/packages/apricotstandins/src/apricotstandins/callers.py
@@ -39,7 +39,7 @@
     # What broke the connection, if anything did.
     error: str = ''
     # Seconds until the first byte and until the end.
-    first_s: float = 0.0
+    first_byte_s: float = 0.0
     total_s: float = 0.0
 
     def read_lines(self) -> list[dict[str, ty.Any]]:
@@ -108,7 +108,7 @@
         }
         while part := response.read1(65_536):
             if not reply.body:
-                reply.first_s = time.monotonic() - started
+                reply.first_byte_s = time.monotonic() - started
             reply.body += part
     except (OSError, http.client.HTTPException) as error:
         reply.error = repr(error)
