--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -290,12 +290,12 @@
 
 def measure_path(system: deployment.Deployment, pids: list[int]) -> None:
     """Print added latency, and processor time a request and a token."""
-    place = system.daemons['entry-1']
+    entry_host = system.daemons['entry-1']
     direct = [post_direct(system, number) for number in range(200)]
     through = []
     for _ in range(200):
         reply = callers.post_request(
-            place.callers,
+            entry_host.callers,
             'note',
             deployment.FESTIN_TOKEN,
             {'prompt': 'a b c', 'max_tokens': 1},
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -99,8 +99,8 @@
         try:
             system.start_all()
             daemons = [
-                addresses.parse_address(place.callers)
-                for place in system.daemons.values()
+                addresses.parse_address(entry_host.callers)
+                for entry_host in system.daemons.values()
             ]
             tokens = {org: f'token-{org}' for org, _ in plan.organisations}
             replay = replaying.Replay(lines, daemons, tokens, run.is_storming)
--- a/demo/demo.py
+++ b/demo/demo.py
@@ -162,8 +162,8 @@
     system.publish_hosts()
     for host in system.daemons:
         system.start_daemon(host)
-    for place in system.daemons.values():
-        system.wait_for_http(place.callers, '/healthz')
+    for entry_host in system.daemons.values():
+        system.wait_for_http(entry_host.callers, '/healthz')
     submit_bundle(system)
     system.wait_ready()
     results = [show_wish(system, wish) for wish in WISHES]
--- a/packages/apricotstandins/src/apricotstandins/deployment.py
+++ b/packages/apricotstandins/src/apricotstandins/deployment.py
@@ -113,12 +113,12 @@
     def start_platform(self) -> None:
         """Start log and host lists, and relays if there are any."""
         arguments = ['apricotstandins', 'platform', '--log', self.log]
-        for place in self.daemons.values():
-            arguments += ['--hosts', place.host_list]
+        for entry_host in self.daemons.values():
+            arguments += ['--hosts', entry_host.host_list]
         self._start('platform', arguments)
         self.wait_for_http(self.log, '/standin/faults')
-        for place in self.daemons.values():
-            self.wait_for_http(place.host_list, '/hosts')
+        for entry_host in self.daemons.values():
+            self.wait_for_http(entry_host.host_list, '/hosts')
         if self.has_relays:
             self._start_relays()
 
@@ -144,7 +144,7 @@
 
     def add_daemon(self, host: str, domain: str) -> EntryHost:
         """Give a daemon its addresses."""
-        place = EntryHost(
+        entry_host = EntryHost(
             host,
             domain,
             callers=_make_address(),
@@ -152,15 +152,15 @@
             operators=_make_address(),
             host_list=_make_address(),
         )
-        self.daemons[host] = place
-        return place
+        self.daemons[host] = entry_host
+        return entry_host
 
     def start_daemon(self, host: str) -> None:
         """Start a daemon; ``wait_ready`` waits for it."""
-        place = self.daemons[host]
+        entry_host = self.daemons[host]
         path = self.directory / f'{host}.yaml'
-        path.write_text(yaml.safe_dump(self._make_settings(place)))
-        place.process = self._start(
+        path.write_text(yaml.safe_dump(self._make_settings(entry_host)))
+        entry_host.process = self._start(
             host, ['apricotlandingd.command', '--settings', str(path)]
         )
 
@@ -173,8 +173,8 @@
         self.publish_hosts()
         for host in self.daemons:
             self.start_daemon(host)
-        for place in self.daemons.values():
-            self.wait_for_http(place.callers, '/healthz')
+        for entry_host in self.daemons.values():
+            self.wait_for_http(entry_host.callers, '/healthz')
         self.submit(self.make_bundle(1, 0))
         self.wait_ready()
 
@@ -244,9 +244,9 @@
         author: str = AUTHOR,
     ) -> callers.Reply:
         """Submit a bundle through a daemon, the first if none is named."""
-        place = self.daemons[host or next(iter(self.daemons))]
+        entry_host = self.daemons[host or next(iter(self.daemons))]
         return self.call_operator(
-            place.host,
+            entry_host.host,
             'POST',
             '/v1/bundle',
             submissions.encode_submission(self.sign(value, author)),
@@ -298,12 +298,12 @@
         for viewer in self.daemons.values():
             hosts: list[dict[str, ty.Any]] = [
                 {
-                    'name': place.host,
-                    'state': place.state,
-                    'domain': place.domain,
-                    'peers': self._find_peer_address(viewer, place),
+                    'name': entry_host.host,
+                    'state': entry_host.state,
+                    'domain': entry_host.domain,
+                    'peers': self._find_peer_address(viewer, entry_host),
                 }
-                for place in self.daemons.values()
+                for entry_host in self.daemons.values()
             ]
             hosts += [
                 {'name': plan.name, 'state': 'live', 'domain': plan.domain}
@@ -374,9 +374,9 @@
         arguments += ['--control', self.relay_control]
         for source in self.daemons.values():
             targets = {
-                place.host: place.peers
-                for place in self.daemons.values()
-                if place is not source
+                entry_host.host: entry_host.peers
+                for entry_host in self.daemons.values()
+                if entry_host is not source
             }
             for target, address in (targets | {'log': self.log}).items():
                 name = f'{source.host}>{target}'
@@ -385,9 +385,11 @@
         self._start('relay', arguments)
         self.wait_for_http(self.relay_control, '/standin/routes')
 
-    def _find_peer_address(self, viewer: EntryHost, place: EntryHost) -> str:
-        name = f'{viewer.host}>{place.host}'
-        return self.relays.get(name, place.peers)
+    def _find_peer_address(
+        self, viewer: EntryHost, entry_host: EntryHost
+    ) -> str:
+        name = f'{viewer.host}>{entry_host.host}'
+        return self.relays.get(name, entry_host.peers)
 
     def _start(self, name: str, arguments: list[str]) -> processes.Process:
         process = processes.Process(
@@ -396,16 +398,16 @@
         self.processes[f'{name}/{process.pid}'] = process
         return process
 
-    def _make_settings(self, place: EntryHost) -> dict[str, ty.Any]:
+    def _make_settings(self, entry_host: EntryHost) -> dict[str, ty.Any]:
         keys = ((AUTHOR, self.author_pem), (APPROVER, self.approver_pem))
         return {
-            'host': place.host,
-            'domain': place.domain,
-            'callers': place.callers,
-            'peers': place.peers,
-            'operators_listen': place.operators,
-            'log': self.relays.get(f'{place.host}>log', self.log),
-            'host_list': place.host_list,
+            'host': entry_host.host,
+            'domain': entry_host.domain,
+            'callers': entry_host.callers,
+            'peers': entry_host.peers,
+            'operators_listen': entry_host.operators,
+            'log': self.relays.get(f'{entry_host.host}>log', self.log),
+            'host_list': entry_host.host_list,
             'peer_key': PEER_KEY,
             'operator_token_sha256': [bundle.hash_token(OPERATOR_TOKEN)],
             'operators': [
@@ -415,7 +417,7 @@
                 }
                 for name, pem in keys
             ],
-            'trace_file': str(self.directory / f'{place.host}.spans'),
+            'trace_file': str(self.directory / f'{entry_host.host}.spans'),
         } | self.extra_settings
 
     def _make_pools(self) -> list[dict[str, ty.Any]]:
@@ -443,16 +445,17 @@
 
     def _are_ready(self) -> bool:
         return all(
-            self._is_ready(place)
-            for place in self.daemons.values()
-            if place.process is not None and place.process.is_running()
+            self._is_ready(entry_host)
+            for entry_host in self.daemons.values()
+            if entry_host.process is not None
+            and entry_host.process.is_running()
         )
 
-    def _is_ready(self, place: EntryHost) -> bool:
-        reply = callers.call_http(place.callers, 'GET', '/readyz')
+    def _is_ready(self, entry_host: EntryHost) -> bool:
+        reply = callers.call_http(entry_host.callers, 'GET', '/readyz')
         if reply.status != 200:
             return False
-        shards = self.read_status(place.host).get('shards', {})
+        shards = self.read_status(entry_host.host).get('shards', {})
         pools = {plan.pool for plan in self.runners}
         expected = self.ownership['claim_shards'] + len(pools)
         if len(shards) < expected:
--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -244,10 +244,10 @@
             self.system.set_faults(plan.name, **self.work.calm)
 
     def restart_dead(self) -> None:
-        for host, place in self.system.daemons.items():
+        for host, entry_host in self.system.daemons.items():
             if not self.system.find_process(host).is_running():
                 self.system.start_daemon(host)
-                self.system.wait_for_http(place.callers, '/healthz')
+                self.system.wait_for_http(entry_host.callers, '/healthz')
 
     def slow_runners(self) -> None:
         for plan in self.work.list_plans(self.system):
@@ -440,9 +440,9 @@
 
 
 def resume_all(cell: Cell) -> None:
-    for place in cell.system.daemons.values():
-        if place.process is not None:
-            place.process.resume()
+    for entry_host in cell.system.daemons.values():
+        if entry_host.process is not None:
+            entry_host.process.resume()
 
 
 def heal_links(cell: Cell) -> None:
