--- a/packages/apricotstandins/src/apricotstandins/processes.py
+++ b/packages/apricotstandins/src/apricotstandins/processes.py
@@ -30,7 +30,7 @@
 
 # Seconds that anything here may take before it counts as failed; generous,
 # for machines that are busy.
-PATIENCE = 30.0
+DEFAULT_TIMEOUT_S = 30.0
 
 
 def find_port() -> int:
@@ -67,7 +67,9 @@
 
 
 def wait_until(
-    is_true: ty.Callable[[], bool], what: str, patience: float = PATIENCE
+    is_true: ty.Callable[[], bool],
+    what: str,
+    patience: float = DEFAULT_TIMEOUT_S,
 ) -> None:
     """Poll until something is true; AssertionError if it never is."""
     end = time.monotonic() + patience
@@ -125,14 +127,14 @@
         """Let it go on."""
         self.send(signal.SIGCONT)
 
-    def wait(self, patience: float = PATIENCE) -> int:
+    def wait(self, patience: float = DEFAULT_TIMEOUT_S) -> int:
         """Return its exit code; AssertionError if it does not end."""
         try:
             return self._process.wait(patience)
         except subprocess.TimeoutExpired:
             raise AssertionError(f'{self.name} did not end') from None
 
-    def terminate(self, patience: float = PATIENCE) -> int:
+    def terminate(self, patience: float = DEFAULT_TIMEOUT_S) -> int:
         """Ask it to stop gracefully; return its exit code."""
         self.send(signal.SIGTERM)
         return self.wait(patience)
