--- a/packages/apricotstandins/src/apricotstandins/processes.py
+++ b/packages/apricotstandins/src/apricotstandins/processes.py
@@ -69,13 +69,13 @@
 def wait_until(
     is_true: ty.Callable[[], bool],
     what: str,
-    patience: float = DEFAULT_TIMEOUT_S,
+    timeout_s: float = DEFAULT_TIMEOUT_S,
 ) -> None:
     """Poll until something is true; AssertionError if it never is."""
-    end = time.monotonic() + patience
+    end = time.monotonic() + timeout_s
     while not is_true():
         if time.monotonic() > end:
-            raise AssertionError(f'{what}: not within {patience} s')
+            raise AssertionError(f'{what}: not within {timeout_s} s')
         time.sleep(0.02)
 
 
@@ -127,17 +127,17 @@
         """Let it go on."""
         self.send(signal.SIGCONT)
 
-    def wait(self, patience: float = DEFAULT_TIMEOUT_S) -> int:
+    def wait(self, timeout_s: float = DEFAULT_TIMEOUT_S) -> int:
         """Return its exit code; AssertionError if it does not end."""
         try:
-            return self._process.wait(patience)
+            return self._process.wait(timeout_s)
         except subprocess.TimeoutExpired:
             raise AssertionError(f'{self.name} did not end') from None
 
-    def terminate(self, patience: float = DEFAULT_TIMEOUT_S) -> int:
+    def terminate(self, timeout_s: float = DEFAULT_TIMEOUT_S) -> int:
         """Ask it to stop gracefully; return its exit code."""
         self.send(signal.SIGTERM)
-        return self.wait(patience)
+        return self.wait(timeout_s)
 
     def read_output(self) -> str:
         """Return what it has written so far."""
