--- a/packages/apricotstandins/src/apricotstandins/processes.py
+++ b/packages/apricotstandins/src/apricotstandins/processes.py
@@ -24,7 +24,7 @@
 # a test run is killed they live on and keep calling the addresses of those
 # that ended, and a stand-in of the next run would read their messages. The
 # block is free again when the last of them has ended.
-_BLOCK = 100
+_PORTS_PER_BLOCK = 100
 _guards: list[socket.socket] = []
 _free: list[int] = []
 
@@ -44,13 +44,13 @@
 
 
 def _reserve_block() -> list[int]:
-    starts = list(range(_FIRST_PORT, _LAST_PORT, _BLOCK))
+    starts = list(range(_FIRST_PORT, _LAST_PORT, _PORTS_PER_BLOCK))
     random.shuffle(starts)
     for start in starts:
         guard = _try_bind(start, is_kept=True)
         if guard is not None:
             _guards.append(guard)
-            return list(range(start + 1, start + _BLOCK))
+            return list(range(start + 1, start + _PORTS_PER_BLOCK))
     raise OSError('every block of ports is taken')
 
 
