--- a/packages/apricotstandins/src/apricotstandins/processes.py
+++ b/packages/apricotstandins/src/apricotstandins/processes.py
@@ -25,7 +25,7 @@
 # that ended, and a stand-in of the next run would read their messages. The
 # block is free again when the last of them has ended.
 _PORTS_PER_BLOCK = 100
-_guards: list[socket.socket] = []
+_block_guards: list[socket.socket] = []
 _free: list[int] = []
 
 # Seconds that anything here may take before it counts as failed; generous,
@@ -49,7 +49,7 @@
     for start in starts:
         guard = _try_bind(start, is_kept=True)
         if guard is not None:
-            _guards.append(guard)
+            _block_guards.append(guard)
             return list(range(start + 1, start + _PORTS_PER_BLOCK))
     raise OSError('every block of ports is taken')
 
@@ -97,7 +97,7 @@
                 stdin=subprocess.DEVNULL,
                 stdout=file,
                 stderr=file,
-                pass_fds=[guard.fileno() for guard in _guards],
+                pass_fds=[guard.fileno() for guard in _block_guards],
             )
 
     @property
