--- a/packages/apricotstandins/src/apricotstandins/processes.py
+++ b/packages/apricotstandins/src/apricotstandins/processes.py
@@ -26,7 +26,7 @@
 # block is free again when the last of them has ended.
 _PORTS_PER_BLOCK = 100
 _block_guards: list[socket.socket] = []
-_free: list[int] = []
+_free_ports: list[int] = []
 
 # Seconds that anything here may take before it counts as failed; generous,
 # for machines that are busy.
@@ -36,9 +36,9 @@
 def find_port() -> int:
     """Return a loopback port that is free and was not returned before."""
     while True:
-        if not _free:
-            _free.extend(_reserve_block())
-        port = _free.pop()
+        if not _free_ports:
+            _free_ports.extend(_reserve_block())
+        port = _free_ports.pop()
         if _try_bind(port) is not None:
             return port
 
