--- a/packages/apricotstandins/src/apricotstandins/processes.py
+++ b/packages/apricotstandins/src/apricotstandins/processes.py
@@ -90,7 +90,7 @@
         self.name = name
         self.output = output
         # What processes before it have written to the same file.
-        self._begin = output.stat().st_size if output.exists() else 0
+        self._output_start = output.stat().st_size if output.exists() else 0
         with output.open('ab') as file:
             self._process = subprocess.Popen(
                 [sys.executable, '-m', *arguments],
@@ -141,5 +141,5 @@
 
     def read_output(self) -> str:
         """Return what it has written so far."""
-        written = self.output.read_bytes()[self._begin :]
+        written = self.output.read_bytes()[self._output_start :]
         return written.decode(errors='replace')
