--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Work:
+class Sequence:
     """One request in the engine."""
 
     request: str
@@ -136,9 +136,9 @@
         self.cache_hits = 0
         self.epoch = 0
         self.orders: list[dict[str, ty.Any]] = []
-        self._works: dict[str, Work] = {}
-        self._waiting: collections.deque[Work] = collections.deque()
-        self._batch: list[Work] = []
+        self._works: dict[str, Sequence] = {}
+        self._waiting: collections.deque[Sequence] = collections.deque()
+        self._batch: list[Sequence] = []
         self._cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
@@ -169,7 +169,7 @@
                 break
             self._batch.append(self._waiting.popleft())
 
-    async def _prefill(self, work: Work) -> None:
+    async def _prefill(self, work: Sequence) -> None:
         if work.is_cancelled:
             self._drop(work)
             return
@@ -230,7 +230,7 @@
                 )
                 self._drop(work)
 
-    def _drop(self, work: Work) -> None:
+    def _drop(self, work: Sequence) -> None:
         if work in self._batch:
             self._batch.remove(work)
         work.wake()
@@ -298,7 +298,7 @@
             )
             return
         words = str(value['prompt']).split()
-        work = Work(
+        work = Sequence(
             request=value['request'],
             key=value.get('key', ''),
             prompt_tokens=max(1, len(words)),
@@ -323,7 +323,9 @@
         query = urllib.parse.parse_qs(scope['query_string'].decode())
         await self._stream(work, int(query.get('from', ['0'])[0]), send)
 
-    async def _stream(self, work: Work, start: int, send: asgi.Send) -> None:
+    async def _stream(
+        self, work: Sequence, start: int, send: asgi.Send
+    ) -> None:
         cut_after = None
         if self.faults.cut_streams > 0:
             self.faults.cut_streams -= 1
