--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -157,7 +157,11 @@
                 await anyio.sleep(0.05)
                 continue
             self._admit_waiting()
-            fresh = [work for work in self._batch if not work.is_prefilled]
+            fresh = [
+                sequence
+                for sequence in self._batch
+                if not sequence.is_prefilled
+            ]
             if fresh:
                 await self._prefill(fresh[0])
                 continue
@@ -169,28 +173,28 @@
                 break
             self._batch.append(self._waiting.popleft())
 
-    async def _prefill(self, work: Sequence) -> None:
-        if work.is_cancelled:
-            self._drop(work)
+    async def _prefill(self, sequence: Sequence) -> None:
+        if sequence.is_cancelled:
+            self._drop(sequence)
             return
         cached = 0
-        for block in work.blocks:
+        for block in sequence.blocks:
             if block not in self._cache:
                 break
             self._cache.move_to_end(block)
             cached += 1
         self.cache_hits += cached * BLOCK
-        work.cached_tokens = min(cached * BLOCK, work.prompt_tokens)
-        tokens = work.prompt_tokens - work.cached_tokens
-        if work.key:
-            self.executions[work.key] += 1
+        sequence.cached_tokens = min(cached * BLOCK, sequence.prompt_tokens)
+        tokens = sequence.prompt_tokens - sequence.cached_tokens
+        if sequence.key:
+            self.executions[sequence.key] += 1
         await self._spend(tokens / self.speed.prefill_tokens_s)
         self.prefill_computed += tokens
-        if self.executions[work.key] > 1:
+        if self.executions[sequence.key] > 1:
             self.prefill_wasted += tokens
-        for block in work.blocks:
+        for block in sequence.blocks:
             self._cache_block(block)
-        work.is_prefilled = True
+        sequence.is_prefilled = True
 
     def _cache_block(self, block: int) -> None:
         now = clocks.read_monotonic()
@@ -207,33 +211,33 @@
         await self._spend(
             self.speed.step_s + count * self.speed.step_per_request_s
         )
-        for work in list(self._batch):
-            if work.is_cancelled:
-                if not work.is_done:
+        for sequence in list(self._batch):
+            if sequence.is_cancelled:
+                if not sequence.is_done:
                     self.prefill_wasted += (
-                        work.prompt_tokens - work.cached_tokens
+                        sequence.prompt_tokens - sequence.cached_tokens
                     )
-                self._drop(work)
+                self._drop(sequence)
                 continue
-            index = len(work.lines)
-            work.add_line({'index': index, 'text': f'w{index} '})
-            if index + 1 >= work.max_tokens:
-                work.is_done = True
-                work.add_line(
+            index = len(sequence.lines)
+            sequence.add_line({'index': index, 'text': f'w{index} '})
+            if index + 1 >= sequence.max_tokens:
+                sequence.is_done = True
+                sequence.add_line(
                     {
                         'end': True,
-                        'prompt_tokens': work.prompt_tokens,
-                        'cached_tokens': work.cached_tokens,
-                        'output_tokens': work.max_tokens,
+                        'prompt_tokens': sequence.prompt_tokens,
+                        'cached_tokens': sequence.cached_tokens,
+                        'output_tokens': sequence.max_tokens,
                         'engine': self.name,
                     }
                 )
-                self._drop(work)
+                self._drop(sequence)
 
-    def _drop(self, work: Sequence) -> None:
-        if work in self._batch:
-            self._batch.remove(work)
-        work.wake()
+    def _drop(self, sequence: Sequence) -> None:
+        if sequence in self._batch:
+            self._batch.remove(sequence)
+        sequence.wake()
 
     async def _spend(self, seconds: float) -> None:
         self._record_load()
@@ -246,7 +250,8 @@
             'running': len(self._batch),
             'queued': len(self._waiting),
             'tokens': sum(
-                work.prompt_tokens + len(work.lines) for work in self._batch
+                sequence.prompt_tokens + len(sequence.lines)
+                for sequence in self._batch
             ),
         }
         self._reports.append((now, report))
@@ -298,39 +303,39 @@
             )
             return
         words = str(value['prompt']).split()
-        work = Sequence(
+        sequence = Sequence(
             request=value['request'],
             key=value.get('key', ''),
             prompt_tokens=max(1, len(words)),
             blocks=hash_blocks(words),
             max_tokens=int(value['max_tokens']),
         )
-        self._works[work.request] = work
-        self.accepted[work.key] += 1
-        self.accepted_at.setdefault(work.key, clocks.read_monotonic())
-        self._waiting.append(work)
+        self._works[sequence.request] = sequence
+        self.accepted[sequence.key] += 1
+        self.accepted_at.setdefault(sequence.key, clocks.read_monotonic())
+        self._waiting.append(sequence)
         arrival, self._arrival = self._arrival, anyio.Event()
         arrival.set()
-        await self._stream(work, 0, send)
+        await self._stream(sequence, 0, send)
 
     async def _resume(
         self, name: str, scope: asgi.Scope, send: asgi.Send
     ) -> None:
-        work = self._works.get(name)
-        if work is None:
+        sequence = self._works.get(name)
+        if sequence is None:
             await asgi.send_json(send, 404, {'error': 'unknown request'})
             return
         query = urllib.parse.parse_qs(scope['query_string'].decode())
-        await self._stream(work, int(query.get('from', ['0'])[0]), send)
+        await self._stream(sequence, int(query.get('from', ['0'])[0]), send)
 
     async def _stream(
-        self, work: Sequence, start: int, send: asgi.Send
+        self, sequence: Sequence, start: int, send: asgi.Send
     ) -> None:
         cut_after = None
         if self.faults.cut_streams > 0:
             self.faults.cut_streams -= 1
             cut_after = start + self.faults.cut_after
-        name = work.request
+        name = sequence.request
         if self.faults.wrong_names > 0:
             self.faults.wrong_names -= 1
             name = 'another'
@@ -346,27 +351,27 @@
                 # Leaving without a last part makes the server cut the
                 # connection.
                 raise ConnectionAbortedError('cut by the stand-in')
-            if position < len(work.lines):
-                line = work.lines[position]
+            if position < len(sequence.lines):
+                line = sequence.lines[position]
                 position += 1
-                if name != work.request:
-                    line = line.replace(work.request.encode(), b'another')
+                if name != sequence.request:
+                    line = line.replace(sequence.request.encode(), b'another')
                 if is_malformed:
                     line = line[: len(line) // 2] + b'\n'
                 await asgi.send_body_part(send, line)
                 continue
-            if work.is_done or work.is_cancelled:
+            if sequence.is_done or sequence.is_cancelled:
                 break
-            await work.news.wait()
+            await sequence.news.wait()
         await asgi.send_body_part(send, b'', is_last=True)
 
     async def _cancel(self, name: str, send: asgi.Send) -> None:
-        work = self._works.get(name)
-        if work is not None:
-            work.is_cancelled = True
-            if work in self._waiting:
-                self._waiting.remove(work)
-            work.wake()
+        sequence = self._works.get(name)
+        if sequence is not None:
+            sequence.is_cancelled = True
+            if sequence in self._waiting:
+                self._waiting.remove(sequence)
+            sequence.wake()
         await asgi.send_json(send, 200, {})
 
     async def _take_order(
