--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -136,7 +136,7 @@
         self.cache_hits = 0
         self.epoch = 0
         self.orders: list[dict[str, ty.Any]] = []
-        self._works: dict[str, Sequence] = {}
+        self._sequences: dict[str, Sequence] = {}
         self._waiting: collections.deque[Sequence] = collections.deque()
         self._batch: list[Sequence] = []
         self._cache: collections.OrderedDict[int, None] = (
@@ -310,7 +310,7 @@
             blocks=hash_blocks(words),
             max_tokens=int(value['max_tokens']),
         )
-        self._works[sequence.request] = sequence
+        self._sequences[sequence.request] = sequence
         self.accepted[sequence.key] += 1
         self.accepted_at.setdefault(sequence.key, clocks.read_monotonic())
         self._waiting.append(sequence)
@@ -321,7 +321,7 @@
     async def _resume(
         self, name: str, scope: asgi.Scope, send: asgi.Send
     ) -> None:
-        sequence = self._works.get(name)
+        sequence = self._sequences.get(name)
         if sequence is None:
             await asgi.send_json(send, 404, {'error': 'unknown request'})
             return
@@ -366,7 +366,7 @@
         await asgi.send_body_part(send, b'', is_last=True)
 
     async def _cancel(self, name: str, send: asgi.Send) -> None:
-        sequence = self._works.get(name)
+        sequence = self._sequences.get(name)
         if sequence is not None:
             sequence.is_cancelled = True
             if sequence in self._waiting:
