--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -9,7 +9,7 @@
   in the batch, and gives each of them one token;
 * a generation factor multiplies both; straggling multiplies them again.
 
-The prompt is divided into blocks of ``BLOCK`` words; a block is cached under
+The prompt is divided into blocks of ``BLOCK_WORDS`` words; a block is cached under
 the hash of itself and all before it, least recently used first out.
 
 The witness (``/standin/witness``) counts executions by key and prefill
@@ -33,7 +33,7 @@
 __all__ = ['Engine', 'Speed', 'hash_blocks']
 
 # Words in a cache block.
-BLOCK = 16
+BLOCK_WORDS = 16
 
 
 @ty.final
@@ -106,8 +106,8 @@
     """Return the hash chain of a prompt's full blocks."""
     chain = []
     hasher = xxhash.xxh3_64()
-    for start in range(0, len(words) - BLOCK + 1, BLOCK):
-        hasher.update('\0'.join(words[start : start + BLOCK]).encode())
+    for start in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
+        hasher.update('\0'.join(words[start : start + BLOCK_WORDS]).encode())
         chain.append(hasher.intdigest() >> 1)
     return chain
 
@@ -183,8 +183,10 @@
                 break
             self._cache.move_to_end(block)
             cached += 1
-        self.cache_hits += cached * BLOCK
-        sequence.cached_tokens = min(cached * BLOCK, sequence.prompt_tokens)
+        self.cache_hits += cached * BLOCK_WORDS
+        sequence.cached_tokens = min(
+            cached * BLOCK_WORDS, sequence.prompt_tokens
+        )
         tokens = sequence.prompt_tokens - sequence.cached_tokens
         if sequence.key:
             self.executions[sequence.key] += 1
