--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -90,7 +90,7 @@
     is_prefilled: bool = False
     is_done: bool = False
     is_cancelled: bool = False
-    news: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    updated: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
     def add_line(self, value: dict[str, ty.Any]) -> None:
         data = json.dumps({'request': self.request} | value)
@@ -98,8 +98,8 @@
         self.wake()
 
     def wake(self) -> None:
-        news, self.news = self.news, anyio.Event()
-        news.set()
+        updated, self.updated = self.updated, anyio.Event()
+        updated.set()
 
 
 def hash_blocks(words: list[str]) -> list[int]:
@@ -364,7 +364,7 @@
                 continue
             if sequence.is_done or sequence.is_cancelled:
                 break
-            await sequence.news.wait()
+            await sequence.updated.wait()
         await asgi.send_body_part(send, b'', is_last=True)
 
     async def _cancel(self, name: str, send: asgi.Send) -> None:
