--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -190,7 +190,7 @@
         tokens = sequence.prompt_tokens - sequence.cached_tokens
         if sequence.key:
             self.executions[sequence.key] += 1
-        await self._spend(tokens / self.speed.prefill_tokens_s)
+        await self._sleep_scaled(tokens / self.speed.prefill_tokens_s)
         self.prefill_computed += tokens
         if self.executions[sequence.key] > 1:
             self.prefill_wasted += tokens
@@ -210,7 +210,7 @@
 
     async def _decode_step(self) -> None:
         count = len(self._batch)
-        await self._spend(
+        await self._sleep_scaled(
             self.speed.step_s + count * self.speed.step_per_request_s
         )
         for sequence in list(self._batch):
@@ -241,7 +241,7 @@
             self._batch.remove(sequence)
         sequence.wake()
 
-    async def _spend(self, seconds: float) -> None:
+    async def _sleep_scaled(self, seconds: float) -> None:
         self._record_load()
         factor = self.speed.generation_factor * self.faults.straggle
         await anyio.sleep(seconds * factor)
