--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -146,13 +146,13 @@
             collections.deque()
         )
         self._events: list[tuple[float, dict[str, ty.Any]]] = []
-        self._arrival = anyio.Event()
+        self._arrived = anyio.Event()
 
     async def run_batches(self) -> None:
         """Compute until cancelled: one prefill or one decode step a turn."""
         while True:
             if not self._batch and not self._waiting:
-                await self._arrival.wait()
+                await self._arrived.wait()
             if self.faults.is_frozen:
                 await anyio.sleep(0.05)
                 continue
@@ -316,7 +316,7 @@
         self.accepted[sequence.key] += 1
         self.accepted_at.setdefault(sequence.key, clocks.read_monotonic())
         self._waiting.append(sequence)
-        arrival, self._arrival = self._arrival, anyio.Event()
+        arrival, self._arrived = self._arrived, anyio.Event()
         arrival.set()
         await self._stream(sequence, 0, send)
 
--- a/packages/apricotstandins/src/apricotstandins/logservice.py
+++ b/packages/apricotstandins/src/apricotstandins/logservice.py
@@ -52,7 +52,7 @@
         self.appends = 0
         self._first = 0
         self._records: list[bytes] = []
-        self._arrival = anyio.Event()
+        self._arrived = anyio.Event()
 
     async def __call__(
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
@@ -105,7 +105,7 @@
         self.appends += 1
         self._records.append(body)
         self._trim()
-        arrival, self._arrival = self._arrival, anyio.Event()
+        arrival, self._arrived = self._arrived, anyio.Event()
         arrival.set()
         return self._first + len(self._records) - 1
 
@@ -124,7 +124,7 @@
         wait_s = int(query.get('wait_ms', ['0'])[0]) / 1000.0
         end = self._first + len(self._records)
         if start >= end:
-            arrival = self._arrival
+            arrival = self._arrived
             with anyio.move_on_after(wait_s):
                 await arrival.wait()
         if self.faults.is_out:
