--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -157,13 +157,13 @@
                 await anyio.sleep(0.05)
                 continue
             self._admit_waiting()
-            fresh = [
+            unprefilled = [
                 sequence
                 for sequence in self._batch
                 if not sequence.is_prefilled
             ]
-            if fresh:
-                await self._prefill(fresh[0])
+            if unprefilled:
+                await self._prefill(unprefilled[0])
                 continue
             await self._decode_step()
 
