--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -205,8 +205,8 @@
         self._cache[block] = None
         self._cache.move_to_end(block)
         if len(self._cache) > self.speed.cache_blocks:
-            gone, _ = self._cache.popitem(last=False)
-            self._events.append((now, {'kind': 'evicted', 'block': gone}))
+            evicted, _ = self._cache.popitem(last=False)
+            self._events.append((now, {'kind': 'evicted', 'block': evicted}))
 
     async def _decode_step(self) -> None:
         count = len(self._batch)
