--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -408,8 +408,8 @@
                 break
             position += 1
             if self.speed.event_loss > 0.0:
-                mark = xxhash.xxh3_64_intdigest(b'%d' % position) % 1000
-                if mark < 1000 * self.speed.event_loss:
+                hash_value = xxhash.xxh3_64_intdigest(b'%d' % position) % 1000
+                if hash_value < 1000 * self.speed.event_loss:
                     continue
             found.append(event)
         await asgi.send_json(send, 200, {'next': position, 'events': found})
