--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -281,7 +281,7 @@
         elif path == '/v1/cache-events':
             await self._show_events(scope, send)
         elif path == '/v1/orders' and method == 'POST':
-            await self._take_order(json.loads(body), send)
+            await self._accept_order(json.loads(body), send)
         elif path == '/standin/faults':
             if body:
                 self.faults = dataclasses.replace(
@@ -376,7 +376,7 @@
             sequence.wake()
         await asgi.send_json(send, 200, {})
 
-    async def _take_order(
+    async def _accept_order(
         self, order: dict[str, ty.Any], send: asgi.Send
     ) -> None:
         epoch = int(order['epoch'])
