--- a/packages/apricotstandins/src/apricotstandins/hostservice.py
+++ b/packages/apricotstandins/src/apricotstandins/hostservice.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         """Start with an empty list and no lag."""
         self._lag_s = 0.0
-        self._now: list[dict[str, ty.Any]] = []
+        self._hosts: list[dict[str, ty.Any]] = []
         # Changes that do not show yet: (time to show, list).
         self._coming: list[tuple[float, list[dict[str, ty.Any]]]] = []
         self._shown: list[dict[str, ty.Any]] = []
@@ -53,12 +53,12 @@
         return self._shown
 
     def _change(self, hosts: list[dict[str, ty.Any]], now: float) -> None:
-        self._now = hosts
+        self._hosts = hosts
         self._coming.append((now + self._lag_s, hosts))
 
     def _replace(self, change: dict[str, ty.Any]) -> list[dict[str, ty.Any]]:
         hosts = []
-        for host in self._now:
+        for host in self._hosts:
             if host['name'] != change['name']:
                 hosts.append(host)
                 continue
