--- a/packages/apricotstandins/src/apricotstandins/hostservice.py
+++ b/packages/apricotstandins/src/apricotstandins/hostservice.py
@@ -23,7 +23,7 @@
         self._lag_s = 0.0
         self._hosts: list[dict[str, ty.Any]] = []
         # Changes that do not show yet: (time to show, list).
-        self._coming: list[tuple[float, list[dict[str, ty.Any]]]] = []
+        self._pending: list[tuple[float, list[dict[str, ty.Any]]]] = []
         self._shown: list[dict[str, ty.Any]] = []
 
     async def __call__(
@@ -48,13 +48,13 @@
         await asgi.send_json(send, 200, {})
 
     def _show(self, now: float) -> list[dict[str, ty.Any]]:
-        while self._coming and self._coming[0][0] <= now:
-            _, self._shown = self._coming.pop(0)
+        while self._pending and self._pending[0][0] <= now:
+            _, self._shown = self._pending.pop(0)
         return self._shown
 
     def _change(self, hosts: list[dict[str, ty.Any]], now: float) -> None:
         self._hosts = hosts
-        self._coming.append((now + self._lag_s, hosts))
+        self._pending.append((now + self._lag_s, hosts))
 
     def _replace(self, change: dict[str, ty.Any]) -> list[dict[str, ty.Any]]:
         hosts = []
