--- a/packages/apricotstandins/src/apricotstandins/hostservice.py
+++ b/packages/apricotstandins/src/apricotstandins/hostservice.py
@@ -24,7 +24,7 @@
         self._hosts: list[dict[str, ty.Any]] = []
         # Changes that do not show yet: (time to show, list).
         self._pending: list[tuple[float, list[dict[str, ty.Any]]]] = []
-        self._shown: list[dict[str, ty.Any]] = []
+        self._visible: list[dict[str, ty.Any]] = []
 
     async def __call__(
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
@@ -49,8 +49,8 @@
 
     def _show(self, now: float) -> list[dict[str, ty.Any]]:
         while self._pending and self._pending[0][0] <= now:
-            _, self._shown = self._pending.pop(0)
-        return self._shown
+            _, self._visible = self._pending.pop(0)
+        return self._visible
 
     def _change(self, hosts: list[dict[str, ty.Any]], now: float) -> None:
         self._hosts = hosts
