--- a/packages/apricotstandins/src/apricotstandins/hostservice.py
+++ b/packages/apricotstandins/src/apricotstandins/hostservice.py
@@ -34,7 +34,7 @@
         path = scope['path']
         now = clocks.read_monotonic()
         if path == '/hosts':
-            await asgi.send_json(send, 200, {'hosts': self._show(now)})
+            await asgi.send_json(send, 200, {'hosts': self._read_visible(now)})
             return
         if path == '/standin/hosts':
             self._change(json.loads(body)['hosts'], now)
@@ -47,7 +47,7 @@
             return
         await asgi.send_json(send, 200, {})
 
-    def _show(self, now: float) -> list[dict[str, ty.Any]]:
+    def _read_visible(self, now: float) -> list[dict[str, ty.Any]]:
         while self._pending and self._pending[0][0] <= now:
             _, self._visible = self._pending.pop(0)
         return self._visible
