--- a/packages/apricotstandins/src/apricotstandins/hostservice.py
+++ b/packages/apricotstandins/src/apricotstandins/hostservice.py
@@ -37,9 +37,9 @@
             await asgi.send_json(send, 200, {'hosts': self._read_visible(now)})
             return
         if path == '/standin/hosts':
-            self._change(json.loads(body)['hosts'], now)
+            self._schedule_change(json.loads(body)['hosts'], now)
         elif path == '/standin/state':
-            self._change(self._replace(json.loads(body)), now)
+            self._schedule_change(self._replace(json.loads(body)), now)
         elif path == '/standin/lag':
             self._lag_s = float(json.loads(body)['lag_s'])
         else:
@@ -52,7 +52,9 @@
             _, self._visible = self._pending.pop(0)
         return self._visible
 
-    def _change(self, hosts: list[dict[str, ty.Any]], now: float) -> None:
+    def _schedule_change(
+        self, hosts: list[dict[str, ty.Any]], now: float
+    ) -> None:
         self._hosts = hosts
         self._pending.append((now + self._lag_s, hosts))
 
