--- a/packages/apricotstandins/src/apricotstandins/hostservice.py
+++ b/packages/apricotstandins/src/apricotstandins/hostservice.py
@@ -39,7 +39,7 @@
         if path == '/standin/hosts':
             self._schedule_change(json.loads(body)['hosts'], now)
         elif path == '/standin/state':
-            self._schedule_change(self._replace(json.loads(body)), now)
+            self._schedule_change(self._apply_state(json.loads(body)), now)
         elif path == '/standin/lag':
             self._lag_s = float(json.loads(body)['lag_s'])
         else:
@@ -58,7 +58,9 @@
         self._hosts = hosts
         self._pending.append((now + self._lag_s, hosts))
 
-    def _replace(self, change: dict[str, ty.Any]) -> list[dict[str, ty.Any]]:
+    def _apply_state(
+        self, change: dict[str, ty.Any]
+    ) -> list[dict[str, ty.Any]]:
         hosts = []
         for host in self._hosts:
             if host['name'] != change['name']:
