--- a/packages/apricotstandins/src/apricotstandins/logservice.py
+++ b/packages/apricotstandins/src/apricotstandins/logservice.py
@@ -19,7 +19,7 @@
 __all__ = ['LogService']
 
 # Most records in one answer to a read.
-_BATCH = 500
+_MAX_READ_RECORDS = 500
 
 
 @dataclasses.dataclass(slots=True)
@@ -131,7 +131,7 @@
             await asgi.send_json(send, 503, {'error': 'out'})
             return
         begin = max(start, self._first)
-        found = self._records[begin - self._first :][:_BATCH]
+        found = self._records[begin - self._first :][:_MAX_READ_RECORDS]
         records = [
             {
                 'offset': begin + index,
