--- a/packages/apricotstandins/src/apricotstandins/logservice.py
+++ b/packages/apricotstandins/src/apricotstandins/logservice.py
@@ -85,8 +85,8 @@
         await asgi.send_json(send, 200, state)
 
     async def _append(self, body: bytes, send: asgi.Send) -> None:
-        is_spared = len(body) < self.faults.spared_bytes
-        if self.faults.late_appends > 0 and not is_spared:
+        is_exempt = len(body) < self.faults.spared_bytes
+        if self.faults.late_appends > 0 and not is_exempt:
             self.faults.late_appends -= 1
             await asgi.send_json(send, 503, {'error': 'try again'})
             # The connection's task lives on after the answer: the record
@@ -95,7 +95,7 @@
             self._store(body)
             return
         offset = self._store(body)
-        if self.faults.lost_replies > 0 and not is_spared:
+        if self.faults.lost_replies > 0 and not is_exempt:
             self.faults.lost_replies -= 1
             await asgi.send_json(send, 503, {'error': 'reply lost'})
             return
