--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -22,7 +22,7 @@
 
 __all__ = ['Relay', 'parse_route']
 
-_PART = 65_536
+_CHUNK_BYTES = 65_536
 # Closing with this option resets a connection: on, and zero seconds.
 _RESET = struct.pack('ii', 1, 0)
 
@@ -145,7 +145,7 @@
 ) -> None:
     try:
         while True:
-            part = await source.receive(_PART)
+            part = await source.receive(_CHUNK_BYTES)
             if route.is_silent:
                 # What follows would otherwise look like the rest of it.
                 muted.set()
