--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -24,7 +24,7 @@
 
 _CHUNK_BYTES = 65_536
 # Closing with this option resets a connection: on, and zero seconds.
-_RESET = struct.pack('ii', 1, 0)
+_RESET_LINGER = struct.pack('ii', 1, 0)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -131,7 +131,7 @@
     await route.ended.wait()
     for stream in (near, far):
         raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_LINGER)
     group.cancel_scope.cancel()
 
 
