--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -57,7 +57,7 @@
         ended, self.ended = self.ended, anyio.Event()
         ended.set()
 
-    async def pass_cut(self, is_forward: bool) -> None:
+    async def wait_until_healed(self, is_forward: bool) -> None:
         """Wait while this direction is cut."""
         while self.is_cut_forward if is_forward else self.is_cut_back:
             await self.healed.wait()
@@ -102,7 +102,7 @@
     def _make_handler(self, route: Route) -> ty.Any:
         async def handle(near: anyio.abc.SocketStream) -> None:
             async with near:
-                await route.pass_cut(is_forward=True)
+                await route.wait_until_healed(is_forward=True)
                 try:
                     far = await anyio.connect_tcp(
                         route.target.host, route.target.port
@@ -153,7 +153,7 @@
                 continue
             if route.delay_s > 0.0:
                 await anyio.sleep(route.delay_s)
-            await route.pass_cut(is_forward)
+            await route.wait_until_healed(is_forward)
             await sink.send(part)
     except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
         group.cancel_scope.cancel()
