--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -109,13 +109,13 @@
                     )
                 except OSError:
                     return
-                muted = anyio.Event()
+                silenced = anyio.Event()
                 async with far, anyio.create_task_group() as group:
                     group.start_soon(
-                        _pump, route, near, far, True, muted, group
+                        _pump, route, near, far, True, silenced, group
                     )
                     group.start_soon(
-                        _pump, route, far, near, False, muted, group
+                        _pump, route, far, near, False, silenced, group
                     )
                     group.start_soon(_wait_reset, route, near, far, group)
 
@@ -140,7 +140,7 @@
     source: anyio.abc.ByteStream,
     sink: anyio.abc.ByteStream,
     is_forward: bool,
-    muted: anyio.Event,
+    silenced: anyio.Event,
     group: anyio.abc.TaskGroup,
 ) -> None:
     try:
@@ -148,8 +148,8 @@
             part = await source.receive(_CHUNK_BYTES)
             if route.is_silent:
                 # What follows would otherwise look like the rest of it.
-                muted.set()
-            if muted.is_set():
+                silenced.set()
+            if silenced.is_set():
                 continue
             if route.delay_s > 0.0:
                 await anyio.sleep(route.delay_s)
