--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -100,8 +100,8 @@
         await asgi.send_json(send, 200, sorted(self._routes))
 
     def _make_handler(self, route: Route) -> ty.Any:
-        async def handle(near: anyio.abc.SocketStream) -> None:
-            async with near:
+        async def handle(client: anyio.abc.SocketStream) -> None:
+            async with client:
                 await route.wait_until_healed(is_forward=True)
                 try:
                     far = await anyio.connect_tcp(
@@ -112,24 +112,24 @@
                 silenced = anyio.Event()
                 async with far, anyio.create_task_group() as group:
                     group.start_soon(
-                        _pump, route, near, far, True, silenced, group
+                        _pump, route, client, far, True, silenced, group
                     )
                     group.start_soon(
-                        _pump, route, far, near, False, silenced, group
+                        _pump, route, far, client, False, silenced, group
                     )
-                    group.start_soon(_wait_reset, route, near, far, group)
+                    group.start_soon(_wait_reset, route, client, far, group)
 
         return handle
 
 
 async def _wait_reset(
     route: Route,
-    near: anyio.abc.SocketStream,
+    client: anyio.abc.SocketStream,
     far: anyio.abc.SocketStream,
     group: anyio.abc.TaskGroup,
 ) -> None:
     await route.ended.wait()
-    for stream in (near, far):
+    for stream in (client, far):
         raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_LINGER)
     group.cancel_scope.cancel()
