--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -104,20 +104,20 @@
             async with client:
                 await route.wait_until_healed(is_forward=True)
                 try:
-                    far = await anyio.connect_tcp(
+                    server = await anyio.connect_tcp(
                         route.target.host, route.target.port
                     )
                 except OSError:
                     return
                 silenced = anyio.Event()
-                async with far, anyio.create_task_group() as group:
+                async with server, anyio.create_task_group() as group:
                     group.start_soon(
-                        _pump, route, client, far, True, silenced, group
+                        _pump, route, client, server, True, silenced, group
                     )
                     group.start_soon(
-                        _pump, route, far, client, False, silenced, group
+                        _pump, route, server, client, False, silenced, group
                     )
-                    group.start_soon(_wait_reset, route, client, far, group)
+                    group.start_soon(_wait_reset, route, client, server, group)
 
         return handle
 
@@ -125,11 +125,11 @@
 async def _wait_reset(
     route: Route,
     client: anyio.abc.SocketStream,
-    far: anyio.abc.SocketStream,
+    server: anyio.abc.SocketStream,
     group: anyio.abc.TaskGroup,
 ) -> None:
     await route.ended.wait()
-    for stream in (client, far):
+    for stream in (client, server):
         raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_LINGER)
     group.cancel_scope.cancel()
