--- a/packages/apricotstandins/src/apricotstandins/callers.py
+++ b/packages/apricotstandins/src/apricotstandins/callers.py
@@ -106,10 +106,10 @@
         reply.headers = {
             name.lower(): value for name, value in response.getheaders()
         }
-        while part := response.read1(65_536):
+        while chunk := response.read1(65_536):
             if not reply.body:
                 reply.first_byte_s = time.monotonic() - started
-            reply.body += part
+            reply.body += chunk
     except (OSError, http.client.HTTPException) as error:
         reply.error = repr(error)
     finally:
--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -145,7 +145,7 @@
 ) -> None:
     try:
         while True:
-            part = await source.receive(_CHUNK_BYTES)
+            chunk = await source.receive(_CHUNK_BYTES)
             if route.is_silent:
                 # What follows would otherwise look like the rest of it.
                 silenced.set()
@@ -154,6 +154,6 @@
             if route.delay_s > 0.0:
                 await anyio.sleep(route.delay_s)
             await route.wait_until_healed(is_forward)
-            await sink.send(part)
+            await sink.send(chunk)
     except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
         group.cancel_scope.cancel()
