--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -44,7 +44,7 @@
     # Set when all connections of now are reset.
     ended: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
-    def change(self, faults: dict[str, ty.Any]) -> None:
+    def set_faults(self, faults: dict[str, ty.Any]) -> None:
         self.is_cut_forward = faults.get('cut_forward', False)
         self.is_cut_back = faults.get('cut_back', False)
         self.is_silent = faults.get('silent', False)
@@ -96,7 +96,7 @@
         """Set the faults of the routes that the body names."""
         body = await asgi.read_body(receive, 1024 * 1024)
         for name, faults in json.loads(body or b'{}').items():
-            self._routes[name].change(faults)
+            self._routes[name].set_faults(faults)
         await asgi.send_json(send, 200, sorted(self._routes))
 
     def _make_handler(self, route: Route) -> ty.Any:
