--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -42,7 +42,9 @@
     delay_s: float = 0.0
     healed: anyio.Event = dataclasses.field(default_factory=anyio.Event)
     # Set when all connections of now are reset.
-    ended: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    connections_reset: anyio.Event = dataclasses.field(
+        default_factory=anyio.Event
+    )
 
     def set_faults(self, faults: dict[str, ty.Any]) -> None:
         self.is_cut_forward = faults.get('cut_forward', False)
@@ -54,8 +56,11 @@
 
     def reset(self) -> None:
         """Reset all connections."""
-        ended, self.ended = self.ended, anyio.Event()
-        ended.set()
+        connections_reset, self.connections_reset = (
+            self.connections_reset,
+            anyio.Event(),
+        )
+        connections_reset.set()
 
     async def wait_until_healed(self, is_forward: bool) -> None:
         """Wait while this direction is cut."""
@@ -128,7 +133,7 @@
     server: anyio.abc.SocketStream,
     group: anyio.abc.TaskGroup,
 ) -> None:
-    await route.ended.wait()
+    await route.connections_reset.wait()
     for stream in (client, server):
         raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_LINGER)
