--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -40,7 +40,9 @@
     is_silent: bool = False
     # Added to each part, in seconds.
     delay_s: float = 0.0
-    healed: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    faults_changed: anyio.Event = dataclasses.field(
+        default_factory=anyio.Event
+    )
     # Set when all connections of now are reset.
     connections_reset: anyio.Event = dataclasses.field(
         default_factory=anyio.Event
@@ -51,8 +53,11 @@
         self.is_cut_back = faults.get('cut_back', False)
         self.is_silent = faults.get('silent', False)
         self.delay_s = faults.get('delay_s', 0.0)
-        healed, self.healed = self.healed, anyio.Event()
-        healed.set()
+        faults_changed, self.faults_changed = (
+            self.faults_changed,
+            anyio.Event(),
+        )
+        faults_changed.set()
 
     def reset(self) -> None:
         """Reset all connections."""
@@ -65,7 +70,7 @@
     async def wait_until_healed(self, is_forward: bool) -> None:
         """Wait while this direction is cut."""
         while self.is_cut_forward if is_forward else self.is_cut_back:
-            await self.healed.wait()
+            await self.faults_changed.wait()
 
 
 def parse_route(text: str) -> Route:
