--- a/packages/apricotstandins/src/apricotstandins/plainservice.py
+++ b/packages/apricotstandins/src/apricotstandins/plainservice.py
@@ -15,7 +15,7 @@
 
 __all__ = ['PlainService']
 
-_POLL_INTERVAL = 0.02
+_POLL_INTERVAL_S = 0.02
 
 
 @dataclasses.dataclass(slots=True)
@@ -70,7 +70,7 @@
         self.executions[key] += 1
         await anyio.sleep(self.faults.delay_s)
         while self.faults.is_frozen:
-            await anyio.sleep(_POLL_INTERVAL)
+            await anyio.sleep(_POLL_INTERVAL_S)
         if self.faults.cut_answers > 0:
             self.faults.cut_answers -= 1
             raise ConnectionAbortedError('cut by the stand-in')
