--- a/packages/apricotstandins/src/apricotstandins/deployment.py
+++ b/packages/apricotstandins/src/apricotstandins/deployment.py
@@ -339,11 +339,11 @@
             source, _, target = name.partition('>')
             if host not in (source, target) or target == 'log':
                 continue
-            is_from = source == host
+            is_source = source == host
             # One way: nothing that the host sends arrives.
             faults[name] = {
-                'cut_forward': is_cut and (is_from or not is_one_way),
-                'cut_back': is_cut and (not is_from or not is_one_way),
+                'cut_forward': is_cut and (is_source or not is_one_way),
+                'cut_back': is_cut and (not is_source or not is_one_way),
             }
         self.set_link_faults(**faults)
 
