--- a/bench/compare.py
+++ b/bench/compare.py
@@ -32,7 +32,7 @@
     'festin': (1.0, 1.0, 1.5, 1.5, 2.0, 2.0),
     'ishami': (1.0, 1.0, 1.0, 1.5, 1.5, 1.5, 2.0, 2.0, 2.0),
 }
-STRAGGLE = 5.0
+STRAGGLE_FACTOR = 5.0
 SLOTS = 8
 
 
@@ -81,7 +81,9 @@
 def disturb(run: Run, system: deployment.Deployment) -> None:
     """Make one engine a straggler, and let another leave."""
     time.sleep(0.5 * run.seconds)
-    system.set_faults(f'planner-{len(system.runners)}', straggle=STRAGGLE)
+    system.set_faults(
+        f'planner-{len(system.runners)}', straggle=STRAGGLE_FACTOR
+    )
     time.sleep(0.1 * run.seconds)
     system.set_host_state(f'planner-{len(system.runners) - 1}', 'leaving')
 
