--- a/bench/compare.py
+++ b/bench/compare.py
@@ -33,7 +33,7 @@
     'ishami': (1.0, 1.0, 1.0, 1.5, 1.5, 1.5, 2.0, 2.0, 2.0),
 }
 STRAGGLE_FACTOR = 5.0
-SLOTS = 8
+SLOTS_PER_ENGINE = 8
 
 
 @dataclasses.dataclass(frozen=True)
@@ -60,7 +60,7 @@
             'planners',
             domain=f'd{number % 4 + 1}',
             factor=factor,
-            slots=SLOTS,
+            slots=SLOTS_PER_ENGINE,
         )
         for number, factor in enumerate(factors, 1)
     ]
