--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -27,7 +27,7 @@
 POOL = ids.Pool('pool')
 ROUNDS = 5
 REPEATS = 200
-SLOTS = 8
+SLOTS_PER_RUNNER = 8
 # Unix milliseconds of a runner's start.
 BIRTH = 1_764_726_589_123
 
@@ -78,7 +78,7 @@
                 service=POOL,
                 address=addresses.Address('10.2.0.1', 1),
                 domain=ids.Domain('d'),
-                slots=SLOTS,
+                slots=SLOTS_PER_RUNNER,
                 is_draining=False,
             )
         )
