--- a/bench/compare.py
+++ b/bench/compare.py
@@ -78,7 +78,7 @@
     return system
 
 
-def disturb(run: Run, system: deployment.Deployment) -> None:
+def inject_faults(run: Run, system: deployment.Deployment) -> None:
     """Make one engine a straggler, and let another leave."""
     time.sleep(0.5 * run.seconds)
     system.set_faults(
@@ -108,7 +108,7 @@
             replay = replaying.Replay(lines, daemons, tokens, run.is_storming)
             if not run.is_calm:
                 threading.Thread(
-                    target=disturb, args=[run, system], daemon=True
+                    target=inject_faults, args=[run, system], daemon=True
                 ).start()
             found = anyio.run(replay.run).describe()
             found |= add_witnesses(system)
