--- a/bench/compare.py
+++ b/bench/compare.py
@@ -111,13 +111,13 @@
                     target=inject_faults, args=[run, system], daemon=True
                 ).start()
             found = anyio.run(replay.run).describe()
-            found |= add_witnesses(system)
+            found |= summarize_witnesses(system)
         finally:
             system.stop()
     return found
 
 
-def add_witnesses(system: deployment.Deployment) -> dict[str, ty.Any]:
+def summarize_witnesses(system: deployment.Deployment) -> dict[str, ty.Any]:
     """Return prefill and cache figures over all engines."""
     witnesses = [system.read_witness(plan.name) for plan in system.runners]
     computed = sum(item['prefill_computed'] for item in witnesses)
