--- a/bench/compare.py
+++ b/bench/compare.py
@@ -189,7 +189,7 @@
     output: pathlib.Path | None,
 ) -> None:
     """Compare policies; prints a Markdown table."""
-    only = tuple(filter(None, routes.split(',')))
+    route_names = tuple(filter(None, routes.split(',')))
     cells = [
         (policy, float(load))
         for load in loads.split(',')
@@ -200,7 +200,16 @@
             (policy, load): [
                 pool.submit(
                     measure,
-                    Run(name, policy, load, seed, seconds, calm, storm, only),
+                    Run(
+                        name,
+                        policy,
+                        load,
+                        seed,
+                        seconds,
+                        calm,
+                        storm,
+                        route_names,
+                    ),
                 )
                 for seed in range(1, seeds + 1)
             ]
