--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -19,7 +19,7 @@
 from apricotstandins import callers
 from apricotstandins import deployment
 
-KILL_AFTER = 3.0
+KILL_DELAY_S = 3.0
 
 
 def post_one(
@@ -42,7 +42,7 @@
     hosts = [host for host in system.daemons if host != victim]
     sent: list[tuple[float, str, concurrent.futures.Future[callers.Reply]]]
     sent = []
-    killed_at = time.monotonic() + KILL_AFTER
+    killed_at = time.monotonic() + KILL_DELAY_S
     is_killed = False
     with concurrent.futures.ThreadPoolExecutor(64) as pool:
         count = int(seconds * rate)
