--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -67,14 +67,14 @@
     """Print a table by half second, and the two counts that must be 0."""
     table: dict[float, collections.Counter[str]] = {}
     executions = system.read_witness('manifest-1')['executions']
-    doubled = 0
+    executed_twice = 0
     untrue = 0
     slowest = 0.0
     for at, key, reply in results:
         bucket = (at // 0.5) * 0.5
         table.setdefault(bucket, collections.Counter())[reply.outcome] += 1
         ran = executions.get(key, 0)
-        doubled += ran > 1
+        executed_twice += ran > 1
         untrue += ran > 0 and reply.outcome == 'not-run'
         slowest = max(slowest, reply.total_s)
     total: collections.Counter[str] = collections.Counter()
@@ -83,7 +83,7 @@
         if len(table[bucket]) > 1 or 'complete' not in table[bucket]:
             print(f'{bucket:6.1f} s  {dict(table[bucket])}')
     print(f'total     {dict(total)}')
-    print(f'ran twice {doubled}, ran although told not-run {untrue}')
+    print(f'ran twice {executed_twice}, ran although told not-run {untrue}')
     print(f'slowest answer {slowest:.2f} s')
 
 
