--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -22,7 +22,7 @@
 KILL_DELAY_S = 3.0
 
 
-def post_one(
+def post_manifest_change(
     system: deployment.Deployment, host: str, key: str
 ) -> callers.Reply:
     """Post one manifest change."""
@@ -56,7 +56,9 @@
             key = callers.make_key()
             at = time.monotonic() - killed_at
             host = hosts[number % len(hosts)]
-            sent.append((at, key, pool.submit(post_one, system, host, key)))
+            sent.append(
+                (at, key, pool.submit(post_manifest_change, system, host, key))
+            )
         return [(at, key, future.result()) for at, key, future in sent]
 
 
