--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -28,7 +28,7 @@
 from apricotstandins import callers
 from apricotstandins import deployment
 
-_TICK = os.sysconf('SC_CLK_TCK')
+_CLOCK_TICKS_PER_S = os.sysconf('SC_CLK_TCK')
 SENDER = ids.Incarnation('entry-1/0123456789abcdef')
 
 
@@ -255,7 +255,7 @@
 def read_cpu(pid: int) -> float:
     """Return the processor seconds that a process has used."""
     fields = pathlib.Path(f'/proc/{pid}/stat').read_text().split()
-    return (int(fields[13]) + int(fields[14])) / _TICK
+    return (int(fields[13]) + int(fields[14])) / _CLOCK_TICKS_PER_S
 
 
 def read_memory(pid: int) -> int:
