--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -53,7 +53,7 @@
     )
 
 
-def make_entry(number: int) -> wire.Registration:
+def make_registration(number: int) -> wire.Registration:
     """Return a request as a scheduler sees it."""
     return wire.Registration(
         ticket=f'{SENDER}/{number}',
@@ -89,7 +89,7 @@
     queue = poolqueue.PoolQueue(make_pool(runners))
     count = waiting + 8 * runners
     for number in range(count):
-        queue.register(make_entry(number), SENDER, 0.0)
+        queue.register(make_registration(number), SENDER, 0.0)
     running = [
         decision.waiting.entry.ticket
         for decision in queue.decide(0.0, True)
@@ -103,7 +103,7 @@
             wire.Finished(ids.Pool('planners'), ticket, True, 0.1, 1.0, 200),
             1.0,
         )
-        queue.register(make_entry(count + number), SENDER, 1.0)
+        queue.register(make_registration(count + number), SENDER, 1.0)
         for decision in queue.decide(1.0, True):
             running.append(decision.waiting.entry.ticket)
     return (time.perf_counter() - started) / rounds * 1e6
@@ -116,7 +116,7 @@
 
     def register_all() -> None:
         for number in range(count):
-            queue.register(make_entry(number), SENDER, 0.0)
+            queue.register(make_registration(number), SENDER, 0.0)
 
     used = count_bytes(register_all)
     click.echo(f'\nbytes a waiting request: {used / count:.0f}')
@@ -174,7 +174,9 @@
             bytes(32),
             f'{SENDER}/1',
         ),
-        wire.Register(ids.Pool('planners'), ids.Epoch(7), [make_entry(10**6)]),
+        wire.Register(
+            ids.Pool('planners'), ids.Epoch(7), [make_registration(10**6)]
+        ),
         wire.Grant(
             ids.Pool('planners'),
             ids.Epoch(7),
