--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -305,10 +305,10 @@
         )
         through.append(reply.first_byte_s)
     for name, values in (('direct', direct), ('through', through)):
-        cuts = statistics.quantiles(values, n=100)
+        percentiles = statistics.quantiles(values, n=100)
         click.echo(
-            f'first token {name}: p50 {cuts[49] * 1000:.2f} ms,'
-            f' p99 {cuts[98] * 1000:.2f} ms'
+            f'first token {name}: p50 {percentiles[49] * 1000:.2f} ms,'
+            f' p99 {percentiles[98] * 1000:.2f} ms'
         )
     costs = {
         tokens: time_requests(system, pids, tokens, 60) for tokens in (1, 400)
