--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -313,10 +313,10 @@
     costs = {
         tokens: time_requests(system, pids, tokens, 60) for tokens in (1, 400)
     }
-    a_token = (costs[400] - costs[1]) / 399
+    token_cost_s = (costs[400] - costs[1]) / 399
     click.echo(
         f'processor time of all daemons a request: {costs[1] * 1e3:.2f} ms;'
-        f' a token relayed: {a_token * 1e6:.1f} µs'
+        f' a token relayed: {token_cost_s * 1e6:.1f} µs'
     )
 
 
