--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -118,7 +118,7 @@
         for number in range(count):
             queue.register(make_registration(number), SENDER, 0.0)
 
-    used = count_bytes(register_all)
+    used = measure_allocated_bytes(register_all)
     click.echo(f'\nbytes a waiting request: {used / count:.0f}')
     table = claimtable.ClaimTable(ids.Epoch(1), bundle.Limits(), None)
     keys = [ids.Key(callers.make_key()) for _ in range(count)]
@@ -138,7 +138,7 @@
                 wall,
             )
 
-    used = count_bytes(claim_all)
+    used = measure_allocated_bytes(claim_all)
     click.echo(f'bytes a claim: {used / count:.0f}')
     fresh = claimtable.ClaimTable(ids.Epoch(1), bundle.Limits(), None)
     table = fresh
@@ -148,7 +148,7 @@
     click.echo(f'microseconds a claim: {micro:.1f}')
 
 
-def count_bytes(fill: ty.Callable[[], object]) -> int:
+def measure_allocated_bytes(fill: ty.Callable[[], object]) -> int:
     """Return how many bytes a call leaves allocated."""
     gc.collect()
     tracemalloc.start()
