--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -285,12 +285,14 @@
         )
         for name in ('planner-1', 'planner-2'):
             system.set_faults(name, straggle=0.02)
-        measure_path(system, pids)
+        measure_request_path(system, pids)
     finally:
         system.stop()
 
 
-def measure_path(system: deployment.Deployment, pids: list[int]) -> None:
+def measure_request_path(
+    system: deployment.Deployment, pids: list[int]
+) -> None:
     """Print added latency, and processor time a request and a token."""
     entry_host = system.daemons['entry-1']
     direct = [post_direct(system, number) for number in range(200)]
