--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -260,7 +260,7 @@
     return (int(fields[13]) + int(fields[14])) / _CLOCK_TICKS_PER_S
 
 
-def read_memory(pid: int) -> int:
+def read_memory_mb(pid: int) -> int:
     """Return a process's resident memory in MB."""
     for line in pathlib.Path(f'/proc/{pid}/status').read_text().splitlines():
         if line.startswith('VmRSS'):
@@ -281,7 +281,7 @@
         ]
         click.echo(
             f'\ndaemon at rest, 3 daemons: {max(spent) * 10:.2f}% of a core,'
-            f' {max(read_memory(pid) for pid in pids)} MB'
+            f' {max(read_memory_mb(pid) for pid in pids)} MB'
         )
         for name in ('planner-1', 'planner-2'):
             system.set_faults(name, straggle=0.02)
