--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -254,7 +254,7 @@
     )
 
 
-def read_cpu(pid: int) -> float:
+def read_cpu_s(pid: int) -> float:
     """Return the processor seconds that a process has used."""
     fields = pathlib.Path(f'/proc/{pid}/stat').read_text().split()
     return (int(fields[13]) + int(fields[14])) / _CLOCK_TICKS_PER_S
@@ -274,10 +274,11 @@
     try:
         system.start_all()
         pids = [system.find_process(host).pid for host in system.daemons]
-        before = [read_cpu(pid) for pid in pids]
+        before = [read_cpu_s(pid) for pid in pids]
         time.sleep(10.0)
         spent = [
-            read_cpu(pid) - was for pid, was in zip(pids, before, strict=True)
+            read_cpu_s(pid) - was
+            for pid, was in zip(pids, before, strict=True)
         ]
         click.echo(
             f'\ndaemon at rest, 3 daemons: {max(spent) * 10:.2f}% of a core,'
@@ -335,7 +336,7 @@
     system: deployment.Deployment, pids: list[int], tokens: int, count: int
 ) -> float:
     """Return the daemons' processor seconds a request."""
-    before = sum(read_cpu(pid) for pid in pids)
+    before = sum(read_cpu_s(pid) for pid in pids)
     started = time.monotonic()
     for _ in range(count):
         callers.post_request(
@@ -346,7 +347,7 @@
             callers.make_key(),
         )
     seconds = time.monotonic() - started
-    spent = sum(read_cpu(pid) for pid in pids) - before
+    spent = sum(read_cpu_s(pid) for pid in pids) - before
     # What they would have spent at rest in the meantime.
     return (spent - 0.01 * seconds * len(pids)) / count
 
