--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -29,12 +29,14 @@
 REPEATS = 200
 SLOTS_PER_RUNNER = 8
 # Unix milliseconds of a runner's start.
-BIRTH = 1_764_726_589_123
+RUNNER_START_MS = 1_764_726_589_123
 
 
 def make_start(number: int) -> ids.RunnerStart:
     """Return a runner's identity, as long as the platform's are."""
-    return ids.make_runner_start(ids.Runner(f'i-{number:010}'), BIRTH)
+    return ids.make_runner_start(
+        ids.Runner(f'i-{number:010}'), RUNNER_START_MS
+    )
 
 
 def make_mesh(peers: int, runners: int) -> mesh.Mesh:
