--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -26,7 +26,7 @@
 
 POOL = ids.Pool('pool')
 ROUNDS = 5
-REPEATS = 200
+CALLS_PER_ROUND = 200
 SLOTS_PER_RUNNER = 8
 # Unix milliseconds of a runner's start.
 RUNNER_START_MS = 1_764_726_589_123
@@ -111,9 +111,9 @@
     rounds: list[float] = []
     for _ in range(ROUNDS):
         began = time.perf_counter()
-        for _ in range(REPEATS):
+        for _ in range(CALLS_PER_ROUND):
             call()
-        rounds.append((time.perf_counter() - began) / REPEATS)
+        rounds.append((time.perf_counter() - began) / CALLS_PER_ROUND)
     return statistics.median(rounds) * 1e6
 
 
