--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -122,15 +122,15 @@
     found = make_scheduler(runners, make_mesh(peers, 0))
     granted: list[ids.RunnerStart] = []
     numbers = itertools.count()
-    left = waiting_count + 1
+    remaining = waiting_count + 1
     # A group of hosts has a part of the runners: full when one waits.
-    while left > 0:
+    while remaining > 0:
         ticket = make_ticket(next(numbers))
         found.enter(ticket, 0.0)
         if isinstance(ticket.decision, waiting.Grant):
             granted.append(ticket.decision.runner)
         else:
-            left -= 1
+            remaining -= 1
 
     def step() -> None:
         runner = granted[next(numbers) % len(granted)]
