--- a/demo/demo.py
+++ b/demo/demo.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class DemoRequest:
     """One request of the demo."""
 
     title: str
@@ -35,28 +35,28 @@
 
 
 WISHES: ty.Final = [
-    Wish(
+    DemoRequest(
         'Festin: route rebuild',
         'entry-1',
         'rebuild',
         deployment.FESTIN_TOKEN,
         {'prompt': 'rebuild the day for van seven ' * 40, 'max_tokens': 24},
     ),
-    Wish(
+    DemoRequest(
         'Festin: stop note',
         'entry-2',
         'note',
         deployment.FESTIN_TOKEN,
         {'prompt': 'short note for the next stop', 'max_tokens': 6},
     ),
-    Wish(
+    DemoRequest(
         'Festin: manifest change',
         'entry-3',
         'manifest',
         deployment.FESTIN_TOKEN,
         {'van': 7, 'remove': 'two trays'},
     ),
-    Wish(
+    DemoRequest(
         'Ishami: field note',
         'entry-2',
         'report',
@@ -99,7 +99,7 @@
     run_ctl(system, 'bundle', 'submit', f'{path}.signed')
 
 
-def show_wish(system: deployment.Deployment, wish: Wish) -> bool:
+def show_wish(system: deployment.Deployment, wish: DemoRequest) -> bool:
     """Post one request; tell whether its answer was whole and its own."""
     key = callers.make_key()
     trace = f'{os.urandom(16).hex()}'
