--- a/demo/demo.py
+++ b/demo/demo.py
@@ -34,7 +34,7 @@
     body: dict[str, ty.Any]
 
 
-WISHES: ty.Final = [
+DEMO_REQUESTS: ty.Final = [
     DemoRequest(
         'Festin: route rebuild',
         'entry-1',
@@ -166,7 +166,7 @@
         system.wait_for_http(entry_host.callers, '/healthz')
     submit_bundle(system)
     system.wait_ready()
-    results = [show_wish(system, wish) for wish in WISHES]
+    results = [show_wish(system, wish) for wish in DEMO_REQUESTS]
     print(flush=True)
     run_ctl(system, 'status')
     codes = []
