--- a/demo/demo.py
+++ b/demo/demo.py
@@ -99,27 +99,27 @@
     run_ctl(system, 'bundle', 'submit', f'{path}.signed')
 
 
-def show_wish(system: deployment.Deployment, wish: DemoRequest) -> bool:
+def show_wish(system: deployment.Deployment, request: DemoRequest) -> bool:
     """Post one request; tell whether its answer was whole and its own."""
     key = callers.make_key()
     trace = f'{os.urandom(16).hex()}'
     reply = callers.post_request(
-        system.daemons[wish.host].callers,
-        wish.route,
-        wish.token,
-        wish.body,
+        system.daemons[request.host].callers,
+        request.route,
+        request.token,
+        request.body,
         key,
         headers={'traceparent': f'00-{trace}-{os.urandom(8).hex()}-01'},
     )
-    print(f'\n{wish.title}, through {wish.host}')
+    print(f'\n{request.title}, through {request.host}')
     print(f'  key     {key}')
     print(f'  status  {reply.status}, outcome {reply.outcome}')
     print(f'  runner  {reply.headers.get("apricot-runner")}')
     print(f'  answer  {describe_answer(reply)}')
     is_own = reply.headers.get('apricot-request') == key
-    if 'prompt' in wish.body:
+    if 'prompt' in request.body:
         is_own = is_own and reply.is_complete_answer(
-            key, wish.body['max_tokens']
+            key, request.body['max_tokens']
         )
     else:
         is_own = is_own and json.loads(reply.body)['key'] == key
@@ -166,7 +166,7 @@
         system.wait_for_http(entry_host.callers, '/healthz')
     submit_bundle(system)
     system.wait_ready()
-    results = [show_wish(system, wish) for wish in DEMO_REQUESTS]
+    results = [show_wish(system, request) for request in DEMO_REQUESTS]
     print(flush=True)
     run_ctl(system, 'status')
     codes = []
