--- a/demo/demo.py
+++ b/demo/demo.py
@@ -99,7 +99,7 @@
     run_ctl(system, 'bundle', 'submit', f'{path}.signed')
 
 
-def show_wish(system: deployment.Deployment, request: DemoRequest) -> bool:
+def run_request(system: deployment.Deployment, request: DemoRequest) -> bool:
     """Post one request; tell whether its answer was whole and its own."""
     key = callers.make_key()
     trace = f'{os.urandom(16).hex()}'
@@ -166,7 +166,7 @@
         system.wait_for_http(entry_host.callers, '/healthz')
     submit_bundle(system)
     system.wait_ready()
-    results = [show_wish(system, request) for request in DEMO_REQUESTS]
+    results = [run_request(system, request) for request in DEMO_REQUESTS]
     print(flush=True)
     run_ctl(system, 'status')
     codes = []
