--- a/demo/demo.py
+++ b/demo/demo.py
@@ -181,11 +181,11 @@
     with tempfile.TemporaryDirectory() as name:
         system = deployment.Deployment(pathlib.Path(name))
         try:
-            is_good = run_demo(system)
+            has_passed = run_demo(system)
         finally:
             system.stop()
-    print('demo: every answer was whole' if is_good else 'demo: FAILED')
-    sys.exit(0 if is_good else 1)
+    print('demo: every answer was whole' if has_passed else 'demo: FAILED')
+    sys.exit(0 if has_passed else 1)
 
 
 if __name__ == '__main__':
