--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Work:
+class Workload:
     """A kind of at-most-once request and its back ends."""
 
     route: str
@@ -104,7 +104,7 @@
         return reply.outcome == 'complete' and lines[0].get('key') == key
 
 
-MODEL_WORK: ty.Final = Work(
+MODEL_WORK: ty.Final = Workload(
     route='rebuild',
     kind='engine',
     body={'prompt': systems.make_prompt(64), 'max_tokens': TOKENS},
@@ -114,7 +114,7 @@
     straggler={'straggle': 2 * SLOW},
     cut={'cut_streams': 1, 'cut_after': 3},
 )
-SERVICE_WORK: ty.Final = Work(
+SERVICE_WORK: ty.Final = Workload(
     route='manifest',
     kind='service',
     body={'site': 7, 'crates': 12},
@@ -130,7 +130,7 @@
     """Posts one request until it knows how it ended."""
 
     def __init__(
-        self, system: deployment.Deployment, work: Work, key: str
+        self, system: deployment.Deployment, work: Workload, key: str
     ) -> None:
         super().__init__(daemon=True)
         self.system = system
@@ -200,7 +200,7 @@
     def __init__(
         self,
         system: deployment.Deployment,
-        work: Work,
+        work: Workload,
         name: str,
         draw: random.Random,
     ) -> None:
@@ -645,7 +645,7 @@
 
 
 def find_expected(
-    fault_name: str, step_name: str, work: Work = MODEL_WORK
+    fault_name: str, step_name: str, work: Workload = MODEL_WORK
 ) -> frozenset[str]:
     if step_name == 'takeover':
         return EITHER
@@ -680,7 +680,7 @@
 
 def run_cell(
     system: deployment.Deployment,
-    work: Work,
+    work: Workload,
     fault_name: str,
     step_name: str,
     seed: int,
@@ -717,7 +717,7 @@
 
 def run_row(
     system: deployment.Deployment,
-    work: Work,
+    work: Workload,
     fault_name: str,
     step_names: collections.abc.Iterable[str],
     seed: int,
--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -63,7 +63,7 @@
         return {name: future.result() for name, future in futures.items()}
 
 
-def describe_words(work: faultmatrix.Work) -> Describe:
+def describe_words(work: faultmatrix.Workload) -> Describe:
     """Return what tells a cell's possible last words."""
 
     def describe(fault: str, name: str) -> str:
--- a/tests/test_fault_matrix.py
+++ b/tests/test_fault_matrix.py
@@ -22,7 +22,7 @@
 
 
 def run_row(
-    name: str, seed: int, work: faultmatrix.Work = faultmatrix.MODEL_WORK
+    name: str, seed: int, work: faultmatrix.Workload = faultmatrix.MODEL_WORK
 ) -> matrixrows.Row:
     """Run a whole row on a system of its own."""
     with matrixrows.start_system() as system:
