--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -130,11 +130,11 @@
     """Posts one request until it knows how it ended."""
 
     def __init__(
-        self, system: deployment.Deployment, work: Workload, key: str
+        self, system: deployment.Deployment, workload: Workload, key: str
     ) -> None:
         super().__init__(daemon=True)
         self.system = system
-        self.work = work
+        self.workload = workload
         self.key = key
         self.hosts: list[str] = []
         self.replies: list[callers.Reply] = []
@@ -167,9 +167,9 @@
     def post(self, host: str, seconds: float) -> callers.Reply:
         return callers.post_request(
             self.system.daemons[host].callers,
-            self.work.route,
+            self.workload.route,
             systems.FESTIN,
-            self.work.body,
+            self.workload.body,
             self.key,
             deadline_ms=max(int(seconds * 1000), 1),
             timeout=seconds + 1.0,
@@ -200,19 +200,19 @@
     def __init__(
         self,
         system: deployment.Deployment,
-        work: Workload,
+        workload: Workload,
         name: str,
         draw: random.Random,
     ) -> None:
         self.system = system
-        self.work = work
+        self.workload = workload
         self.fault = faults[name]
         self.draw = draw
         self.hosts = list(system.daemons)
         self.entry = draw.choice(self.hosts)
         time.sleep(SETTLE)
         self.key, self.owner = self._choose_key()
-        self.caller = Caller(system, work, self.key)
+        self.caller = Caller(system, workload, self.key)
         others = [host for host in self.hosts if host != self.entry]
         draw.shuffle(others)
         self.others = others
@@ -240,8 +240,8 @@
         self.system.wait_ready()
 
     def calm(self) -> None:
-        for plan in self.work.list_plans(self.system):
-            self.system.set_faults(plan.name, **self.work.calm)
+        for plan in self.workload.list_plans(self.system):
+            self.system.set_faults(plan.name, **self.workload.calm)
 
     def restart_dead(self) -> None:
         for host, entry_host in self.system.daemons.items():
@@ -250,15 +250,15 @@
                 self.system.wait_for_http(entry_host.callers, '/healthz')
 
     def slow_runners(self) -> None:
-        for plan in self.work.list_plans(self.system):
-            self.system.set_faults(plan.name, **self.work.slow)
+        for plan in self.workload.list_plans(self.system):
+            self.system.set_faults(plan.name, **self.workload.slow)
 
     def freeze_runners(self) -> None:
-        for plan in self.work.list_plans(self.system):
-            self.system.set_faults(plan.name, **self.work.frozen)
+        for plan in self.workload.list_plans(self.system):
+            self.system.set_faults(plan.name, **self.workload.frozen)
 
     def thaw_runners(self) -> None:
-        for plan in self.work.list_plans(self.system):
+        for plan in self.workload.list_plans(self.system):
             address = self.system.runner_addresses[plan.name]
             probe = callers.call_http(address, 'GET', '/standin/witness')
             # One that the fault has killed is restarted without faults.
@@ -267,7 +267,7 @@
 
     def hold_grants(self, is_held: bool) -> None:
         state = 'leaving' if is_held else 'live'
-        for plan in self.work.list_plans(self.system):
+        for plan in self.workload.list_plans(self.system):
             self.system.set_host_state(plan.name, state)
 
     def wait_started(self) -> None:
@@ -368,9 +368,9 @@
     cell.freeze_runners()
     callers.post_request(
         address,
-        cell.work.route,
+        cell.workload.route,
         systems.FESTIN,
-        cell.work.body,
+        cell.workload.body,
         cell.key,
         deadline_ms=int(DEADLINE * 1000),
         timeout=0.5,
@@ -417,7 +417,8 @@
 
 def _is_accepted(cell: Cell) -> bool:
     return any(
-        _has_accepted(cell, plan) for plan in cell.work.list_plans(cell.system)
+        _has_accepted(cell, plan)
+        for plan in cell.workload.list_plans(cell.system)
     )
 
 
@@ -561,13 +562,13 @@
 
 @fault('straggler')
 def slow_down_engine(cell: Cell) -> None:
-    plan = cell.work.list_plans(cell.system)[0]
-    cell.system.set_faults(plan.name, **cell.work.straggler)
+    plan = cell.workload.list_plans(cell.system)[0]
+    cell.system.set_faults(plan.name, **cell.workload.straggler)
 
 
 @fault('kill-runner', restart_runners)
 def kill_runner(cell: Cell) -> None:
-    for plan in cell.work.list_plans(cell.system):
+    for plan in cell.workload.list_plans(cell.system):
         if _has_accepted(cell, plan):
             break
     found = [
@@ -580,13 +581,13 @@
 
 @fault('cut-stream')
 def cut_stream(cell: Cell) -> None:
-    for plan in cell.work.list_plans(cell.system):
-        cell.system.set_faults(plan.name, **cell.work.cut)
+    for plan in cell.workload.list_plans(cell.system):
+        cell.system.set_faults(plan.name, **cell.workload.cut)
 
 
 @fault('retry-elsewhere')
 def retry_elsewhere(cell: Cell) -> None:
-    second = Caller(cell.system, cell.work, cell.key)
+    second = Caller(cell.system, cell.workload, cell.key)
     second.hosts = list(reversed(cell.others))
     second.start()
 
@@ -645,11 +646,11 @@
 
 
 def find_expected(
-    fault_name: str, step_name: str, work: Workload = MODEL_WORK
+    fault_name: str, step_name: str, workload: Workload = MODEL_WORK
 ) -> frozenset[str]:
     if step_name == 'takeover':
         return EITHER
-    if work is SERVICE_WORK and fault_name == 'cut-stream':
+    if workload is SERVICE_WORK and fault_name == 'cut-stream':
         # A service's answer cannot be resumed, and its call not repeated.
         return COMPLETE if step_name == 'after-end' else UNKNOWN
     return EXPECTED.get((fault_name, step_name), COMPLETE)
@@ -680,14 +681,14 @@
 
 def run_cell(
     system: deployment.Deployment,
-    work: Workload,
+    workload: Workload,
     fault_name: str,
     step_name: str,
     seed: int,
 ) -> list[str]:
     """Run one cell; return what was wrong."""
     draw = random.Random(f'{seed}{step_name}')
-    cell = Cell(system, work, fault_name, draw)
+    cell = Cell(system, workload, fault_name, draw)
     caller = cell.caller
     try:
         cell.run(step_name)
@@ -695,11 +696,11 @@
         return [f'{error} (seed {seed}, was told {caller.list_words()})']
     wrong = list(caller.untrue)
     last = caller.find_last()
-    if last.outcome not in find_expected(fault_name, step_name, work):
+    if last.outcome not in find_expected(fault_name, step_name, workload):
         wrong.append(f'last word {last.outcome} {last.code}')
     if caller.total_s > DEADLINE + 2.0:
         wrong.append(f'last word after {caller.total_s:.1f} s')
-    if last.outcome == 'complete' and not work.is_complete_answer(
+    if last.outcome == 'complete' and not workload.is_complete_answer(
         last, cell.key
     ):
         wrong.append('the answer is not whole or not its own')
@@ -717,7 +718,7 @@
 
 def run_row(
     system: deployment.Deployment,
-    work: Workload,
+    workload: Workload,
     fault_name: str,
     step_names: collections.abc.Iterable[str],
     seed: int,
@@ -727,7 +728,7 @@
     watch.start()
     results: dict[str, list[str]] = {}
     for name in step_names:
-        results[name] = run_cell(system, work, fault_name, name, seed)
+        results[name] = run_cell(system, workload, fault_name, name, seed)
     watch.is_over.set()
     watch.join()
     if watch.fallen:
--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -63,12 +63,12 @@
         return {name: future.result() for name, future in futures.items()}
 
 
-def describe_words(work: faultmatrix.Workload) -> Describe:
+def describe_words(workload: faultmatrix.Workload) -> Describe:
     """Return what tells a cell's possible last words."""
 
     def describe(fault: str, name: str) -> str:
         return ' or '.join(
-            sorted(faultmatrix.find_expected(fault, name, work))
+            sorted(faultmatrix.find_expected(fault, name, workload))
         )
 
     return describe
@@ -96,7 +96,7 @@
     service = run_rows(
         faultmatrix.faults,
         functools.partial(
-            test_fault_matrix.run_row, work=faultmatrix.SERVICE_WORK
+            test_fault_matrix.run_row, workload=faultmatrix.SERVICE_WORK
         ),
         seed,
         side_by_side,
--- a/tests/test_fault_matrix.py
+++ b/tests/test_fault_matrix.py
@@ -22,11 +22,15 @@
 
 
 def run_row(
-    name: str, seed: int, work: faultmatrix.Workload = faultmatrix.MODEL_WORK
+    name: str,
+    seed: int,
+    workload: faultmatrix.Workload = faultmatrix.MODEL_WORK,
 ) -> matrixrows.Row:
     """Run a whole row on a system of its own."""
     with matrixrows.start_system() as system:
-        return faultmatrix.run_row(system, work, name, faultmatrix.steps, seed)
+        return faultmatrix.run_row(
+            system, workload, name, faultmatrix.steps, seed
+        )
 
 
 class TestFaultMatrix(testtools.TestCase):
