--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -104,7 +104,7 @@
         return reply.outcome == 'complete' and lines[0].get('key') == key
 
 
-MODEL_WORK: ty.Final = Workload(
+MODEL_WORKLOAD: ty.Final = Workload(
     route='rebuild',
     kind='engine',
     body={'prompt': systems.make_prompt(64), 'max_tokens': TOKENS},
@@ -646,7 +646,7 @@
 
 
 def find_expected(
-    fault_name: str, step_name: str, workload: Workload = MODEL_WORK
+    fault_name: str, step_name: str, workload: Workload = MODEL_WORKLOAD
 ) -> frozenset[str]:
     if step_name == 'takeover':
         return EITHER
--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -117,7 +117,7 @@
             write_table(
                 one,
                 faultmatrix.steps,
-                describe_words(faultmatrix.MODEL_WORK),
+                describe_words(faultmatrix.MODEL_WORKLOAD),
             ),
             f'## One request to a service (seed {seed})',
             '',
--- a/tests/test_fault_matrix.py
+++ b/tests/test_fault_matrix.py
@@ -24,7 +24,7 @@
 def run_row(
     name: str,
     seed: int,
-    workload: faultmatrix.Workload = faultmatrix.MODEL_WORK,
+    workload: faultmatrix.Workload = faultmatrix.MODEL_WORKLOAD,
 ) -> matrixrows.Row:
     """Run a whole row on a system of its own."""
     with matrixrows.start_system() as system:
