--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -114,7 +114,7 @@
     straggler={'straggle': 2 * SLOW},
     cut={'cut_streams': 1, 'cut_after': 3},
 )
-SERVICE_WORK: ty.Final = Workload(
+SERVICE_WORKLOAD: ty.Final = Workload(
     route='manifest',
     kind='service',
     body={'site': 7, 'crates': 12},
@@ -650,7 +650,7 @@
 ) -> frozenset[str]:
     if step_name == 'takeover':
         return EITHER
-    if workload is SERVICE_WORK and fault_name == 'cut-stream':
+    if workload is SERVICE_WORKLOAD and fault_name == 'cut-stream':
         # A service's answer cannot be resumed, and its call not repeated.
         return COMPLETE if step_name == 'after-end' else UNKNOWN
     return EXPECTED.get((fault_name, step_name), COMPLETE)
--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -96,7 +96,7 @@
     service = run_rows(
         faultmatrix.faults,
         functools.partial(
-            test_fault_matrix.run_row, workload=faultmatrix.SERVICE_WORK
+            test_fault_matrix.run_row, workload=faultmatrix.SERVICE_WORKLOAD
         ),
         seed,
         side_by_side,
@@ -124,7 +124,7 @@
             write_table(
                 service,
                 faultmatrix.steps,
-                describe_words(faultmatrix.SERVICE_WORK),
+                describe_words(faultmatrix.SERVICE_WORKLOAD),
             ),
             f'## An overload (seed {seed})',
             '',
