--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -27,7 +27,7 @@
 from apricotstandins import processes
 import systems
 
-TOKENS = 30
+OUTPUT_TOKENS = 30
 # Seconds in which the caller must have its last word.
 DEADLINE = 25.0
 # How long a fault lasts, in seconds: longer than a lease.
@@ -99,7 +99,7 @@
 
     def is_complete_answer(self, reply: callers.Reply, key: str) -> bool:
         if self.kind == 'engine':
-            return reply.is_complete_answer(key, TOKENS)
+            return reply.is_complete_answer(key, OUTPUT_TOKENS)
         lines = reply.read_lines()
         return reply.outcome == 'complete' and lines[0].get('key') == key
 
@@ -107,7 +107,7 @@
 MODEL_WORKLOAD: ty.Final = Workload(
     route='rebuild',
     kind='engine',
-    body={'prompt': systems.make_prompt(64), 'max_tokens': TOKENS},
+    body={'prompt': systems.make_prompt(64), 'max_tokens': OUTPUT_TOKENS},
     slow={'straggle': SLOW},
     frozen={'is_frozen': True},
     calm={'straggle': 1.0, 'is_frozen': False},
