--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -29,7 +29,7 @@
 
 OUTPUT_TOKENS = 30
 # Seconds in which the caller must have its last word.
-DEADLINE = 25.0
+DEADLINE_S = 25.0
 # How long a fault lasts, in seconds: longer than a lease.
 DURATION = 2.5
 # How long a caller asks again when it is told "unknown" and when to come.
@@ -146,10 +146,10 @@
         started = time.monotonic()
         first: float | None = None
         turn = 0
-        while time.monotonic() < started + DEADLINE:
+        while time.monotonic() < started + DEADLINE_S:
             host = self.hosts[turn % len(self.hosts)]
             turn += 1
-            reply = self.post(host, started + DEADLINE - time.monotonic())
+            reply = self.post(host, started + DEADLINE_S - time.monotonic())
             self.replies.append(reply)
             if reply.outcome in EITHER:
                 if 'retry-after' not in reply.headers:
@@ -231,7 +231,7 @@
         finally:
             self.fault.heal(self)
             self.calm()
-        self.caller.join(2 * DEADLINE)
+        self.caller.join(2 * DEADLINE_S)
         if self.caller.is_alive():
             raise AssertionError('the caller has no last word')
         if name == 'drain':
@@ -372,7 +372,7 @@
         systems.FESTIN,
         cell.workload.body,
         cell.key,
-        deadline_ms=int(DEADLINE * 1000),
+        deadline_ms=int(DEADLINE_S * 1000),
         timeout=0.5,
     )
     cell.thaw_runners()
@@ -698,7 +698,7 @@
     last = caller.find_last()
     if last.outcome not in find_expected(fault_name, step_name, workload):
         wrong.append(f'last word {last.outcome} {last.code}')
-    if caller.total_s > DEADLINE + 2.0:
+    if caller.total_s > DEADLINE_S + 2.0:
         wrong.append(f'last word after {caller.total_s:.1f} s')
     if last.outcome == 'complete' and not workload.is_complete_answer(
         last, cell.key
