--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -31,7 +31,7 @@
 # Seconds in which the caller must have its last word.
 DEADLINE_S = 25.0
 # How long a fault lasts, in seconds: longer than a lease.
-DURATION = 2.5
+FAULT_DURATION_S = 2.5
 # How long a caller asks again when it is told "unknown" and when to come.
 PATIENCE = 12.0
 # Longer than the time after a takeover in which fresh keys may be unknown.
@@ -227,7 +227,7 @@
         """Run the step, let the fault last, heal, and wait for the end."""
         try:
             steps[name](self)
-            time.sleep(DURATION)
+            time.sleep(FAULT_DURATION_S)
         finally:
             self.fault.heal(self)
             self.calm()
@@ -557,7 +557,7 @@
 
 @fault('hosts-stale', heal_lists)
 def delay_lists(cell: Cell) -> None:
-    cell.system.set_host_lag(2 * DURATION)
+    cell.system.set_host_lag(2 * FAULT_DURATION_S)
 
 
 @fault('straggler')
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -23,7 +23,7 @@
 import bursts
 
 # Longer than a lease and than the heartbeat's timeout, in seconds.
-DURATION = 2.5
+FAULT_DURATION_S = 2.5
 # When the burst has only begun to wait, when it is being shed, and when it
 # has just been posted whole; in seconds from its beginning.
 FILLING = 0.3
@@ -111,7 +111,7 @@
             future = pool.submit(bursts.post_burst, self.system, hosts)
             try:
                 steps[name](self)
-                time.sleep(DURATION)
+                time.sleep(FAULT_DURATION_S)
             finally:
                 self.fault.heal(self)
             return future.result()
@@ -256,7 +256,7 @@
 
 
 def _delay_lists(cell: Cell) -> None:
-    cell.system.set_host_lag(2 * DURATION)
+    cell.system.set_host_lag(2 * FAULT_DURATION_S)
 
 
 def _resume(cell: Cell) -> None:
