--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -33,7 +33,7 @@
 # How long a fault lasts, in seconds: longer than a lease.
 FAULT_DURATION_S = 2.5
 # How long a caller asks again when it is told "unknown" and when to come.
-PATIENCE = 12.0
+UNKNOWN_RETRY_WINDOW_S = 12.0
 # Longer than the time after a takeover in which fresh keys may be unknown.
 SETTLE = 1.0
 # Makes a decode step last about a tenth of a second.
@@ -157,7 +157,7 @@
                 # Its holder may come back, or an owner be found; after a
                 # while the caller takes "unknown" for its answer.
                 first = first or time.monotonic()
-                if time.monotonic() > first + PATIENCE:
+                if time.monotonic() > first + UNKNOWN_RETRY_WINDOW_S:
                     break
             if reply.outcome == 'not-run':
                 self._check_not_run(reply)
