--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -35,7 +35,7 @@
 # How long a caller asks again when it is told "unknown" and when to come.
 UNKNOWN_RETRY_WINDOW_S = 12.0
 # Longer than the time after a takeover in which fresh keys may be unknown.
-SETTLE = 1.0
+SETTLE_DELAY_S = 1.0
 # Makes a decode step last about a tenth of a second.
 SLOW = 20.0
 # Seconds that a slow service takes for a call; over before a fault is healed.
@@ -210,7 +210,7 @@
         self.draw = draw
         self.hosts = list(system.daemons)
         self.entry = draw.choice(self.hosts)
-        time.sleep(SETTLE)
+        time.sleep(SETTLE_DELAY_S)
         self.key, self.owner = self._choose_key()
         self.caller = Caller(system, workload, self.key)
         others = [host for host in self.hosts if host != self.entry]
