--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -37,7 +37,7 @@
 # Longer than the time after a takeover in which fresh keys may be unknown.
 SETTLE_DELAY_S = 1.0
 # Makes a decode step last about a tenth of a second.
-SLOW = 20.0
+SLOW_FACTOR = 20.0
 # Seconds that a slow service takes for a call; over before a fault is healed.
 SLOW_CALL = 2.0
 
@@ -108,10 +108,10 @@
     route='rebuild',
     kind='engine',
     body={'prompt': systems.make_prompt(64), 'max_tokens': OUTPUT_TOKENS},
-    slow={'straggle': SLOW},
+    slow={'straggle': SLOW_FACTOR},
     frozen={'is_frozen': True},
     calm={'straggle': 1.0, 'is_frozen': False},
-    straggler={'straggle': 2 * SLOW},
+    straggler={'straggle': 2 * SLOW_FACTOR},
     cut={'cut_streams': 1, 'cut_after': 3},
 )
 SERVICE_WORKLOAD: ty.Final = Workload(
