--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -39,7 +39,7 @@
 # Makes a decode step last about a tenth of a second.
 SLOW_FACTOR = 20.0
 # Seconds that a slow service takes for a call; over before a fault is healed.
-SLOW_CALL = 2.0
+SLOW_CALL_S = 2.0
 
 COMPLETE = frozenset({'complete'})
 UNKNOWN = frozenset({'unknown'})
@@ -118,10 +118,10 @@
     route='manifest',
     kind='service',
     body={'site': 7, 'crates': 12},
-    slow={'delay_s': SLOW_CALL},
+    slow={'delay_s': SLOW_CALL_S},
     frozen={'is_frozen': True},
     calm={'delay_s': 0.0, 'is_frozen': False, 'cut_answers': 0},
-    straggler={'delay_s': 2 * SLOW_CALL},
+    straggler={'delay_s': 2 * SLOW_CALL_S},
     cut={'cut_answers': 1},
 )
 
