--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -43,7 +43,7 @@
 
 COMPLETE = frozenset({'complete'})
 UNKNOWN = frozenset({'unknown'})
-EITHER = COMPLETE | UNKNOWN
+COMPLETE_OR_UNKNOWN = COMPLETE | UNKNOWN
 
 Act = collections.abc.Callable[['Cell'], None]
 
@@ -151,7 +151,7 @@
             turn += 1
             reply = self.post(host, started + DEADLINE_S - time.monotonic())
             self.replies.append(reply)
-            if reply.outcome in EITHER:
+            if reply.outcome in COMPLETE_OR_UNKNOWN:
                 if 'retry-after' not in reply.headers:
                     break
                 # Its holder may come back, or an owner be found; after a
@@ -618,30 +618,30 @@
     ('kill-entry', 'after-end'): UNKNOWN,
     ('kill-entry', 'drain'): UNKNOWN,
     ('kill-entry', 'roll-out'): UNKNOWN,
-    ('kill-entry', 'takeover'): EITHER,
-    ('kill-entry-and-owner', 'before-claim'): EITHER,
+    ('kill-entry', 'takeover'): COMPLETE_OR_UNKNOWN,
+    ('kill-entry-and-owner', 'before-claim'): COMPLETE_OR_UNKNOWN,
     ('kill-entry-and-owner', 'before-grant'): UNKNOWN,
     ('kill-entry-and-owner', 'before-first-byte'): UNKNOWN,
     ('kill-entry-and-owner', 'mid-stream'): UNKNOWN,
     ('kill-entry-and-owner', 'after-end'): UNKNOWN,
     ('kill-entry-and-owner', 'drain'): UNKNOWN,
     ('kill-entry-and-owner', 'roll-out'): UNKNOWN,
-    ('kill-owner', 'before-claim'): EITHER,
-    ('log-out-kill-owner', 'before-claim'): EITHER,
-    ('freeze-owner', 'before-claim'): EITHER,
-    ('cut-owner', 'before-claim'): EITHER,
-    ('cut-entry', 'before-claim'): EITHER,
-    ('cut-entry-one-way', 'before-claim'): EITHER,
-    ('cut-entry', 'after-end'): EITHER,
-    ('cut-entry-one-way', 'after-end'): EITHER,
-    ('freeze-entry', 'after-end'): EITHER,
-    ('freeze-entry', 'before-claim'): EITHER,
-    ('freeze-entry', 'drain'): EITHER,
+    ('kill-owner', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('log-out-kill-owner', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('freeze-owner', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('cut-owner', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('cut-entry', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('cut-entry-one-way', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('cut-entry', 'after-end'): COMPLETE_OR_UNKNOWN,
+    ('cut-entry-one-way', 'after-end'): COMPLETE_OR_UNKNOWN,
+    ('freeze-entry', 'after-end'): COMPLETE_OR_UNKNOWN,
+    ('freeze-entry', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('freeze-entry', 'drain'): COMPLETE_OR_UNKNOWN,
     # The engine forgets what it ran.
-    ('kill-runner', 'before-first-byte'): EITHER,
-    ('kill-runner', 'mid-stream'): EITHER,
-    ('kill-runner', 'drain'): EITHER,
-    ('kill-runner', 'roll-out'): EITHER,
+    ('kill-runner', 'before-first-byte'): COMPLETE_OR_UNKNOWN,
+    ('kill-runner', 'mid-stream'): COMPLETE_OR_UNKNOWN,
+    ('kill-runner', 'drain'): COMPLETE_OR_UNKNOWN,
+    ('kill-runner', 'roll-out'): COMPLETE_OR_UNKNOWN,
 }
 
 
@@ -649,7 +649,7 @@
     fault_name: str, step_name: str, workload: Workload = MODEL_WORKLOAD
 ) -> frozenset[str]:
     if step_name == 'takeover':
-        return EITHER
+        return COMPLETE_OR_UNKNOWN
     if workload is SERVICE_WORKLOAD and fault_name == 'cut-stream':
         # A service's answer cannot be resumed, and its call not repeated.
         return COMPLETE if step_name == 'after-end' else UNKNOWN
