--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -6,7 +6,7 @@
 the same key, through another daemon, until it is told how the request ended.
 The fault strikes at the cell's step and is healed a little later.
 
-``EXPECTED`` states beforehand which final words are right. Whatever they
+``EXPECTED_OUTCOMES`` states beforehand which final words are right. Whatever they
 are, in every cell: the key has run at most once; nobody was told "not run"
 of a key that had run; a complete answer was whole and its own; the last word
 came before the deadline; and no daemon's bundle version fell.
@@ -611,7 +611,7 @@
 # What the last word may be. A request whose holder dies is unknown: nobody
 # else knows how far it had come. One whose key was issued before a takeover
 # may be unknown, if nobody reports it.
-EXPECTED: ty.Final[dict[tuple[str, str], frozenset[str]]] = {
+EXPECTED_OUTCOMES: ty.Final[dict[tuple[str, str], frozenset[str]]] = {
     ('kill-entry', 'before-grant'): UNKNOWN,
     ('kill-entry', 'before-first-byte'): UNKNOWN,
     ('kill-entry', 'mid-stream'): UNKNOWN,
@@ -653,7 +653,7 @@
     if workload is SERVICE_WORKLOAD and fault_name == 'cut-stream':
         # A service's answer cannot be resumed, and its call not repeated.
         return COMPLETE if step_name == 'after-end' else UNKNOWN
-    return EXPECTED.get((fault_name, step_name), COMPLETE)
+    return EXPECTED_OUTCOMES.get((fault_name, step_name), COMPLETE)
 
 
 class VersionWatch(threading.Thread):
