--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -45,31 +45,31 @@
 UNKNOWN = frozenset({'unknown'})
 COMPLETE_OR_UNKNOWN = COMPLETE | UNKNOWN
 
-Act = collections.abc.Callable[['Cell'], None]
+CellAction = collections.abc.Callable[['Cell'], None]
 
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    strike: Act
-    heal: Act
+    strike: CellAction
+    heal: CellAction
 
 
 faults: dict[str, Fault] = {}
-steps: dict[str, Act] = {}
+steps: dict[str, CellAction] = {}
 
 
 def fault(
-    name: str, heal: Act | None = None
-) -> collections.abc.Callable[[Act], Act]:
-    def file_fault(strike: Act) -> Act:
+    name: str, heal: CellAction | None = None
+) -> collections.abc.Callable[[CellAction], CellAction]:
+    def file_fault(strike: CellAction) -> CellAction:
         faults[name] = Fault(strike, heal or (lambda cell: None))
         return strike
 
     return file_fault
 
 
-def step(name: str) -> collections.abc.Callable[[Act], Act]:
-    def file_step(act: Act) -> Act:
+def step(name: str) -> collections.abc.Callable[[CellAction], CellAction]:
+    def file_step(act: CellAction) -> CellAction:
         steps[name] = act
         return act
 
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -33,7 +33,7 @@
 BETWEEN = 0.4
 POOL = 'pool/planners'
 
-Act = collections.abc.Callable[['Cell'], None]
+CellAction = collections.abc.Callable[['Cell'], None]
 
 
 @ty.final
@@ -43,16 +43,16 @@
 
     # Which daemon it strikes: scheduler, entry, or '' for what all share.
     role: str
-    strike: Act
-    heal: Act
+    strike: CellAction
+    heal: CellAction
 
 
 faults: dict[str, Fault] = {}
-steps: dict[str, Act] = {}
+steps: dict[str, CellAction] = {}
 
 
-def step(name: str) -> collections.abc.Callable[[Act], Act]:
-    def file_step(act: Act) -> Act:
+def step(name: str) -> collections.abc.Callable[[CellAction], CellAction]:
+    def file_step(act: CellAction) -> CellAction:
         steps[name] = act
         return act
 
