--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -645,7 +645,7 @@
 }
 
 
-def find_expected(
+def find_expected_outcomes(
     fault_name: str, step_name: str, workload: Workload = MODEL_WORKLOAD
 ) -> frozenset[str]:
     if step_name == 'takeover':
@@ -696,7 +696,9 @@
         return [f'{error} (seed {seed}, was told {caller.list_words()})']
     wrong = list(caller.untrue)
     last = caller.find_last()
-    if last.outcome not in find_expected(fault_name, step_name, workload):
+    if last.outcome not in find_expected_outcomes(
+        fault_name, step_name, workload
+    ):
         wrong.append(f'last word {last.outcome} {last.code}')
     if caller.total_s > DEADLINE_S + 2.0:
         wrong.append(f'last word after {caller.total_s:.1f} s')
--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -68,7 +68,7 @@
 
     def describe(fault: str, name: str) -> str:
         return ' or '.join(
-            sorted(faultmatrix.find_expected(fault, name, workload))
+            sorted(faultmatrix.find_expected_outcomes(fault, name, workload))
         )
 
     return describe
