--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -175,7 +175,7 @@
             timeout=seconds + 1.0,
         )
 
-    def find_last(self) -> callers.Reply:
+    def find_last_reply(self) -> callers.Reply:
         # A connection that broke says nothing.
         for reply in reversed(self.replies):
             if reply.outcome != 'cut':
@@ -695,7 +695,7 @@
     except AssertionError as error:
         return [f'{error} (seed {seed}, was told {caller.list_words()})']
     wrong = list(caller.untrue)
-    last = caller.find_last()
+    last = caller.find_last_reply()
     if last.outcome not in find_expected_outcomes(
         fault_name, step_name, workload
     ):
