--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -182,7 +182,7 @@
                 return reply
         return self.replies[-1]
 
-    def list_words(self) -> list[str]:
+    def list_outcomes(self) -> list[str]:
         return [
             f'{reply.outcome}/{reply.code or reply.error[:60]}'
             for reply in self.replies
@@ -693,7 +693,7 @@
     try:
         cell.run(step_name)
     except AssertionError as error:
-        return [f'{error} (seed {seed}, was told {caller.list_words()})']
+        return [f'{error} (seed {seed}, was told {caller.list_outcomes()})']
     wrong = list(caller.untrue)
     last = caller.find_last_reply()
     if last.outcome not in find_expected_outcomes(
@@ -714,7 +714,7 @@
     if last.outcome == 'complete' and count == 0:
         if fault_name != 'kill-runner':
             wrong.append('told complete, and did not run')
-    words = caller.list_words()
+    words = caller.list_outcomes()
     return [f'{text} (seed {seed}, was told {words})' for text in wrong]
 
 
