--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -714,8 +714,8 @@
     if last.outcome == 'complete' and count == 0:
         if fault_name != 'kill-runner':
             wrong.append('told complete, and did not run')
-    words = caller.list_outcomes()
-    return [f'{text} (seed {seed}, was told {words})' for text in wrong]
+    outcomes = caller.list_outcomes()
+    return [f'{text} (seed {seed}, was told {outcomes})' for text in wrong]
 
 
 def run_row(
