--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -139,7 +139,7 @@
         self.hosts: list[str] = []
         self.replies: list[callers.Reply] = []
         # What a reply said that the back ends' witnesses contradict.
-        self.untrue: list[str] = []
+        self.contradictions: list[str] = []
         self.total_s = 0.0
 
     def run(self) -> None:
@@ -191,7 +191,9 @@
     def _check_not_run(self, reply: callers.Reply) -> None:
         count = count_executions(self.system, self.key)
         if count > 0:
-            self.untrue.append(f'not-run ({reply.code}) after {count} runs')
+            self.contradictions.append(
+                f'not-run ({reply.code}) after {count} runs'
+            )
 
 
 class Cell:
@@ -694,7 +696,7 @@
         cell.run(step_name)
     except AssertionError as error:
         return [f'{error} (seed {seed}, was told {caller.list_outcomes()})']
-    wrong = list(caller.untrue)
+    wrong = list(caller.contradictions)
     last = caller.find_last_reply()
     if last.outcome not in find_expected_outcomes(
         fault_name, step_name, workload
