--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -259,7 +259,7 @@
         for plan in self.workload.list_plans(self.system):
             self.system.set_faults(plan.name, **self.workload.frozen)
 
-    def thaw_runners(self) -> None:
+    def unfreeze_runners(self) -> None:
         for plan in self.workload.list_plans(self.system):
             address = self.system.runner_addresses[plan.name]
             probe = callers.call_http(address, 'GET', '/standin/witness')
@@ -352,7 +352,7 @@
     cell.caller.start()
     processes.wait_until(lambda: _is_accepted(cell), 'the engine has it')
     cell.strike()
-    cell.thaw_runners()
+    cell.unfreeze_runners()
 
 
 @step('mid-stream')
@@ -377,7 +377,7 @@
         deadline_ms=int(DEADLINE_S * 1000),
         timeout=0.5,
     )
-    cell.thaw_runners()
+    cell.unfreeze_runners()
     cell.wait_started()
     processes.wait_until(
         lambda: cell.system.read_status(cell.entry).get('open_requests') == 0,
