--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -267,7 +267,7 @@
             if probe.status == 200:
                 self.system.set_faults(plan.name, is_frozen=False)
 
-    def hold_grants(self, is_held: bool) -> None:
+    def block_grants(self, is_held: bool) -> None:
         state = 'leaving' if is_held else 'live'
         for plan in self.workload.list_plans(self.system):
             self.system.set_host_state(plan.name, state)
@@ -338,12 +338,12 @@
 
 @step('before-grant')
 def strike_before_grant(cell: Cell) -> None:
-    cell.hold_grants(True)
+    cell.block_grants(True)
     time.sleep(1.2)
     cell.caller.start()
     cell.wait_open()
     cell.strike()
-    cell.hold_grants(False)
+    cell.block_grants(False)
 
 
 @step('before-first-byte')
