--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -267,8 +267,8 @@
             if probe.status == 200:
                 self.system.set_faults(plan.name, is_frozen=False)
 
-    def block_grants(self, is_held: bool) -> None:
-        state = 'leaving' if is_held else 'live'
+    def block_grants(self, is_blocked: bool) -> None:
+        state = 'leaving' if is_blocked else 'live'
         for plan in self.workload.list_plans(self.system):
             self.system.set_host_state(plan.name, state)
 
