--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -238,14 +238,14 @@
             raise AssertionError('the caller has no last word')
         if name == 'drain':
             self.system.find_process(self.entry).wait()
-        self.restart_dead()
+        self.restart_stopped_daemons()
         self.system.wait_ready()
 
     def calm(self) -> None:
         for plan in self.workload.list_plans(self.system):
             self.system.set_faults(plan.name, **self.workload.calm)
 
-    def restart_dead(self) -> None:
+    def restart_stopped_daemons(self) -> None:
         for host, entry_host in self.system.daemons.items():
             if not self.system.find_process(host).is_running():
                 self.system.start_daemon(host)
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -125,7 +125,7 @@
         self.struck_at = clocks.read_monotonic()
         self.fault.strike(self)
 
-    def restart_dead(self) -> None:
+    def restart_stopped_daemons(self) -> None:
         if self.drained:
             self.system.find_process(self.drained).wait()
         for host in self.system.daemons:
@@ -330,7 +330,7 @@
     try:
         posted = cell.run(step_name)
         wrong = check_cell(cell, posted)
-        cell.restart_dead()
+        cell.restart_stopped_daemons()
     except AssertionError as error:
         return [f'{error} (seed {seed})']
     shed = sum(item.reply.code == bursts.SHED for item in posted)
