--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -665,7 +665,7 @@
         super().__init__(daemon=True)
         self.system = system
         self.highest: dict[str, int] = {}
-        self.fallen: list[str] = []
+        self.version_drops: list[str] = []
         self.is_over = threading.Event()
 
     def run(self) -> None:
@@ -677,7 +677,7 @@
                 name = status['incarnation']
                 version = status['bundle']
                 if version < self.highest.get(name, 0):
-                    self.fallen.append(f'{name} fell to {version}')
+                    self.version_drops.append(f'{name} fell to {version}')
                 self.highest[name] = version
 
 
@@ -735,6 +735,6 @@
         results[name] = run_cell(system, workload, fault_name, name, seed)
     watch.is_over.set()
     watch.join()
-    if watch.fallen:
-        results['versions'] = watch.fallen
+    if watch.version_drops:
+        results['versions'] = watch.version_drops
     return results
