--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -61,11 +61,11 @@
 def fault(
     name: str, heal: CellAction | None = None
 ) -> collections.abc.Callable[[CellAction], CellAction]:
-    def file_fault(strike: CellAction) -> CellAction:
+    def register_fault(strike: CellAction) -> CellAction:
         faults[name] = Fault(strike, heal or (lambda cell: None))
         return strike
 
-    return file_fault
+    return register_fault
 
 
 def step(name: str) -> collections.abc.Callable[[CellAction], CellAction]:
