--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -69,11 +69,11 @@
 
 
 def step(name: str) -> collections.abc.Callable[[CellAction], CellAction]:
-    def file_step(act: CellAction) -> CellAction:
+    def register_step(act: CellAction) -> CellAction:
         steps[name] = act
         return act
 
-    return file_step
+    return register_step
 
 
 @dataclasses.dataclass(frozen=True)
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -52,11 +52,11 @@
 
 
 def step(name: str) -> collections.abc.Callable[[CellAction], CellAction]:
-    def file_step(act: CellAction) -> CellAction:
+    def register_step(act: CellAction) -> CellAction:
         steps[name] = act
         return act
 
-    return file_step
+    return register_step
 
 
 @ty.final
