--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    strike: CellAction
+    inject: CellAction
     heal: CellAction
 
 
@@ -61,9 +61,9 @@
 def fault(
     name: str, heal: CellAction | None = None
 ) -> collections.abc.Callable[[CellAction], CellAction]:
-    def register_fault(strike: CellAction) -> CellAction:
-        faults[name] = Fault(strike, heal or (lambda cell: None))
-        return strike
+    def register_fault(inject: CellAction) -> CellAction:
+        faults[name] = Fault(inject, heal or (lambda cell: None))
+        return inject
 
     return register_fault
 
@@ -221,8 +221,8 @@
         self.caller.hosts = [self.entry, *others]
         self.is_struck = False
 
-    def strike(self) -> None:
-        self.fault.strike(self)
+    def inject(self) -> None:
+        self.fault.inject(self)
         self.is_struck = True
 
     def run(self, name: str) -> None:
@@ -332,7 +332,7 @@
 
 @step('before-claim')
 def strike_before_claim(cell: Cell) -> None:
-    cell.strike()
+    cell.inject()
     cell.caller.start()
 
 
@@ -342,7 +342,7 @@
     time.sleep(1.2)
     cell.caller.start()
     cell.wait_open()
-    cell.strike()
+    cell.inject()
     cell.block_grants(False)
 
 
@@ -351,7 +351,7 @@
     cell.freeze_runners()
     cell.caller.start()
     processes.wait_until(lambda: _is_accepted(cell), 'the engine has it')
-    cell.strike()
+    cell.inject()
     cell.unfreeze_runners()
 
 
@@ -360,7 +360,7 @@
     cell.slow_runners()
     cell.caller.start()
     cell.wait_started()
-    cell.strike()
+    cell.inject()
 
 
 @step('after-end')
@@ -383,7 +383,7 @@
         lambda: cell.system.read_status(cell.entry).get('open_requests') == 0,
         'the request has ended',
     )
-    cell.strike()
+    cell.inject()
     cell.caller.hosts = cell.others
     cell.caller.start()
 
@@ -393,7 +393,7 @@
     cell.system.find_process(cell.owner).kill()
     cell.caller.start()
     time.sleep(0.5)
-    cell.strike()
+    cell.inject()
 
 
 @step('drain')
@@ -403,7 +403,7 @@
     cell.wait_started()
     cell.system.find_process(cell.entry).send(signal.SIGTERM)
     time.sleep(0.2)
-    cell.strike()
+    cell.inject()
 
 
 @step('roll-out')
@@ -413,7 +413,7 @@
     cell.wait_started()
     submitter = threading.Thread(target=_submit_next, args=[cell])
     submitter.start()
-    cell.strike()
+    cell.inject()
     submitter.join()
 
 
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -43,7 +43,7 @@
 
     # Which daemon it strikes: scheduler, entry, or '' for what all share.
     role: str
-    strike: CellAction
+    inject: CellAction
     heal: CellAction
 
 
@@ -121,9 +121,9 @@
         over = clocks.read_monotonic() - self.started_at
         time.sleep(max(seconds - over, 0.0))
 
-    def strike(self) -> None:
+    def inject(self) -> None:
         self.struck_at = clocks.read_monotonic()
-        self.fault.strike(self)
+        self.fault.inject(self)
 
     def restart_stopped_daemons(self) -> None:
         if self.drained:
@@ -155,25 +155,25 @@
 
 @step('before')
 def strike_before(cell: Cell) -> None:
-    cell.strike()
+    cell.inject()
 
 
 @step('filling')
 def strike_filling(cell: Cell) -> None:
     cell.wait_until(FILLING)
-    cell.strike()
+    cell.inject()
 
 
 @step('shedding')
 def strike_shedding(cell: Cell) -> None:
     cell.wait_until(SHEDDING)
-    cell.strike()
+    cell.inject()
 
 
 @step('posted')
 def strike_posted(cell: Cell) -> None:
     cell.wait_until(POSTED)
-    cell.strike()
+    cell.inject()
 
 
 @step('takeover')
@@ -183,7 +183,7 @@
     cell.system.find_process(cell.scheduler).kill()
     cell.scheduler = cell.successor
     time.sleep(BETWEEN)
-    cell.strike()
+    cell.inject()
 
 
 @step('drain')
@@ -192,7 +192,7 @@
     cell.drained = cell.scheduler
     cell.system.find_process(cell.scheduler).send(signal.SIGTERM)
     time.sleep(BETWEEN)
-    cell.strike()
+    cell.inject()
 
 
 @step('roll-out')
@@ -203,7 +203,7 @@
     value = cell.system.make_bundle(version + 1, version)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         pool.submit(cell.system.submit, value, host)
-        cell.strike()
+        cell.inject()
 
 
 # Faults.
