--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -219,11 +219,11 @@
         draw.shuffle(others)
         self.others = others
         self.caller.hosts = [self.entry, *others]
-        self.is_struck = False
+        self.is_injected = False
 
     def inject(self) -> None:
         self.fault.inject(self)
-        self.is_struck = True
+        self.is_injected = True
 
     def run(self, name: str) -> None:
         """Run the step, let the fault last, heal, and wait for the end."""
