--- a/tests/bursts.py
+++ b/tests/bursts.py
@@ -73,7 +73,7 @@
     system: deployment.Deployment,
     posted: collections.abc.Iterable[Posted],
     struck: str = '',
-    struck_at: float = math.inf,
+    injected_at: float = math.inf,
 ) -> list[str]:
     """Return requests that were shed while one of a lower tier was kept.
 
@@ -93,7 +93,7 @@
             if other.tier <= item.tier or other.reply.status != 200:
                 continue
             settled_at = other.posted_at + SETTLED
-            if other.host == struck and settled_at > struck_at:
+            if other.host == struck and settled_at > injected_at:
                 continue
             start = accepted_at.get(other.key, 0.0)
             if settled_at < item.ended_at < start - MARGIN:
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -75,7 +75,7 @@
         self.drained = ''
         # Two hosts that lost each other, if any did.
         self.pair: list[str] = []
-        self.struck_at = 0.0
+        self.injected_at = 0.0
         self.started_at = 0.0
 
     @property
@@ -122,7 +122,7 @@
         time.sleep(max(seconds - over, 0.0))
 
     def inject(self) -> None:
-        self.struck_at = clocks.read_monotonic()
+        self.injected_at = clocks.read_monotonic()
         self.fault.inject(self)
 
     def restart_stopped_daemons(self) -> None:
@@ -306,7 +306,7 @@
 def check_cell(cell: Cell, posted: list[bursts.Posted]) -> list[str]:
     """Return what was wrong."""
     wrong = bursts.find_inversions(
-        cell.system, posted, cell.find_unheard(), cell.struck_at
+        cell.system, posted, cell.find_unheard(), cell.injected_at
     )
     executions = cell.system.read_witness('planner-1')['executions']
     for item in posted:
