--- a/tests/bursts.py
+++ b/tests/bursts.py
@@ -72,14 +72,14 @@
 def find_inversions(
     system: deployment.Deployment,
     posted: collections.abc.Iterable[Posted],
-    struck: str = '',
+    faulted_host: str = '',
     injected_at: float = math.inf,
 ) -> list[str]:
     """Return requests that were shed while one of a lower tier was kept.
 
     A request waited for certain at a time if it had been posted half a
     second before, ended well, and reached the engine later than that. What
-    a host that was ``struck`` told its callers was told too late to compare,
+    a host that was ``faulted_host`` told its callers was told too late to compare,
     and what was posted there afterwards had not reached its scheduler. Struck
     is also one that has lost nothing but the scheduler's host.
     """
@@ -87,13 +87,13 @@
     accepted_at = system.read_witness('planner-1')['accepted_at']
     found = []
     for item in posted:
-        if item.reply.code != SHED or item.host == struck:
+        if item.reply.code != SHED or item.host == faulted_host:
             continue
         for other in posted:
             if other.tier <= item.tier or other.reply.status != 200:
                 continue
             settled_at = other.posted_at + SETTLED
-            if other.host == struck and settled_at > injected_at:
+            if other.host == faulted_host and settled_at > injected_at:
                 continue
             start = accepted_at.get(other.key, 0.0)
             if settled_at < item.ended_at < start - MARGIN:
