--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -331,7 +331,7 @@
 
 
 @step('before-claim')
-def strike_before_claim(cell: Cell) -> None:
+def inject_before_claim(cell: Cell) -> None:
     cell.inject()
     cell.caller.start()
 
