--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -337,7 +337,7 @@
 
 
 @step('before-grant')
-def strike_before_grant(cell: Cell) -> None:
+def inject_before_grant(cell: Cell) -> None:
     cell.block_grants(True)
     time.sleep(1.2)
     cell.caller.start()
