--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -347,7 +347,7 @@
 
 
 @step('before-first-byte')
-def strike_before_first_byte(cell: Cell) -> None:
+def inject_before_first_byte(cell: Cell) -> None:
     cell.freeze_runners()
     cell.caller.start()
     processes.wait_until(lambda: _is_accepted(cell), 'the engine has it')
