--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -356,7 +356,7 @@
 
 
 @step('mid-stream')
-def strike_mid_stream(cell: Cell) -> None:
+def inject_mid_stream(cell: Cell) -> None:
     cell.slow_runners()
     cell.caller.start()
     cell.wait_started()
