--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -364,7 +364,7 @@
 
 
 @step('after-end')
-def strike_after_end(cell: Cell) -> None:
+def inject_after_end(cell: Cell) -> None:
     # The caller goes away while it waits and comes back elsewhere.
     address = cell.system.daemons[cell.entry].callers
     cell.freeze_runners()
