--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -389,7 +389,7 @@
 
 
 @step('takeover')
-def strike_in_takeover(cell: Cell) -> None:
+def inject_in_takeover(cell: Cell) -> None:
     cell.system.find_process(cell.owner).kill()
     cell.caller.start()
     time.sleep(0.5)
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -177,7 +177,7 @@
 
 
 @step('takeover')
-def strike_in_takeover(cell: Cell) -> None:
+def inject_in_takeover(cell: Cell) -> None:
     # The one that should take over is struck as well.
     cell.wait_until(SHEDDING - BETWEEN)
     cell.system.find_process(cell.scheduler).kill()
