--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -397,7 +397,7 @@
 
 
 @step('drain')
-def strike_in_drain(cell: Cell) -> None:
+def inject_in_drain(cell: Cell) -> None:
     cell.slow_runners()
     cell.caller.start()
     cell.wait_started()
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -187,7 +187,7 @@
 
 
 @step('drain')
-def strike_in_drain(cell: Cell) -> None:
+def inject_in_drain(cell: Cell) -> None:
     cell.wait_until(SHEDDING - BETWEEN)
     cell.drained = cell.scheduler
     cell.system.find_process(cell.scheduler).send(signal.SIGTERM)
