--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -407,7 +407,7 @@
 
 
 @step('roll-out')
-def strike_in_roll_out(cell: Cell) -> None:
+def inject_in_roll_out(cell: Cell) -> None:
     cell.slow_runners()
     cell.caller.start()
     cell.wait_started()
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -196,7 +196,7 @@
 
 
 @step('roll-out')
-def strike_in_roll_out(cell: Cell) -> None:
+def inject_in_roll_out(cell: Cell) -> None:
     cell.wait_until(SHEDDING)
     host = cell.successor
     version = cell.system.read_status(host).get('bundle', 0)
