--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -154,7 +154,7 @@
 
 
 @step('before')
-def strike_before(cell: Cell) -> None:
+def inject_before(cell: Cell) -> None:
     cell.inject()
 
 
