--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -159,7 +159,7 @@
 
 
 @step('filling')
-def strike_filling(cell: Cell) -> None:
+def inject_filling(cell: Cell) -> None:
     cell.wait_until(FILLING)
     cell.inject()
 
