--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -165,7 +165,7 @@
 
 
 @step('shedding')
-def strike_shedding(cell: Cell) -> None:
+def inject_shedding(cell: Cell) -> None:
     cell.wait_until(SHEDDING)
     cell.inject()
 
