--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -171,7 +171,7 @@
 
 
 @step('posted')
-def strike_posted(cell: Cell) -> None:
+def inject_posted(cell: Cell) -> None:
     cell.wait_until(POSTED)
     cell.inject()
 
