--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -204,19 +204,19 @@
         system: deployment.Deployment,
         workload: Workload,
         name: str,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self.system = system
         self.workload = workload
         self.fault = faults[name]
-        self.draw = draw
+        self.rng = rng
         self.hosts = list(system.daemons)
-        self.entry = draw.choice(self.hosts)
+        self.entry = rng.choice(self.hosts)
         time.sleep(SETTLE_DELAY_S)
         self.key, self.owner = self._choose_key()
         self.caller = Caller(system, workload, self.key)
         others = [host for host in self.hosts if host != self.entry]
-        draw.shuffle(others)
+        rng.shuffle(others)
         self.others = others
         self.caller.hosts = [self.entry, *others]
         self.is_injected = False
@@ -689,8 +689,8 @@
     seed: int,
 ) -> list[str]:
     """Run one cell; return what was wrong."""
-    draw = random.Random(f'{seed}{step_name}')
-    cell = Cell(system, workload, fault_name, draw)
+    rng = random.Random(f'{seed}{step_name}')
+    cell = Cell(system, workload, fault_name, rng)
     caller = cell.caller
     try:
         cell.run(step_name)
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -64,13 +64,13 @@
     """One fault at one step."""
 
     def __init__(
-        self, system: deployment.Deployment, name: str, draw: random.Random
+        self, system: deployment.Deployment, name: str, rng: random.Random
     ) -> None:
         self.system = system
         self.fault = faults[name]
         self.scheduler, self.successor = self._find_scheduler()
         others = [host for host in system.daemons if host != self.scheduler]
-        self.entry = draw.choice(others)
+        self.entry = rng.choice(others)
         # The host that was asked to stop, if any was.
         self.drained = ''
         # Two hosts that lost each other, if any did.
@@ -325,8 +325,8 @@
     system: deployment.Deployment, fault_name: str, step_name: str, seed: int
 ) -> list[str]:
     """Run one cell; return what was wrong."""
-    draw = random.Random(f'{seed}{step_name}')  # noqa: S311
-    cell = Cell(system, fault_name, draw)
+    rng = random.Random(f'{seed}{step_name}')  # noqa: S311
+    cell = Cell(system, fault_name, rng)
     try:
         posted = cell.run(step_name)
         wrong = check_cell(cell, posted)
