--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -696,28 +696,28 @@
         cell.run(step_name)
     except AssertionError as error:
         return [f'{error} (seed {seed}, was told {caller.list_outcomes()})']
-    wrong = list(caller.contradictions)
+    failures = list(caller.contradictions)
     last = caller.find_last_reply()
     if last.outcome not in find_expected_outcomes(
         fault_name, step_name, workload
     ):
-        wrong.append(f'last word {last.outcome} {last.code}')
+        failures.append(f'last word {last.outcome} {last.code}')
     if caller.total_s > DEADLINE_S + 2.0:
-        wrong.append(f'last word after {caller.total_s:.1f} s')
+        failures.append(f'last word after {caller.total_s:.1f} s')
     if last.outcome == 'complete' and not workload.is_complete_answer(
         last, cell.key
     ):
-        wrong.append('the answer is not whole or not its own')
+        failures.append('the answer is not whole or not its own')
     count = count_executions(system, cell.key)
     if count > 1:
-        wrong.append(f'ran {count} times')
+        failures.append(f'ran {count} times')
     if last.outcome == 'not-run' and count > 0:
-        wrong.append('told not-run, and ran')
+        failures.append('told not-run, and ran')
     if last.outcome == 'complete' and count == 0:
         if fault_name != 'kill-runner':
-            wrong.append('told complete, and did not run')
+            failures.append('told complete, and did not run')
     outcomes = caller.list_outcomes()
-    return [f'{text} (seed {seed}, was told {outcomes})' for text in wrong]
+    return [f'{text} (seed {seed}, was told {outcomes})' for text in failures]
 
 
 def run_row(
--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -38,10 +38,10 @@
     for fault, row in results.items():
         cells = []
         for name in names:
-            wrong = row.get(name, ['not run'])
-            failed += bool(wrong)
-            cells.append('FAILED' if wrong else describe(fault, name))
-            details += [f'- {fault}, {name}: {text}' for text in wrong]
+            failures = row.get(name, ['not run'])
+            failed += bool(failures)
+            cells.append('FAILED' if failures else describe(fault, name))
+            details += [f'- {fault}, {name}: {text}' for text in failures]
         # What was wrong in the row as a whole.
         for name in row.keys() - set(names):
             details += [f'- {fault}, {name}: {text}' for text in row[name]]
@@ -76,7 +76,9 @@
 
 def has_failed(results: Results) -> bool:
     """Tell whether anything was wrong."""
-    return any(wrong for row in results.values() for wrong in row.values())
+    return any(
+        failures for row in results.values() for failures in row.values()
+    )
 
 
 @click.command()
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -305,20 +305,20 @@
 
 def check_cell(cell: Cell, posted: list[bursts.Posted]) -> list[str]:
     """Return what was wrong."""
-    wrong = bursts.find_inversions(
+    failures = bursts.find_inversions(
         cell.system, posted, cell.find_unheard(), cell.injected_at
     )
     executions = cell.system.read_witness('planner-1')['executions']
     for item in posted:
         count = executions.get(item.key, 0)
         if item.reply.outcome == 'not-run' and count > 0:
-            wrong.append(f'not-run ({item.reply.code}) after {count} runs')
+            failures.append(f'not-run ({item.reply.code}) after {count} runs')
         if item.route in ('rebuild', 'report') and count > 1:
-            wrong.append(f'{item.route} ran {count} times')
+            failures.append(f'{item.route} ran {count} times')
         has_lived = cell.system.find_process(item.host).is_running()
         if item.reply.outcome == 'cut' and has_lived:
-            wrong.append(f'no last word at {item.host}: {item.reply.error}')
-    return wrong
+            failures.append(f'no last word at {item.host}: {item.reply.error}')
+    return failures
 
 
 def run_cell(
@@ -329,14 +329,14 @@
     cell = Cell(system, fault_name, rng)
     try:
         posted = cell.run(step_name)
-        wrong = check_cell(cell, posted)
+        failures = check_cell(cell, posted)
         cell.restart_stopped_daemons()
     except AssertionError as error:
         return [f'{error} (seed {seed})']
     shed = sum(item.reply.code == bursts.SHED for item in posted)
     good = sum(item.reply.outcome == 'complete' for item in posted)
     note = f'seed {seed}, {good} complete and {shed} shed of {len(posted)}'
-    return [f'{text} ({note})' for text in wrong]
+    return [f'{text} ({note})' for text in failures]
 
 
 def run_row(
