--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -26,7 +26,7 @@
 FAULT_DURATION_S = 2.5
 # When the burst has only begun to wait, when it is being shed, and when it
 # has just been posted whole; in seconds from its beginning.
-FILLING = 0.3
+FILLING_DELAY_S = 0.3
 SHEDDING = 1.0
 POSTED = bursts.COUNT * bursts.INTERVAL + 0.2
 # Between the first fault of a cell and the second.
@@ -160,7 +160,7 @@
 
 @step('filling')
 def inject_filling(cell: Cell) -> None:
-    cell.wait_until(FILLING)
+    cell.wait_until(FILLING_DELAY_S)
     cell.inject()
 
 
