--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -27,7 +27,7 @@
 # When the burst has only begun to wait, when it is being shed, and when it
 # has just been posted whole; in seconds from its beginning.
 FILLING_DELAY_S = 0.3
-SHEDDING = 1.0
+SHEDDING_DELAY_S = 1.0
 POSTED = bursts.COUNT * bursts.INTERVAL + 0.2
 # Between the first fault of a cell and the second.
 BETWEEN = 0.4
@@ -166,7 +166,7 @@
 
 @step('shedding')
 def inject_shedding(cell: Cell) -> None:
-    cell.wait_until(SHEDDING)
+    cell.wait_until(SHEDDING_DELAY_S)
     cell.inject()
 
 
@@ -179,7 +179,7 @@
 @step('takeover')
 def inject_in_takeover(cell: Cell) -> None:
     # The one that should take over is struck as well.
-    cell.wait_until(SHEDDING - BETWEEN)
+    cell.wait_until(SHEDDING_DELAY_S - BETWEEN)
     cell.system.find_process(cell.scheduler).kill()
     cell.scheduler = cell.successor
     time.sleep(BETWEEN)
@@ -188,7 +188,7 @@
 
 @step('drain')
 def inject_in_drain(cell: Cell) -> None:
-    cell.wait_until(SHEDDING - BETWEEN)
+    cell.wait_until(SHEDDING_DELAY_S - BETWEEN)
     cell.drained = cell.scheduler
     cell.system.find_process(cell.scheduler).send(signal.SIGTERM)
     time.sleep(BETWEEN)
@@ -197,7 +197,7 @@
 
 @step('roll-out')
 def inject_in_roll_out(cell: Cell) -> None:
-    cell.wait_until(SHEDDING)
+    cell.wait_until(SHEDDING_DELAY_S)
     host = cell.successor
     version = cell.system.read_status(host).get('bundle', 0)
     value = cell.system.make_bundle(version + 1, version)
