--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -28,7 +28,7 @@
 # has just been posted whole; in seconds from its beginning.
 FILLING_DELAY_S = 0.3
 SHEDDING_DELAY_S = 1.0
-POSTED = bursts.COUNT * bursts.INTERVAL + 0.2
+POSTED_DELAY_S = bursts.COUNT * bursts.INTERVAL + 0.2
 # Between the first fault of a cell and the second.
 BETWEEN = 0.4
 POOL = 'pool/planners'
@@ -172,7 +172,7 @@
 
 @step('posted')
 def inject_posted(cell: Cell) -> None:
-    cell.wait_until(POSTED)
+    cell.wait_until(POSTED_DELAY_S)
     cell.inject()
 
 
