--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -30,7 +30,7 @@
 SHEDDING_DELAY_S = 1.0
 POSTED_DELAY_S = bursts.COUNT * bursts.INTERVAL + 0.2
 # Between the first fault of a cell and the second.
-BETWEEN = 0.4
+SECOND_FAULT_DELAY_S = 0.4
 POOL = 'pool/planners'
 
 CellAction = collections.abc.Callable[['Cell'], None]
@@ -179,19 +179,19 @@
 @step('takeover')
 def inject_in_takeover(cell: Cell) -> None:
     # The one that should take over is struck as well.
-    cell.wait_until(SHEDDING_DELAY_S - BETWEEN)
+    cell.wait_until(SHEDDING_DELAY_S - SECOND_FAULT_DELAY_S)
     cell.system.find_process(cell.scheduler).kill()
     cell.scheduler = cell.successor
-    time.sleep(BETWEEN)
+    time.sleep(SECOND_FAULT_DELAY_S)
     cell.inject()
 
 
 @step('drain')
 def inject_in_drain(cell: Cell) -> None:
-    cell.wait_until(SHEDDING_DELAY_S - BETWEEN)
+    cell.wait_until(SHEDDING_DELAY_S - SECOND_FAULT_DELAY_S)
     cell.drained = cell.scheduler
     cell.system.find_process(cell.scheduler).send(signal.SIGTERM)
-    time.sleep(BETWEEN)
+    time.sleep(SECOND_FAULT_DELAY_S)
     cell.inject()
 
 
