--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -31,7 +31,7 @@
 POSTED_DELAY_S = bursts.COUNT * bursts.INTERVAL + 0.2
 # Between the first fault of a cell and the second.
 SECOND_FAULT_DELAY_S = 0.4
-POOL = 'pool/planners'
+POOL_SHARD = 'pool/planners'
 
 CellAction = collections.abc.Callable[['Cell'], None]
 
@@ -146,7 +146,7 @@
     def _read_scheduler(self, host: str) -> dict[str, ty.Any]:
         # As that host knows it.
         shards = self.system.read_status(host).get('shards', {})
-        found: dict[str, ty.Any] = shards.get(POOL, {})
+        found: dict[str, ty.Any] = shards.get(POOL_SHARD, {})
         return found
 
 
