--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -84,7 +84,7 @@
         found = {'scheduler': self.scheduler, 'entry': self.entry}
         return found.get(self.fault.role, '')
 
-    def find_unheard(self) -> str:
+    def find_disconnected_host(self) -> str:
         """Return the host that the pool's scheduler could not hear.
 
         The one that was struck, or that lost the host which took the pool
@@ -306,7 +306,7 @@
 def check_cell(cell: Cell, posted: list[bursts.Posted]) -> list[str]:
     """Return what was wrong."""
     failures = bursts.find_inversions(
-        cell.system, posted, cell.find_unheard(), cell.injected_at
+        cell.system, posted, cell.find_disconnected_host(), cell.injected_at
     )
     executions = cell.system.read_witness('planner-1')['executions']
     for item in posted:
