--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -74,7 +74,7 @@
         # The host that was asked to stop, if any was.
         self.drained = ''
         # Two hosts that lost each other, if any did.
-        self.pair: list[str] = []
+        self.partitioned_pair: list[str] = []
         self.injected_at = 0.0
         self.started_at = 0.0
 
@@ -90,15 +90,15 @@
         The one that was struck, or that lost the host which took the pool
         over; '' if the scheduler heard all.
         """
-        if not self.pair:
+        if not self.partitioned_pair:
             return self.target
         alive = [
             host
-            for host in self.pair
+            for host in self.partitioned_pair
             if self.system.find_process(host).is_running()
         ]
         owners = [self._read_scheduler(host).get('owner') for host in alive]
-        for host, other in itertools.permutations(self.pair):
+        for host, other in itertools.permutations(self.partitioned_pair):
             if host in owners:
                 return other
         return ''
@@ -232,13 +232,13 @@
 def _cut_pair(cell: Cell) -> None:
     # The two that are not the scheduler lose only each other: claims of one
     # at the other wait, and its queue is fed by both.
-    cell.pair = [
+    cell.partitioned_pair = [
         host for host in cell.system.daemons if host != cell.scheduler
     ]
     cell.system.set_link_faults(
         **{
             f'{source}>{target}': {'cut_forward': True, 'cut_back': True}
-            for source, target in itertools.permutations(cell.pair)
+            for source, target in itertools.permutations(cell.partitioned_pair)
         }
     )
 
