--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -72,7 +72,7 @@
         others = [host for host in system.daemons if host != self.scheduler]
         self.entry = rng.choice(others)
         # The host that was asked to stop, if any was.
-        self.drained = ''
+        self.drained_host = ''
         # Two hosts that lost each other, if any did.
         self.partitioned_pair: list[str] = []
         self.injected_at = 0.0
@@ -126,8 +126,8 @@
         self.fault.inject(self)
 
     def restart_stopped_daemons(self) -> None:
-        if self.drained:
-            self.system.find_process(self.drained).wait()
+        if self.drained_host:
+            self.system.find_process(self.drained_host).wait()
         for host in self.system.daemons:
             if not self.system.find_process(host).is_running():
                 self.system.start_daemon(host)
@@ -189,7 +189,7 @@
 @step('drain')
 def inject_in_drain(cell: Cell) -> None:
     cell.wait_until(SHEDDING_DELAY_S - SECOND_FAULT_DELAY_S)
-    cell.drained = cell.scheduler
+    cell.drained_host = cell.scheduler
     cell.system.find_process(cell.scheduler).send(signal.SIGTERM)
     time.sleep(SECOND_FAULT_DELAY_S)
     cell.inject()
