--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -118,8 +118,8 @@
 
     def wait_until(self, seconds: float) -> None:
         """Sleep until so long after the burst began."""
-        over = clocks.read_monotonic() - self.started_at
-        time.sleep(max(seconds - over, 0.0))
+        elapsed = clocks.read_monotonic() - self.started_at
+        time.sleep(max(seconds - elapsed, 0.0))
 
     def inject(self) -> None:
         self.injected_at = clocks.read_monotonic()
