--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -315,8 +315,8 @@
             failures.append(f'not-run ({item.reply.code}) after {count} runs')
         if item.route in ('rebuild', 'report') and count > 1:
             failures.append(f'{item.route} ran {count} times')
-        has_lived = cell.system.find_process(item.host).is_running()
-        if item.reply.outcome == 'cut' and has_lived:
+        was_running = cell.system.find_process(item.host).is_running()
+        if item.reply.outcome == 'cut' and was_running:
             failures.append(f'no last word at {item.host}: {item.reply.error}')
     return failures
 
