--- a/tests/bursts.py
+++ b/tests/bursts.py
@@ -30,7 +30,7 @@
     deployment.RunnerPlan('manifest-1', 'manifests', kind='service'),
 )
 POOL_SETTINGS: ty.Final = {'queue_requests': 12}
-COUNT = 120
+REQUEST_COUNT = 120
 INTERVAL = 0.02
 DEADLINE_MS = 20_000
 SHED = 'APL201'
@@ -58,9 +58,9 @@
     system: deployment.Deployment, hosts: collections.abc.Sequence[str]
 ) -> list[Posted]:
     """Post a burst of a few seconds; return when all have ended."""
-    with concurrent.futures.ThreadPoolExecutor(COUNT) as pool:
+    with concurrent.futures.ThreadPoolExecutor(REQUEST_COUNT) as pool:
         futures = []
-        for number in range(COUNT):
+        for number in range(REQUEST_COUNT):
             route, tier = TIERED[number * 7 % len(TIERED)]
             host = hosts[number % len(hosts)]
             future = pool.submit(_post_one, system, host, route, tier)
