--- a/tests/bursts.py
+++ b/tests/bursts.py
@@ -31,7 +31,7 @@
 )
 POOL_SETTINGS: ty.Final = {'queue_requests': 12}
 REQUEST_COUNT = 120
-INTERVAL = 0.02
+POST_INTERVAL_S = 0.02
 DEADLINE_MS = 20_000
 SHED = 'APL201'
 # By when a request has surely reached its scheduler, in seconds.
@@ -65,7 +65,7 @@
             host = hosts[number % len(hosts)]
             future = pool.submit(_post_one, system, host, route, tier)
             futures.append(future)
-            time.sleep(INTERVAL)
+            time.sleep(POST_INTERVAL_S)
         return [future.result() for future in futures]
 
 
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -28,7 +28,7 @@
 # has just been posted whole; in seconds from its beginning.
 FILLING_DELAY_S = 0.3
 SHEDDING_DELAY_S = 1.0
-POSTED_DELAY_S = bursts.REQUEST_COUNT * bursts.INTERVAL + 0.2
+POSTED_DELAY_S = bursts.REQUEST_COUNT * bursts.POST_INTERVAL_S + 0.2
 # Between the first fault of a cell and the second.
 SECOND_FAULT_DELAY_S = 0.4
 POOL_SHARD = 'pool/planners'
