--- a/tests/bursts.py
+++ b/tests/bursts.py
@@ -35,7 +35,7 @@
 DEADLINE_MS = 20_000
 SHED = 'APL201'
 # By when a request has surely reached its scheduler, in seconds.
-SETTLED = 0.5
+REGISTRATION_DELAY_S = 0.5
 # By how much the clocks of one host's processes may seem to differ.
 MARGIN = 0.1
 
@@ -92,7 +92,7 @@
         for other in posted:
             if other.tier <= item.tier or other.reply.status != 200:
                 continue
-            settled_at = other.posted_at + SETTLED
+            settled_at = other.posted_at + REGISTRATION_DELAY_S
             if other.host == faulted_host and settled_at > injected_at:
                 continue
             start = accepted_at.get(other.key, 0.0)
