--- a/tests/bursts.py
+++ b/tests/bursts.py
@@ -92,11 +92,11 @@
         for other in posted:
             if other.tier <= item.tier or other.reply.status != 200:
                 continue
-            settled_at = other.posted_at + REGISTRATION_DELAY_S
-            if other.host == faulted_host and settled_at > injected_at:
+            registered_at = other.posted_at + REGISTRATION_DELAY_S
+            if other.host == faulted_host and registered_at > injected_at:
                 continue
             start = accepted_at.get(other.key, 0.0)
-            if settled_at < item.ended_at < start - MARGIN:
+            if registered_at < item.ended_at < start - MARGIN:
                 found.append(f'tier {item.tier} before {other.tier}')
     return found
 
