--- a/tests/bursts.py
+++ b/tests/bursts.py
@@ -37,7 +37,7 @@
 # By when a request has surely reached its scheduler, in seconds.
 REGISTRATION_DELAY_S = 0.5
 # By how much the clocks of one host's processes may seem to differ.
-MARGIN = 0.1
+CLOCK_MARGIN_S = 0.1
 
 
 @ty.final
@@ -96,7 +96,7 @@
             if other.host == faulted_host and registered_at > injected_at:
                 continue
             start = accepted_at.get(other.key, 0.0)
-            if registered_at < item.ended_at < start - MARGIN:
+            if registered_at < item.ended_at < start - CLOCK_MARGIN_S:
                 found.append(f'tier {item.tier} before {other.tier}')
     return found
 
