--- a/tests/bursts.py
+++ b/tests/bursts.py
@@ -33,7 +33,7 @@
 REQUEST_COUNT = 120
 POST_INTERVAL_S = 0.02
 DEADLINE_MS = 20_000
-SHED = 'APL201'
+SHED_CODE = 'APL201'
 # By when a request has surely reached its scheduler, in seconds.
 REGISTRATION_DELAY_S = 0.5
 # By how much the clocks of one host's processes may seem to differ.
@@ -87,7 +87,7 @@
     accepted_at = system.read_witness('planner-1')['accepted_at']
     found = []
     for item in posted:
-        if item.reply.code != SHED or item.host == faulted_host:
+        if item.reply.code != SHED_CODE or item.host == faulted_host:
             continue
         for other in posted:
             if other.tier <= item.tier or other.reply.status != 200:
--- a/tests/test_tier_matrix.py
+++ b/tests/test_tier_matrix.py
@@ -17,7 +17,7 @@
 # The rows that have found faults.
 ROWS = ('freeze-scheduler', 'cut-entry', 'cut-pair')
 # What a caller reads that was shed.
-SHED_BODY = json.dumps({'code': bursts.SHED}).encode() + b'\n'
+SHED_BODY = json.dumps({'code': bursts.SHED_CODE}).encode() + b'\n'
 
 
 def run_row(name: str, seed: int) -> matrixrows.Row:
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -333,7 +333,7 @@
         cell.restart_stopped_daemons()
     except AssertionError as error:
         return [f'{error} (seed {seed})']
-    shed = sum(item.reply.code == bursts.SHED for item in posted)
+    shed = sum(item.reply.code == bursts.SHED_CODE for item in posted)
     good = sum(item.reply.outcome == 'complete' for item in posted)
     note = f'seed {seed}, {good} complete and {shed} shed of {len(posted)}'
     return [f'{text} ({note})' for text in failures]
