--- a/tests/bursts.py
+++ b/tests/bursts.py
@@ -18,7 +18,7 @@
 import systems
 
 # Route and tier, most important first.
-TIERED: ty.Final = (
+ROUTE_TIERS: ty.Final = (
     ('rebuild', 0),
     ('briefing', 1),
     ('note', 3),
@@ -61,7 +61,7 @@
     with concurrent.futures.ThreadPoolExecutor(REQUEST_COUNT) as pool:
         futures = []
         for number in range(REQUEST_COUNT):
-            route, tier = TIERED[number * 7 % len(TIERED)]
+            route, tier = ROUTE_TIERS[number * 7 % len(ROUTE_TIERS)]
             host = hosts[number % len(hosts)]
             future = pool.submit(_post_one, system, host, route, tier)
             futures.append(future)
