--- a/tests/bursts.py
+++ b/tests/bursts.py
@@ -42,7 +42,7 @@
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
-class Posted:
+class PostedRequest:
     """One request of a burst, with times on the monotonic clock."""
 
     key: str
@@ -56,7 +56,7 @@
 
 def post_burst(
     system: deployment.Deployment, hosts: collections.abc.Sequence[str]
-) -> list[Posted]:
+) -> list[PostedRequest]:
     """Post a burst of a few seconds; return when all have ended."""
     with concurrent.futures.ThreadPoolExecutor(REQUEST_COUNT) as pool:
         futures = []
@@ -71,7 +71,7 @@
 
 def find_inversions(
     system: deployment.Deployment,
-    posted: collections.abc.Iterable[Posted],
+    posted: collections.abc.Iterable[PostedRequest],
     faulted_host: str = '',
     injected_at: float = math.inf,
 ) -> list[str]:
@@ -103,7 +103,7 @@
 
 def _post_one(
     system: deployment.Deployment, host: str, route: str, tier: int
-) -> Posted:
+) -> PostedRequest:
     key = callers.make_key()
     posted_at = clocks.read_monotonic()
     reply = callers.post_request(
@@ -115,4 +115,4 @@
         deadline_ms=DEADLINE_MS,
     )
     ended_at = clocks.read_monotonic()
-    return Posted(key, route, tier, host, posted_at, ended_at, reply)
+    return PostedRequest(key, route, tier, host, posted_at, ended_at, reply)
--- a/tests/test_tier_matrix.py
+++ b/tests/test_tier_matrix.py
@@ -40,7 +40,7 @@
 
         The scheduler lost entry-2 at 1 s.
         """
-        shed = bursts.Posted(
+        shed = bursts.PostedRequest(
             key='a',
             route='note',
             tier=3,
@@ -49,7 +49,7 @@
             ended_at=2.0,
             reply=callers.Reply(status=429, body=SHED_BODY),
         )
-        kept = bursts.Posted(
+        kept = bursts.PostedRequest(
             key='b',
             route='report',
             tier=4,
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -103,7 +103,7 @@
                 return other
         return ''
 
-    def run(self, name: str) -> list[bursts.Posted]:
+    def run(self, name: str) -> list[bursts.PostedRequest]:
         """Post a burst, run the step, heal; return all when it ended."""
         with concurrent.futures.ThreadPoolExecutor(1) as pool:
             self.started_at = clocks.read_monotonic()
@@ -303,7 +303,7 @@
 }
 
 
-def check_cell(cell: Cell, posted: list[bursts.Posted]) -> list[str]:
+def check_cell(cell: Cell, posted: list[bursts.PostedRequest]) -> list[str]:
     """Return what was wrong."""
     failures = bursts.find_inversions(
         cell.system, posted, cell.find_disconnected_host(), cell.injected_at
