--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -92,7 +92,7 @@
 )
 def main(seed: int, side_by_side: int, output: pathlib.Path) -> None:
     """Run every fault at every step."""
-    one = run_rows(
+    model_results = run_rows(
         faultmatrix.faults, test_fault_matrix.run_row, seed, side_by_side
     )
     service = run_rows(
@@ -117,7 +117,7 @@
             f'## One request to a model (seed {seed})',
             '',
             write_table(
-                one,
+                model_results,
                 faultmatrix.steps,
                 describe_words(faultmatrix.MODEL_WORKLOAD),
             ),
@@ -136,7 +136,7 @@
     output.mkdir(exist_ok=True)
     (output / 'MATRIX.md').write_text(text)
     click.echo(text)
-    sys.exit(1 if any(map(has_failed, (one, service, many))) else 0)
+    sys.exit(1 if any(map(has_failed, (model_results, service, many))) else 0)
 
 
 if __name__ == '__main__':
