--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -95,7 +95,7 @@
     model_results = run_rows(
         faultmatrix.faults, test_fault_matrix.run_row, seed, side_by_side
     )
-    service = run_rows(
+    service_results = run_rows(
         faultmatrix.faults,
         functools.partial(
             test_fault_matrix.run_row, workload=faultmatrix.SERVICE_WORKLOAD
@@ -124,7 +124,7 @@
             f'## One request to a service (seed {seed})',
             '',
             write_table(
-                service,
+                service_results,
                 faultmatrix.steps,
                 describe_words(faultmatrix.SERVICE_WORKLOAD),
             ),
@@ -136,7 +136,11 @@
     output.mkdir(exist_ok=True)
     (output / 'MATRIX.md').write_text(text)
     click.echo(text)
-    sys.exit(1 if any(map(has_failed, (model_results, service, many))) else 0)
+    sys.exit(
+        1
+        if any(map(has_failed, (model_results, service_results, many)))
+        else 0
+    )
 
 
 if __name__ == '__main__':
