--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -104,7 +104,7 @@
         side_by_side,
     )
     # A burst loads the machine more than one request does.
-    many = run_rows(
+    tier_results = run_rows(
         tiermatrix.faults,
         test_tier_matrix.run_row,
         seed,
@@ -130,7 +130,9 @@
             ),
             f'## An overload (seed {seed})',
             '',
-            write_table(many, tiermatrix.steps, lambda fault, name: 'held'),
+            write_table(
+                tier_results, tiermatrix.steps, lambda fault, name: 'held'
+            ),
         ]
     )
     output.mkdir(exist_ok=True)
@@ -138,7 +140,7 @@
     click.echo(text)
     sys.exit(
         1
-        if any(map(has_failed, (model_results, service_results, many)))
+        if any(map(has_failed, (model_results, service_results, tier_results)))
         else 0
     )
 
