--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -63,7 +63,7 @@
         return {name: future.result() for name, future in futures.items()}
 
 
-def describe_words(workload: faultmatrix.Workload) -> Describe:
+def describe_outcomes(workload: faultmatrix.Workload) -> Describe:
     """Return what tells a cell's possible last words."""
 
     def describe(fault: str, name: str) -> str:
@@ -119,14 +119,14 @@
             write_table(
                 model_results,
                 faultmatrix.steps,
-                describe_words(faultmatrix.MODEL_WORKLOAD),
+                describe_outcomes(faultmatrix.MODEL_WORKLOAD),
             ),
             f'## One request to a service (seed {seed})',
             '',
             write_table(
                 service_results,
                 faultmatrix.steps,
-                describe_words(faultmatrix.SERVICE_WORKLOAD),
+                describe_outcomes(faultmatrix.SERVICE_WORKLOAD),
             ),
             f'## An overload (seed {seed})',
             '',
