--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -23,7 +23,7 @@
 Describe = collections.abc.Callable[[str, str], str]
 
 
-def write_table(
+def format_table(
     results: Results,
     names: collections.abc.Collection[str],
     describe: Describe,
@@ -116,21 +116,21 @@
             '',
             f'## One request to a model (seed {seed})',
             '',
-            write_table(
+            format_table(
                 model_results,
                 faultmatrix.steps,
                 describe_outcomes(faultmatrix.MODEL_WORKLOAD),
             ),
             f'## One request to a service (seed {seed})',
             '',
-            write_table(
+            format_table(
                 service_results,
                 faultmatrix.steps,
                 describe_outcomes(faultmatrix.SERVICE_WORKLOAD),
             ),
             f'## An overload (seed {seed})',
             '',
-            write_table(
+            format_table(
                 tier_results, tiermatrix.steps, lambda fault, name: 'held'
             ),
         ]
