--- a/tests/test_port_blocks.py
+++ b/tests/test_port_blocks.py
@@ -28,7 +28,7 @@
 """
 
 
-def is_free(port: int) -> bool:
+def is_port_free(port: int) -> bool:
     with socket.socket() as probe:
         try:
             probe.bind(('127.0.0.1', port))
@@ -48,7 +48,7 @@
         left = self.leave_process()
         guard, pid = left['guard'], left['pid']
         try:
-            self.assertFalse(is_free(guard))
+            self.assertFalse(is_port_free(guard))
         finally:
             os.kill(pid, signal.SIGKILL)
 
