--- a/tests/test_port_blocks.py
+++ b/tests/test_port_blocks.py
@@ -45,14 +45,14 @@
         # addresses of those that ended with it. The next run chose the same
         # block, put a runner's stand-in on such a port, and the stand-in read
         # the daemons' handshake as "illegal request line".
-        left = self.leave_process()
+        left = self.start_orphan()
         guard, pid = left['guard'], left['pid']
         try:
             self.assertFalse(is_port_free(guard))
         finally:
             os.kill(pid, signal.SIGKILL)
 
-    def leave_process(self) -> dict[str, ty.Any]:
+    def start_orphan(self) -> dict[str, ty.Any]:
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         starter = subprocess.run(
