--- a/tests/test_port_blocks.py
+++ b/tests/test_port_blocks.py
@@ -45,8 +45,8 @@
         # addresses of those that ended with it. The next run chose the same
         # block, put a runner's stand-in on such a port, and the stand-in read
         # the daemons' handshake as "illegal request line".
-        left = self.start_orphan()
-        guard, pid = left['guard'], left['pid']
+        orphan = self.start_orphan()
+        guard, pid = orphan['guard'], orphan['pid']
         try:
             self.assertFalse(is_port_free(guard))
         finally:
