--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -53,11 +53,11 @@
         self.system.submit(self.system.make_bundle(2, 1))
         self.assertNotEqual([], self.find_inversions(self.post_burst()))
 
-    def post_burst(self, avoid: str = '') -> list[bursts.Posted]:
+    def post_burst(self, avoid: str = '') -> list[bursts.PostedRequest]:
         hosts = [host for host in self.system.daemons if host != avoid]
         return bursts.post_burst(self.system, hosts)
 
-    def find_inversions(self, posted: list[bursts.Posted]) -> list[str]:
+    def find_inversions(self, posted: list[bursts.PostedRequest]) -> list[str]:
         return bursts.find_inversions(self.system, posted)
 
 
