--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -44,7 +44,7 @@
         default_factory=anyio.Event
     )
     # Set when all connections of now are reset.
-    connections_reset: anyio.Event = dataclasses.field(
+    reset_requested: anyio.Event = dataclasses.field(
         default_factory=anyio.Event
     )
 
@@ -61,11 +61,11 @@
 
     def reset(self) -> None:
         """Reset all connections."""
-        connections_reset, self.connections_reset = (
-            self.connections_reset,
+        reset_requested, self.reset_requested = (
+            self.reset_requested,
             anyio.Event(),
         )
-        connections_reset.set()
+        reset_requested.set()
 
     async def wait_until_healed(self, is_forward: bool) -> None:
         """Wait while this direction is cut."""
@@ -138,7 +138,7 @@
     server: anyio.abc.SocketStream,
     group: anyio.abc.TaskGroup,
 ) -> None:
-    await route.connections_reset.wait()
+    await route.reset_requested.wait()
     for stream in (client, server):
         raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_LINGER)
