--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -85,7 +85,7 @@
     body: dict[str, ty.Any]
     # Faults of a back end that works slowly, of one that takes requests and
     # does nothing, and of one that is well.
-    slow: dict[str, ty.Any]
+    slow_faults: dict[str, ty.Any]
     frozen: dict[str, ty.Any]
     calm: dict[str, ty.Any]
     # What the straggler does, and the connection that breaks.
@@ -108,7 +108,7 @@
     route='rebuild',
     kind='engine',
     body={'prompt': systems.make_prompt(64), 'max_tokens': OUTPUT_TOKENS},
-    slow={'straggle': SLOW_FACTOR},
+    slow_faults={'straggle': SLOW_FACTOR},
     frozen={'is_frozen': True},
     calm={'straggle': 1.0, 'is_frozen': False},
     straggler={'straggle': 2 * SLOW_FACTOR},
@@ -118,7 +118,7 @@
     route='manifest',
     kind='service',
     body={'site': 7, 'crates': 12},
-    slow={'delay_s': SLOW_CALL_S},
+    slow_faults={'delay_s': SLOW_CALL_S},
     frozen={'is_frozen': True},
     calm={'delay_s': 0.0, 'is_frozen': False, 'cut_answers': 0},
     straggler={'delay_s': 2 * SLOW_CALL_S},
@@ -253,7 +253,7 @@
 
     def slow_runners(self) -> None:
         for plan in self.workload.list_plans(self.system):
-            self.system.set_faults(plan.name, **self.workload.slow)
+            self.system.set_faults(plan.name, **self.workload.slow_faults)
 
     def freeze_runners(self) -> None:
         for plan in self.workload.list_plans(self.system):
