--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -48,7 +48,7 @@
 CellAction = collections.abc.Callable[['Cell'], None]
 
 
-@dataclasses.dataclass(frozen=True)
+@dataclasses.dataclass(frozen_faults=True)
 class Fault:
     inject: CellAction
     heal: CellAction
@@ -76,7 +76,7 @@
     return register_step
 
 
-@dataclasses.dataclass(frozen=True)
+@dataclasses.dataclass(frozen_faults=True)
 class Workload:
     """A kind of at-most-once request and its back ends."""
 
@@ -86,7 +86,7 @@
     # Faults of a back end that works slowly, of one that takes requests and
     # does nothing, and of one that is well.
     slow_faults: dict[str, ty.Any]
-    frozen: dict[str, ty.Any]
+    frozen_faults: dict[str, ty.Any]
     calm: dict[str, ty.Any]
     # What the straggler does, and the connection that breaks.
     straggler: dict[str, ty.Any]
@@ -109,7 +109,7 @@
     kind='engine',
     body={'prompt': systems.make_prompt(64), 'max_tokens': OUTPUT_TOKENS},
     slow_faults={'straggle': SLOW_FACTOR},
-    frozen={'is_frozen': True},
+    frozen_faults={'is_frozen': True},
     calm={'straggle': 1.0, 'is_frozen': False},
     straggler={'straggle': 2 * SLOW_FACTOR},
     cut={'cut_streams': 1, 'cut_after': 3},
@@ -119,7 +119,7 @@
     kind='service',
     body={'site': 7, 'crates': 12},
     slow_faults={'delay_s': SLOW_CALL_S},
-    frozen={'is_frozen': True},
+    frozen_faults={'is_frozen': True},
     calm={'delay_s': 0.0, 'is_frozen': False, 'cut_answers': 0},
     straggler={'delay_s': 2 * SLOW_CALL_S},
     cut={'cut_answers': 1},
@@ -257,7 +257,7 @@
 
     def freeze_runners(self) -> None:
         for plan in self.workload.list_plans(self.system):
-            self.system.set_faults(plan.name, **self.workload.frozen)
+            self.system.set_faults(plan.name, **self.workload.frozen_faults)
 
     def unfreeze_runners(self) -> None:
         for plan in self.workload.list_plans(self.system):
