--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -89,7 +89,7 @@
     frozen_faults: dict[str, ty.Any]
     calm: dict[str, ty.Any]
     # What the straggler does, and the connection that breaks.
-    straggler: dict[str, ty.Any]
+    straggler_faults: dict[str, ty.Any]
     cut: dict[str, ty.Any]
 
     def list_plans(
@@ -111,7 +111,7 @@
     slow_faults={'straggle': SLOW_FACTOR},
     frozen_faults={'is_frozen': True},
     calm={'straggle': 1.0, 'is_frozen': False},
-    straggler={'straggle': 2 * SLOW_FACTOR},
+    straggler_faults={'straggle': 2 * SLOW_FACTOR},
     cut={'cut_streams': 1, 'cut_after': 3},
 )
 SERVICE_WORKLOAD: ty.Final = Workload(
@@ -121,7 +121,7 @@
     slow_faults={'delay_s': SLOW_CALL_S},
     frozen_faults={'is_frozen': True},
     calm={'delay_s': 0.0, 'is_frozen': False, 'cut_answers': 0},
-    straggler={'delay_s': 2 * SLOW_CALL_S},
+    straggler_faults={'delay_s': 2 * SLOW_CALL_S},
     cut={'cut_answers': 1},
 )
 
@@ -565,7 +565,7 @@
 @fault('straggler')
 def slow_down_engine(cell: Cell) -> None:
     plan = cell.workload.list_plans(cell.system)[0]
-    cell.system.set_faults(plan.name, **cell.workload.straggler)
+    cell.system.set_faults(plan.name, **cell.workload.straggler_faults)
 
 
 @fault('kill-runner', restart_runners)
