--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -90,7 +90,7 @@
     calm: dict[str, ty.Any]
     # What the straggler does, and the connection that breaks.
     straggler_faults: dict[str, ty.Any]
-    cut: dict[str, ty.Any]
+    cut_faults: dict[str, ty.Any]
 
     def list_plans(
         self, system: deployment.Deployment
@@ -112,7 +112,7 @@
     frozen_faults={'is_frozen': True},
     calm={'straggle': 1.0, 'is_frozen': False},
     straggler_faults={'straggle': 2 * SLOW_FACTOR},
-    cut={'cut_streams': 1, 'cut_after': 3},
+    cut_faults={'cut_streams': 1, 'cut_after': 3},
 )
 SERVICE_WORKLOAD: ty.Final = Workload(
     route='manifest',
@@ -122,7 +122,7 @@
     frozen_faults={'is_frozen': True},
     calm={'delay_s': 0.0, 'is_frozen': False, 'cut_answers': 0},
     straggler_faults={'delay_s': 2 * SLOW_CALL_S},
-    cut={'cut_answers': 1},
+    cut_faults={'cut_answers': 1},
 )
 
 
@@ -584,7 +584,7 @@
 @fault('cut-stream')
 def cut_stream(cell: Cell) -> None:
     for plan in cell.workload.list_plans(cell.system):
-        cell.system.set_faults(plan.name, **cell.workload.cut)
+        cell.system.set_faults(plan.name, **cell.workload.cut_faults)
 
 
 @fault('retry-elsewhere')
