--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -316,8 +316,8 @@
         self.accepted[sequence.key] += 1
         self.accepted_at.setdefault(sequence.key, clocks.read_monotonic())
         self._waiting.append(sequence)
-        arrival, self._arrived = self._arrived, anyio.Event()
-        arrival.set()
+        arrived, self._arrived = self._arrived, anyio.Event()
+        arrived.set()
         await self._stream(sequence, 0, send)
 
     async def _resume(
--- a/packages/apricotstandins/src/apricotstandins/logservice.py
+++ b/packages/apricotstandins/src/apricotstandins/logservice.py
@@ -105,8 +105,8 @@
         self.appends += 1
         self._records.append(body)
         self._trim()
-        arrival, self._arrived = self._arrived, anyio.Event()
-        arrival.set()
+        arrived, self._arrived = self._arrived, anyio.Event()
+        arrived.set()
         return self._first + len(self._records) - 1
 
     def _trim(self) -> None:
@@ -124,9 +124,9 @@
         wait_s = int(query.get('wait_ms', ['0'])[0]) / 1000.0
         end = self._first + len(self._records)
         if start >= end:
-            arrival = self._arrived
+            arrived = self._arrived
             with anyio.move_on_after(wait_s):
-                await arrival.wait()
+                await arrived.wait()
         if self.faults.is_out:
             await asgi.send_json(send, 503, {'error': 'out'})
             return
