--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -87,7 +87,7 @@
     # does nothing, and of one that is well.
     slow_faults: dict[str, ty.Any]
     frozen_faults: dict[str, ty.Any]
-    calm: dict[str, ty.Any]
+    no_faults: dict[str, ty.Any]
     # What the straggler does, and the connection that breaks.
     straggler_faults: dict[str, ty.Any]
     cut_faults: dict[str, ty.Any]
@@ -110,7 +110,7 @@
     body={'prompt': systems.make_prompt(64), 'max_tokens': OUTPUT_TOKENS},
     slow_faults={'straggle': SLOW_FACTOR},
     frozen_faults={'is_frozen': True},
-    calm={'straggle': 1.0, 'is_frozen': False},
+    no_faults={'straggle': 1.0, 'is_frozen': False},
     straggler_faults={'straggle': 2 * SLOW_FACTOR},
     cut_faults={'cut_streams': 1, 'cut_after': 3},
 )
@@ -120,7 +120,7 @@
     body={'site': 7, 'crates': 12},
     slow_faults={'delay_s': SLOW_CALL_S},
     frozen_faults={'is_frozen': True},
-    calm={'delay_s': 0.0, 'is_frozen': False, 'cut_answers': 0},
+    no_faults={'delay_s': 0.0, 'is_frozen': False, 'cut_answers': 0},
     straggler_faults={'delay_s': 2 * SLOW_CALL_S},
     cut_faults={'cut_answers': 1},
 )
@@ -232,7 +232,7 @@
             time.sleep(FAULT_DURATION_S)
         finally:
             self.fault.heal(self)
-            self.calm()
+            self.clear_faults()
         self.caller.join(2 * DEADLINE_S)
         if self.caller.is_alive():
             raise AssertionError('the caller has no last word')
@@ -241,9 +241,9 @@
         self.restart_stopped_daemons()
         self.system.wait_ready()
 
-    def calm(self) -> None:
+    def clear_faults(self) -> None:
         for plan in self.workload.list_plans(self.system):
-            self.system.set_faults(plan.name, **self.workload.calm)
+            self.system.set_faults(plan.name, **self.workload.no_faults)
 
     def restart_stopped_daemons(self) -> None:
         for host, entry_host in self.system.daemons.items():
