--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -48,7 +48,7 @@
 CellAction = collections.abc.Callable[['Cell'], None]
 
 
-@dataclasses.dataclass(frozen_faults=True)
+@dataclasses.dataclass(frozen=True)
 class Fault:
     inject: CellAction
     heal: CellAction
@@ -76,7 +76,7 @@
     return register_step
 
 
-@dataclasses.dataclass(frozen_faults=True)
+@dataclasses.dataclass(frozen=True)
 class Workload:
     """A kind of at-most-once request and its back ends."""
 
