--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -23,7 +23,7 @@
 
     def test_lowest_tier_is_shed_first(self) -> None:
         posted = self.post_burst()
-        shed = [item for item in posted if item.reply.code == bursts.SHED]
+        shed = [item for item in posted if item.reply.code == bursts.SHED_CODE]
         self.assertNotEqual([], shed)
         self.assertEqual([], self.find_inversions(posted))
         # What is shed hears so at once and is told when to come back.
