--- a/packages/apricotstandins/src/apricotstandins/__init__.py
+++ b/packages/apricotstandins/src/apricotstandins/__init__.py
@@ -1,7 +1,7 @@
-"""Stand-ins for what lies outside: platform, engines and plain services.
+"""Stand-ins for external systems: platform, engines and plain services.
 
-They are small fakes at the interfaces, for tests and for the demo, and not a
-simulator. Each is an ASGI application that one process serves; faults are
-set over HTTP under ``/standin/``, so that a test can bring them about in a
-process that it did not write. ``python -m apricotstandins`` starts them.
+They are small fakes at the interfaces, for tests and the demo, not a
+simulator. Each is an ASGI application in a process of its own. Faults are
+set over HTTP under ``/standin/``, so that a test can inject them into another
+process. ``python -m apricotstandins`` starts them.
 """
