--- a/packages/apricotstandins/src/apricotstandins/hostservice.py
+++ b/packages/apricotstandins/src/apricotstandins/hostservice.py
@@ -1,8 +1,8 @@
 """Stand-in for the platform's list of live and leaving hosts.
 
-The list changes by ``POST /standin/hosts`` (a whole list) or ``POST
-/standin/state`` (one host), and shows each change only after a lag that
-``POST /standin/lag`` sets.
+``POST /standin/hosts`` replaces the list and ``POST /standin/state`` changes
+the state of one host. A change becomes visible after the lag that ``POST
+/standin/lag`` sets.
 """
 
 import json
@@ -16,20 +16,20 @@
 
 @ty.final
 class HostService:
-    """The list, as an ASGI application."""
+    """ASGI application that serves the host list."""
 
     def __init__(self) -> None:
-        """Start with an empty list and no lag."""
+        """Create an empty list without lag."""
         self._lag_s = 0.0
         self._hosts: list[dict[str, ty.Any]] = []
-        # Changes that do not show yet: (time to show, list).
+        # Changes that are not visible yet: (time of visibility, list).
         self._pending: list[tuple[float, list[dict[str, ty.Any]]]] = []
         self._visible: list[dict[str, ty.Any]] = []
 
     async def __call__(
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         body = await asgi.read_body(receive, 16 * 1024 * 1024)
         path = scope['path']
         now = clocks.read_monotonic()
