--- a/packages/apricotstandins/src/apricotstandins/plainservice.py
+++ b/packages/apricotstandins/src/apricotstandins/plainservice.py
@@ -1,7 +1,8 @@
 """Stand-in for a plain service, such as the manifest store.
 
-``POST /ROUTE`` takes a JSON object and answers with one that names the key.
-The witness counts executions by key, as the engines' does.
+``POST /ROUTE`` takes a JSON object and returns one that contains the
+idempotency key. Like an engine, the service reports executions by key at
+``/standin/witness``.
 """
 
 import collections
@@ -20,23 +21,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong now."""
+    """Faults in effect."""
 
     delay_s: float = 0.0
-    # Take calls and answer none until this is over.
+    # Accept calls, but answer none while this is set.
     is_frozen: bool = False
-    # Refuse calls, saying that they were not taken.
+    # Reject calls and report that they were not accepted.
     is_refusing: bool = False
-    # Run this many calls and cut the connection in place of an answer.
+    # Execute this many calls, but close the connection instead of answering.
     cut_answers: int = 0
 
 
 @ty.final
 class PlainService:
-    """The service, as an ASGI application."""
+    """ASGI application that emulates the service."""
 
     def __init__(self, name: str) -> None:
-        """Start without faults."""
+        """Create a service without faults."""
         self.name = name
         self.faults = Faults()
         self.executions: collections.Counter[str] = collections.Counter()
@@ -44,7 +45,7 @@
     async def __call__(
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         body = await asgi.read_body(receive, 16 * 1024 * 1024)
         path = scope['path']
         if path == '/standin/faults':
