--- a/packages/apricotstandins/src/apricotstandins/logservice.py
+++ b/packages/apricotstandins/src/apricotstandins/logservice.py
@@ -1,8 +1,8 @@
 """Stand-in for the platform's append-only log.
 
-Records live in memory. The faults are those that the users name: an outage,
-slow replies, a reply that is lost after the append took effect, an append
-that takes effect late, and records that are kept for a limited count.
+Records are stored in memory. The faults are those that the users name: an
+outage, slow replies, a reply that is lost after the append took effect, an
+append that takes effect late, and retention of a limited number of records.
 """
 
 import base64
@@ -18,36 +18,36 @@
 
 __all__ = ['LogService']
 
-# Most records in one answer to a read.
+# Maximum number of records in the reply to one read.
 _MAX_READ_RECORDS = 500
 
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong now."""
+    """Faults in effect."""
 
     is_out: bool = False
     # Added to each reply, in seconds.
     delay_s: float = 0.0
-    # Appends still to come that take effect while their reply is lost.
+    # Number of coming appends that take effect, but whose reply is lost.
     lost_replies: int = 0
-    # Appends still to come that fail now and take effect later.
+    # Number of coming appends that return an error and take effect later.
     late_appends: int = 0
     late_s: float = 0.0
-    # Appends of fewer bytes are spared by the two faults above. Daemons
-    # append small records of their own at any time, and one of them would
-    # take a fault that was meant for a bundle.
+    # Appends of fewer bytes are exempt from the two faults above: daemons
+    # append small records of their own at any time, which would consume a
+    # fault that is meant for a bundle.
     spared_bytes: int = 0
-    # Most records kept; 0 keeps all.
+    # Maximum number of records retained; 0 retains all.
     retention: int = 0
 
 
 @ty.final
 class LogService:
-    """The log, as an ASGI application."""
+    """ASGI application that serves the log."""
 
     def __init__(self) -> None:
-        """Start empty and without faults."""
+        """Create an empty log without faults."""
         self.faults = Faults()
         self.appends = 0
         self._first = 0
@@ -57,7 +57,7 @@
     async def __call__(
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         path = scope['path']
         body = await asgi.read_body(receive, 64 * 1024 * 1024)
         if path == '/standin/faults':
@@ -89,8 +89,8 @@
         if self.faults.late_appends > 0 and not is_exempt:
             self.faults.late_appends -= 1
             await asgi.send_json(send, 503, {'error': 'try again'})
-            # The connection's task lives on after the answer: the record
-            # lands when its sender has long given up.
+            # The connection's task continues after the reply: the record is
+            # stored long after its sender has stopped waiting.
             await anyio.sleep(self.faults.late_s)
             self._store(body)
             return
