--- a/packages/apricotstandins/src/apricotstandins/callers.py
+++ b/packages/apricotstandins/src/apricotstandins/callers.py
@@ -1,6 +1,6 @@
-"""A caller, as a phone or a dispatcher's screen would be: plain HTTP.
+"""HTTP client that calls a daemon as a real caller does.
 
-What it was told is kept word for word in a ``Reply``; tests judge by that.
+``Reply`` holds the response unchanged, for tests to check.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 
 def make_key(wall: float | None = None) -> str:
-    """Return a UUIDv7 that was issued now, or at a Unix time."""
+    """Return a UUIDv7 for the current time or for a given Unix time."""
     at = time.time() if wall is None else wall
     value = int(at * 1000) << 80
     value |= _VERSION << 76
@@ -31,19 +31,19 @@
 @ty.final
 @dataclasses.dataclass(slots=True)
 class Reply:
-    """What a caller got; status 0 if there was no answer."""
+    """Response to a caller; status 0 if there was none."""
 
     status: int = 0
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     body: bytes = b''
-    # What broke the connection, if anything did.
+    # Error that ended the connection, if any.
     error: str = ''
-    # Seconds until the first byte and until the end.
+    # Seconds to the first byte of the body and to the end.
     first_byte_s: float = 0.0
     total_s: float = 0.0
 
     def read_lines(self) -> list[dict[str, ty.Any]]:
-        """Return the JSON lines of the body that came whole."""
+        """Return the complete JSON lines of the body."""
         lines = []
         for line in self.body.splitlines():
             try:
@@ -54,7 +54,7 @@
 
     @property
     def outcome(self) -> str:
-        """Return complete, not-run or unknown; ``cut`` if it is not said."""
+        """Return complete, not-run or unknown; ``cut`` if none is given."""
         lines = self.read_lines()
         if lines and 'outcome' in lines[-1]:
             return str(lines[-1]['outcome'])
@@ -63,16 +63,16 @@
 
     @property
     def code(self) -> str:
-        """Return the error's code, if there is one."""
+        """Return the error code, or an empty string."""
         lines = self.read_lines()
         return str(lines[-1].get('code', '')) if lines else ''
 
     def count_tokens(self) -> int:
-        """Return how many tokens came."""
+        """Return the number of tokens received."""
         return sum(1 for line in self.read_lines() if 'index' in line)
 
     def is_complete_answer(self, key: str, tokens: int) -> bool:
-        """Tell whether it is the whole answer to this key and no other."""
+        """Tell whether this is the complete answer to exactly this key."""
         lines = self.read_lines()
         if self.outcome != 'complete' or len(lines) != tokens + 1:
             return False
@@ -94,7 +94,7 @@
     headers: dict[str, str] | None = None,
     timeout: float = 60.0,
 ) -> Reply:
-    """Make one HTTP call and return all that came of it."""
+    """Make one HTTP call; errors are returned in the reply."""
     reply = Reply()
     started = time.monotonic()
     host, _, port = address.rpartition(':')
@@ -128,7 +128,7 @@
     headers: dict[str, str] | None = None,
     timeout: float = 60.0,
 ) -> Reply:
-    """Post to a service route as an organisation."""
+    """Post a request to a service route for an organisation."""
     found = {
         'Authorization': f'Bearer {token}',
         'Content-Type': 'application/json',
