--- a/packages/apricotstandins/src/apricotstandins/__main__.py
+++ b/packages/apricotstandins/src/apricotstandins/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one stand-in process.
+"""Command line that starts one stand-in process.
 
 python -m apricotstandins platform --log 127.0.0.1:1 --hosts 127.0.0.1:2
 python -m apricotstandins engine --name p1 --listen 127.0.0.1:3
