--- a/packages/apricotstandins/src/apricotstandins/processes.py
+++ b/packages/apricotstandins/src/apricotstandins/processes.py
@@ -1,7 +1,8 @@
-"""Starting and ending processes, for tests and the demo.
+"""Starts and stops processes, for tests and the demo.
 
-Every process is ended by its own id, and only those that were started here.
-Output goes to a file for each process, which a failing test can show.
+Only processes that were started here are stopped, each by its process id.
+The output of each process is written to a file, which a failing test can
+show.
 """
 
 import pathlib
@@ -15,26 +16,25 @@
 
 __all__ = ['Process', 'find_port', 'wait_until']
 
-# Below the range from which Linux takes ports for outgoing connections.
+# Below Linux's range of ephemeral ports for outgoing connections.
 _FIRST_PORT = 15_000
 _LAST_PORT = 32_000
-# Ports are handed out in blocks. A process keeps the first port of its block
-# bound for as long as it lives, so that tests which run side by side never
-# choose the same ports. The processes that it starts inherit that socket: if
-# a test run is killed they live on and keep calling the addresses of those
-# that ended, and a stand-in of the next run would read their messages. The
-# block is free again when the last of them has ended.
+# Ports are allocated in blocks. A process keeps the first port of its block
+# bound while it runs, so that parallel tests never choose the same ports.
+# Child processes inherit that socket: if a test run is killed, they continue
+# to call the addresses of the processes that ended, and a stand-in of the
+# next run would read their messages. The block is free again when the last
+# of these processes has ended.
 _PORTS_PER_BLOCK = 100
 _block_guards: list[socket.socket] = []
 _free_ports: list[int] = []
 
-# Seconds that anything here may take before it counts as failed; generous,
-# for machines that are busy.
+# Long enough for machines under load.
 DEFAULT_TIMEOUT_S = 30.0
 
 
 def find_port() -> int:
-    """Return a loopback port that is free and was not returned before."""
+    """Return a free loopback port that was not returned before."""
     while True:
         if not _free_ports:
             _free_ports.extend(_reserve_block())
@@ -71,7 +71,7 @@
     what: str,
     timeout_s: float = DEFAULT_TIMEOUT_S,
 ) -> None:
-    """Poll until something is true; AssertionError if it never is."""
+    """Poll a condition; raise AssertionError on timeout."""
     end = time.monotonic() + timeout_s
     while not is_true():
         if time.monotonic() > end:
@@ -81,7 +81,7 @@
 
 @ty.final
 class Process:
-    """One process of ours."""
+    """A Python process that was started here."""
 
     def __init__(
         self, name: str, arguments: list[str], output: pathlib.Path
@@ -89,7 +89,7 @@
         """Start ``python -m`` with these arguments."""
         self.name = name
         self.output = output
-        # What processes before it have written to the same file.
+        # Skips the output that earlier processes wrote to the same file.
         self._output_start = output.stat().st_size if output.exists() else 0
         with output.open('ab') as file:
             self._process = subprocess.Popen(
@@ -106,40 +106,40 @@
         return self._process.pid
 
     def is_running(self) -> bool:
-        """Tell whether it still runs."""
+        """Tell whether the process is running."""
         return self._process.poll() is None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal if it still runs."""
+        """Send a signal if the process is running."""
         if self.is_running():
             self._process.send_signal(number)
 
     def kill(self) -> None:
-        """End it at once, as a crash would."""
+        """Send SIGKILL and wait; the process stops as in a crash."""
         self.send(signal.SIGKILL)
         self._process.wait()
 
     def pause(self) -> None:
-        """Stop it where it is."""
+        """Suspend the process with SIGSTOP."""
         self.send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on."""
+        """Resume the process with SIGCONT."""
         self.send(signal.SIGCONT)
 
     def wait(self, timeout_s: float = DEFAULT_TIMEOUT_S) -> int:
-        """Return its exit code; AssertionError if it does not end."""
+        """Return the exit code; raise AssertionError on timeout."""
         try:
             return self._process.wait(timeout_s)
         except subprocess.TimeoutExpired:
             raise AssertionError(f'{self.name} did not end') from None
 
     def terminate(self, timeout_s: float = DEFAULT_TIMEOUT_S) -> int:
-        """Ask it to stop gracefully; return its exit code."""
+        """Stop the process gracefully with SIGTERM; return the exit code."""
         self.send(signal.SIGTERM)
         return self.wait(timeout_s)
 
     def read_output(self) -> str:
-        """Return what it has written so far."""
+        """Return the output of this process so far."""
         written = self.output.read_bytes()[self._output_start :]
         return written.decode(errors='replace')
