--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -1,11 +1,12 @@
-"""A TCP relay that can cut and slow down connections, for failure tests.
+"""TCP relay that can cut and slow down connections, for failure tests.
 
 One process relays any number of routes, each from a listening address to a
 target. ``POST /standin/routes`` sets the faults of some of them. A route that
-is cut keeps its connections and what was sent: after the cut everything
-arrives, late, as it does when a network heals. A route that is silent takes
-connections and bytes and passes nothing on; a connection that met this stays
-silent for good, while new ones work after it.
+is cut keeps its connections and buffers the data: when the cut is healed, all
+data arrives late, as after a network partition. A route that is silent
+accepts connections and data and forwards nothing. A connection on which data
+arrives during that time stays silent until it is closed; new connections work
+when the fault is over.
 """
 
 import dataclasses
@@ -23,27 +24,27 @@
 __all__ = ['Relay', 'parse_route']
 
 _CHUNK_BYTES = 65_536
-# Closing with this option resets a connection: on, and zero seconds.
+# Value of SO_LINGER (on, zero seconds) that makes close() send a reset.
 _RESET_LINGER = struct.pack('ii', 1, 0)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Route:
-    """One relayed address."""
+    """A listening address, its target and its faults."""
 
     name: str
     listen: addresses.Address
     target: addresses.Address
-    # What goes wrong now, by direction.
+    # Faults in effect; a cut is set for each direction.
     is_cut_forward: bool = False
     is_cut_back: bool = False
     is_silent: bool = False
-    # Added to each part, in seconds.
+    # Added to each chunk, in seconds.
     delay_s: float = 0.0
     faults_changed: anyio.Event = dataclasses.field(
         default_factory=anyio.Event
     )
-    # Set when all connections of now are reset.
+    # Set to reset all current connections.
     reset_requested: anyio.Event = dataclasses.field(
         default_factory=anyio.Event
     )
@@ -60,7 +61,7 @@
         faults_changed.set()
 
     def reset(self) -> None:
-        """Reset all connections."""
+        """Reset all current connections."""
         reset_requested, self.reset_requested = (
             self.reset_requested,
             anyio.Event(),
@@ -74,7 +75,7 @@
 
 
 def parse_route(text: str) -> Route:
-    """Return the route in ``NAME=LISTEN=TARGET``."""
+    """Parse a route of the form ``NAME=LISTEN=TARGET``."""
     name, listen, target = text.split('=')
     return Route(
         name,
@@ -85,10 +86,10 @@
 
 @ty.final
 class Relay:
-    """All routes of one process, and their control as ASGI."""
+    """All routes of one process, and the ASGI application for faults."""
 
     def __init__(self, routes: list[Route]) -> None:
-        """Prepare; ``run`` listens."""
+        """Create the relay; ``run`` opens the listeners."""
         self._routes = {route.name: route for route in routes}
 
     async def run(self) -> None:
@@ -157,7 +158,8 @@
         while True:
             chunk = await source.receive(_CHUNK_BYTES)
             if route.is_silent:
-                # What follows would otherwise look like the rest of it.
+                # Later data would otherwise look like the rest of an
+                # incomplete message.
                 silenced.set()
             if silenced.is_set():
                 continue
