--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -1,20 +1,22 @@
 """Emulator of a model engine.
 
-It batches continuously, caches prompt prefixes in limited memory, knows no
-priorities and admits requests as they come. Its speed follows a small model
-whose constants stand in ``Speed``:
+It uses continuous batching and a prefix cache of limited size, has no
+priorities and admits requests in order of arrival. Its speed follows a small
+model with the constants in ``Speed``:
 
-* prefill: ``prefill_tokens_s`` prompt tokens a second, cached ones free;
+* prefill processes ``prefill_tokens_s`` prompt tokens a second; cached tokens
+  take no time;
 * a decode step takes ``step_s`` plus ``step_per_request_s`` for each request
-  in the batch, and gives each of them one token;
-* a generation factor multiplies both; straggling multiplies them again.
+  in the batch, and produces one token for each of them;
+* both are multiplied by a generation factor and by the ``straggle`` fault.
 
-The prompt is divided into blocks of ``BLOCK_WORDS`` words; a block is cached under
-the hash of itself and all before it, least recently used first out.
+The prompt is divided into blocks of ``BLOCK_WORDS`` words. A block is cached
+under the hash of itself and all blocks before it; the least recently used
+block is evicted first.
 
-The witness (``/standin/witness``) counts executions by key and prefill
-tokens by what became of them: this is what tests and measurements believe,
-not what the scheduler says of itself.
+The witness (``/standin/witness``) counts executions by key, and prefill
+tokens computed and wasted. Tests and measurements use these counts instead of
+what the scheduler reports about itself.
 """
 
 import collections
@@ -32,14 +34,13 @@
 
 __all__ = ['Engine', 'Speed', 'hash_blocks']
 
-# Words in a cache block.
 BLOCK_WORDS = 16
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
 class Speed:
-    """Constants of the model, all for generation factor 1."""
+    """Constants of the speed model, for generation factor 1."""
 
     prefill_tokens_s: float = 8000.0
     step_s: float = 0.004
@@ -47,38 +48,37 @@
     # 1 is the newest generation; 2 takes twice as long.
     generation_factor: float = 1.0
     cache_blocks: int = 4096
-    # Requests that the batch admits; more wait in the engine, first come
-    # first served.
+    # Maximum batch size; further requests wait in a FIFO queue.
     batch_requests: int = 16
-    # Age of the load report that is shown, in seconds.
+    # Age of the load report that is returned, in seconds.
     report_lag_s: float = 1.0
-    # Delay and loss of cache events.
+    # Delay in seconds and lost fraction of cache events.
     event_lag_s: float = 0.5
     event_loss: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong now."""
+    """Faults in effect."""
 
     # Multiplies every duration.
     straggle: float = 1.0
-    # Refuse requests, saying that they were not taken.
+    # Reject requests and report that they were not accepted.
     is_refusing: bool = False
     # Cut this many streams after ``cut_after`` tokens.
     cut_streams: int = 0
     cut_after: int = 0
-    # Answer this many requests under another request's name.
+    # Answer this many requests with another request's name.
     wrong_names: int = 0
     # Answer this many requests with lines that are not JSON.
     malformed: int = 0
-    # Stop all work while this is set.
+    # Stop all computation while this is set.
     is_frozen: bool = False
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Sequence:
-    """One request in the engine."""
+    """State of one request in the engine."""
 
     request: str
     key: str
@@ -103,7 +103,7 @@
 
 
 def hash_blocks(words: list[str]) -> list[int]:
-    """Return the hash chain of a prompt's full blocks."""
+    """Return the chained hashes of a prompt's full blocks."""
     chain = []
     hasher = xxhash.xxh3_64()
     for start in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
@@ -114,24 +114,25 @@
 
 @ty.final
 class Engine:
-    """The emulator, as an ASGI application."""
+    """ASGI application that emulates the engine."""
 
     def __init__(
         self, name: str, speed: Speed, checks_fencing: bool = False
     ) -> None:
-        """Start idle with a cold cache."""
+        """Create an idle engine with an empty cache."""
         self.name = name
         self.speed = speed
         self.checks_fencing = checks_fencing
         self.faults = Faults()
-        # Requests taken and prefills begun, by key.
+        # Requests accepted and prefills begun, by key.
         self.accepted: collections.Counter[str] = collections.Counter()
-        # When each key was first taken, on the monotonic clock.
+        # Monotonic time at which each key was first accepted.
         self.accepted_at: dict[str, float] = {}
         self.executions: collections.Counter[str] = collections.Counter()
         self.prefill_computed = 0
-        # Prefill tokens of requests that were cancelled or that a cut kept
-        # from being read to the end, or that a key had computed before.
+        # Prefill tokens of requests that were cancelled or whose stream was
+        # cut before it was read to the end, or that were computed again for
+        # the same key.
         self.prefill_wasted = 0
         self.cache_hits = 0
         self.epoch = 0
@@ -149,7 +150,7 @@
         self._arrived = anyio.Event()
 
     async def run_batches(self) -> None:
-        """Compute until cancelled: one prefill or one decode step a turn."""
+        """Run one prefill or one decode step at a time until cancelled."""
         while True:
             if not self._batch and not self._waiting:
                 await self._arrived.wait()
@@ -264,7 +265,7 @@
     async def __call__(
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         body = await asgi.read_body(receive, 64 * 1024 * 1024)
         path = scope['path']
         method = scope['method']
@@ -350,8 +351,7 @@
         position = start
         while True:
             if cut_after is not None and position >= cut_after:
-                # Leaving without a last part makes the server cut the
-                # connection.
+                # Without a last body part, the server closes the connection.
                 raise ConnectionAbortedError('cut by the stand-in')
             if position < len(sequence.lines):
                 line = sequence.lines[position]
