--- a/packages/apricotstandins/src/apricotstandins/deployment.py
+++ b/packages/apricotstandins/src/apricotstandins/deployment.py
@@ -1,9 +1,8 @@
 """A small system of real processes on loopback, for tests and the demo.
 
 ``Deployment`` starts the stand-in platform, engines and services, and any
-number of daemons, each with its own settings file, and submits bundles. It
-knows how to do things and decides nothing: what is done when is up to the
-test.
+number of daemons, each with its own settings file. It submits bundles and
+sets faults. The test decides which of its operations run and when.
 """
 
 import dataclasses
@@ -35,7 +34,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerPlan:
-    """One back end to start."""
+    """Configuration of one back end."""
 
     name: str
     pool: str
@@ -55,7 +54,7 @@
 
 @dataclasses.dataclass(slots=True)
 class EntryHost:
-    """One entry host."""
+    """Addresses and process of one entry host."""
 
     host: str
     domain: str
@@ -69,22 +68,22 @@
 
 @ty.final
 class Deployment:
-    """The processes of one system."""
+    """All processes of one system."""
 
     def __init__(
         self,
         directory: pathlib.Path,
         runners: ty.Sequence[RunnerPlan] = DEFAULT_RUNNERS,
     ) -> None:
-        """Prepare addresses and keys; nothing is started."""
+        """Allocate addresses and create keys; no process is started."""
         self.directory = directory
         self.runners = list(runners)
         self.log = _make_address()
-        # With relays each daemon has a host list of its own, on which the
-        # others' addresses are those of relays between the two.
+        # With relays, the host list of each daemon contains the addresses of
+        # relays in place of those of the other daemons.
         self.has_relays = False
         self.relay_control = _make_address()
-        # Relay addresses by ``source>target``; a target may be ``log``.
+        # Relay addresses by ``source>target``; the target may be ``log``.
         self.relays: dict[str, str] = {}
         self.runner_addresses = {
             plan.name: _make_address() for plan in self.runners
@@ -105,13 +104,13 @@
         self.limits: dict[str, ty.Any] = {}
         # Merged into every pool.
         self.pool_settings: dict[str, ty.Any] = {}
-        # Replaces top-level parts of every bundle.
+        # Replaces top-level keys of every bundle.
         self.bundle_overrides: dict[str, ty.Any] = {}
 
-    # Starting.
+    # Start and stop.
 
     def start_platform(self) -> None:
-        """Start log and host lists, and relays if there are any."""
+        """Start the log, the host lists and the relays, if enabled."""
         arguments = ['apricotstandins', 'platform', '--log', self.log]
         for entry_host in self.daemons.values():
             arguments += ['--hosts', entry_host.host_list]
@@ -143,7 +142,7 @@
         self._start(plan.name, arguments + listen)
 
     def add_daemon(self, host: str, domain: str) -> EntryHost:
-        """Give a daemon its addresses."""
+        """Allocate the addresses of a daemon."""
         entry_host = EntryHost(
             host,
             domain,
@@ -156,7 +155,7 @@
         return entry_host
 
     def start_daemon(self, host: str) -> None:
-        """Start a daemon; ``wait_ready`` waits for it."""
+        """Start a daemon without waiting; see ``wait_ready``."""
         entry_host = self.daemons[host]
         path = self.directory / f'{host}.yaml'
         path.write_text(yaml.safe_dump(self._make_settings(entry_host)))
@@ -165,7 +164,7 @@
         )
 
     def start_all(self, hosts: int = 3) -> None:
-        """Start everything and put a first bundle in force."""
+        """Start all processes and submit the first bundle."""
         for number in range(1, hosts + 1):
             self.add_daemon(f'entry-{number}', f'd{number}')
         self.start_platform()
@@ -183,7 +182,7 @@
         processes.wait_until(self._are_ready, 'every daemon is ready')
 
     def stop(self) -> None:
-        """End every process that was started here."""
+        """Kill every process that was started here."""
         for process in self.processes.values():
             process.resume()
             process.kill()
@@ -193,7 +192,7 @@
     def make_bundle(
         self, version: int, base: int, **changes: ty.Any
     ) -> dict[str, ty.Any]:
-        """Return a bundle as plain data, with top-level changes."""
+        """Return a bundle as plain data, with changed top-level keys."""
         value: dict[str, ty.Any] = {
             'version': version,
             'base': base,
@@ -220,7 +219,7 @@
     def sign(
         self, value: dict[str, ty.Any], author: str = AUTHOR
     ) -> records.BundleRecord:
-        """Return a bundle signed by both operators."""
+        """Return the bundle, signed by both operators."""
         text = yaml.safe_dump(value, sort_keys=False).encode()
         other = APPROVER if author == AUTHOR else AUTHOR
         return records.BundleRecord(
@@ -243,7 +242,7 @@
         host: str | None = None,
         author: str = AUTHOR,
     ) -> callers.Reply:
-        """Submit a bundle through a daemon, the first if none is named."""
+        """Submit a bundle through a daemon, by default the first."""
         entry_host = self.daemons[host or next(iter(self.daemons))]
         return self.call_operator(
             entry_host.host,
@@ -252,7 +251,7 @@
             submissions.encode_submission(self.sign(value, author)),
         )
 
-    # Looking and disturbing.
+    # Inspection and fault injection.
 
     def call_operator(
         self, host: str, method: str, path: str, body: bytes = b''
@@ -268,21 +267,21 @@
         )
 
     def read_status(self, host: str) -> dict[str, ty.Any]:
-        """Return a daemon's status; empty if it does not answer."""
+        """Return a daemon's status; empty if it is not available."""
         reply = self.call_operator(host, 'GET', '/v1/status')
         if reply.status != 200:
             return {}
         return ty.cast('dict[str, ty.Any]', json.loads(reply.body))
 
     def read_witness(self, runner: str) -> dict[str, ty.Any]:
-        """Return what a back end has counted."""
+        """Return the counters of a back end."""
         found = _call_json(
             self.runner_addresses[runner], 'GET', '/standin/witness'
         )
         return ty.cast('dict[str, ty.Any]', found)
 
     def count_executions(self, key: str) -> int:
-        """Return how often a key has run, over all back ends."""
+        """Return the number of executions of a key on all back ends."""
         return sum(
             self.read_witness(plan.name)['executions'].get(key, 0)
             for plan in self.runners
@@ -294,7 +293,7 @@
         _call_json(address, 'POST', '/standin/faults', faults)
 
     def publish_hosts(self) -> None:
-        """Write the host lists as they are now."""
+        """Publish the current hosts in every host list."""
         for viewer in self.daemons.values():
             hosts: list[dict[str, ty.Any]] = [
                 {
@@ -314,33 +313,33 @@
             )
 
     def set_host_state(self, name: str, state: str) -> None:
-        """Change a host's state on the lists: live, leaving or gone."""
+        """Set a host's state in every list: live, leaving or gone."""
         change = {'name': name, 'state': state}
         for viewer in self.daemons.values():
             _call_json(viewer.host_list, 'POST', '/standin/state', change)
 
     def set_host_lag(self, seconds: float) -> None:
-        """Let later changes of the lists show after so many seconds."""
+        """Delay the visibility of later changes to the host lists."""
         for viewer in self.daemons.values():
             _call_json(
                 viewer.host_list, 'POST', '/standin/lag', {'lag_s': seconds}
             )
 
     def set_link_faults(self, **faults: dict[str, ty.Any]) -> None:
-        """Set faults of relays by name, ``entry-1>entry-2``."""
+        """Set faults of relays by name, such as ``entry-1>entry-2``."""
         _call_json(self.relay_control, 'POST', '/standin/routes', faults)
 
     def cut_host(
         self, host: str, is_cut: bool, is_one_way: bool = False
     ) -> None:
-        """Cut a host off from all other daemons, or heal it."""
+        """Partition a host from all other daemons, or heal the partition."""
         faults: dict[str, dict[str, ty.Any]] = {}
         for name in self.relays:
             source, _, target = name.partition('>')
             if host not in (source, target) or target == 'log':
                 continue
             is_source = source == host
-            # One way: nothing that the host sends arrives.
+            # One way: only data that the host sends is blocked.
             faults[name] = {
                 'cut_forward': is_cut and (is_source or not is_one_way),
                 'cut_back': is_cut and (not is_source or not is_one_way),
@@ -348,26 +347,26 @@
         self.set_link_faults(**faults)
 
     def cut_log(self, host: str, is_cut: bool) -> None:
-        """Cut a host off from the log only, or heal it."""
+        """Partition a host from the log only, or heal the partition."""
         fault = {'cut_forward': is_cut, 'cut_back': is_cut}
         self.set_link_faults(**{f'{host}>log': fault})
 
     def find_process(self, host: str) -> processes.Process:
-        """Return a daemon's latest process; KeyError if it never had one."""
+        """Return a daemon's latest process; KeyError if there is none."""
         process = self.daemons[host].process
         if process is None:
             raise KeyError(f'{host} was never started')
         return process
 
     def find_owner(self, shard: str, host: str | None = None) -> str:
-        """Return who serves a shard, as a daemon sees it; '' if nobody."""
+        """Return the owner that serves a shard in a daemon's view, or ''."""
         asked = host or next(iter(self.daemons))
         found = self.read_status(asked).get('shards', {}).get(shard)
         if found is None or not found['serving']:
             return ''
         return str(found['owner'])
 
-    # Within.
+    # Helpers.
 
     def _start_relays(self) -> None:
         arguments = ['apricotstandins', 'relay']
@@ -466,7 +465,7 @@
         )
 
     def wait_for_http(self, address: str, path: str) -> None:
-        """Wait until an address answers."""
+        """Wait until an address answers with status 200."""
         processes.wait_until(
             lambda: callers.call_http(address, 'GET', path).status == 200,
             f'{address}{path}',
