--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,8 @@
-"""The slopes that docs/CAPACITY.md is worked out from.
+"""Measures the unit costs from which docs/CAPACITY.md is calculated.
 
-In-process parts time the real classes; the rest runs a real daemon and reads
-its processor time and memory from /proc. Everything is bounded and on
-loopback. Figures depend on the machine: compare them within one run.
+Some costs are measured in-process on the real classes; the others on real
+daemons, whose CPU time and memory are read from /proc. Everything is bounded
+and on loopback. Results depend on the machine: compare them within one run.
 
     .venv/bin/python bench/capacity.py
 """
@@ -33,7 +33,7 @@
 
 
 def make_pool(runners: int) -> bundle.PoolModel:
-    """Return a pool of engines."""
+    """Return the configuration of a pool of engines."""
     return bundle.PoolModel.model_validate(
         {
             'name': 'planners',
@@ -54,7 +54,7 @@
 
 
 def make_registration(number: int) -> wire.Registration:
-    """Return a request as a scheduler sees it."""
+    """Return the registration of a request at a scheduler."""
     return wire.Registration(
         ticket=f'{SENDER}/{number}',
         organisation=ids.Organisation(f'org-{number % 50}'),
@@ -69,9 +69,10 @@
 
 
 def measure_decisions() -> None:
-    """Print microseconds a decision, by runners and waiting requests.
+    """Print microseconds per decision, by runners and waiting requests.
 
-    One request ends and the next is granted, as under steady overload.
+    In each round one request finishes and the next is granted, as under
+    steady overload.
     """
     click.echo('\nscheduler: microseconds for one end and one grant')
     click.echo('| runners | 100 waiting | 1,000 waiting | 10,000 waiting |')
@@ -85,7 +86,7 @@
 
 
 def time_decisions(runners: int, waiting: int) -> float:
-    """Return microseconds for one end and one grant."""
+    """Return microseconds to finish one request and grant the next."""
     queue = poolqueue.PoolQueue(make_pool(runners))
     count = waiting + 8 * runners
     for number in range(count):
@@ -110,7 +111,7 @@
 
 
 def measure_memory() -> None:
-    """Print bytes a waiting request, a claim and a key's decision."""
+    """Print bytes per waiting request and claim, and time per claim."""
     count = 20_000
     queue = poolqueue.PoolQueue(make_pool(1))
 
@@ -149,7 +150,7 @@
 
 
 def measure_allocated_bytes(fill: ty.Callable[[], object]) -> int:
-    """Return how many bytes a call leaves allocated."""
+    """Return the bytes that are still allocated after a call."""
     gc.collect()
     tracemalloc.start()
     fill()
@@ -160,7 +161,7 @@
 
 
 def measure_messages() -> None:
-    """Print size and cost of the messages that come most often."""
+    """Print size and coding cost of the most frequent messages."""
     shards = [
         (ids.Shard(f'claims/{number}'), ids.Epoch(7)) for number in range(8)
     ]
@@ -205,7 +206,7 @@
 
 
 def measure_bundle(directory: pathlib.Path) -> None:
-    """Print size and check time of a bundle of the two-year size."""
+    """Print size and check time of a bundle as expected in two years."""
     plans = [
         deployment.RunnerPlan(f'r{number}', f'pool-{number % 11}')
         for number in range(2100)
@@ -255,13 +256,13 @@
 
 
 def read_cpu_s(pid: int) -> float:
-    """Return the processor seconds that a process has used."""
+    """Return the CPU seconds that a process has used."""
     fields = pathlib.Path(f'/proc/{pid}/stat').read_text().split()
     return (int(fields[13]) + int(fields[14])) / _CLOCK_TICKS_PER_S
 
 
 def read_memory_mb(pid: int) -> int:
-    """Return a process's resident memory in MB."""
+    """Return the resident memory of a process in MB."""
     for line in pathlib.Path(f'/proc/{pid}/status').read_text().splitlines():
         if line.startswith('VmRSS'):
             return int(line.split()[1]) // 1024
@@ -269,7 +270,7 @@
 
 
 def measure_daemon(directory: pathlib.Path) -> None:
-    """Print what real daemons spend at rest, a request and a token."""
+    """Print the cost of idle daemons, of a request and of a token."""
     system = deployment.Deployment(directory)
     try:
         system.start_all()
@@ -294,7 +295,7 @@
 def measure_request_path(
     system: deployment.Deployment, pids: list[int]
 ) -> None:
-    """Print added latency, and processor time a request and a token."""
+    """Print added latency, and CPU time per request and per token."""
     entry_host = system.daemons['entry-1']
     direct = [post_direct(system, number) for number in range(200)]
     through = []
@@ -324,7 +325,7 @@
 
 
 def post_direct(system: deployment.Deployment, number: int) -> float:
-    """Return the seconds to the first token without a daemon."""
+    """Return seconds to the first token, directly from the engine."""
     body = b'{"request": "%d", "prompt": "a b c", "max_tokens": 1}' % number
     reply = callers.call_http(
         system.runner_addresses['planner-1'], 'POST', '/v1/generate', body
@@ -335,7 +336,7 @@
 def time_requests(
     system: deployment.Deployment, pids: list[int], tokens: int, count: int
 ) -> float:
-    """Return the daemons' processor seconds a request."""
+    """Return CPU seconds of all daemons per request."""
     before = sum(read_cpu_s(pid) for pid in pids)
     started = time.monotonic()
     for _ in range(count):
@@ -348,13 +349,13 @@
         )
     seconds = time.monotonic() - started
     spent = sum(read_cpu_s(pid) for pid in pids) - before
-    # What they would have spent at rest in the meantime.
+    # Subtracts the cost of the idle daemons in that time.
     return (spent - 0.01 * seconds * len(pids)) / count
 
 
 @click.command()
 def main() -> None:
-    """Print every slope."""
+    """Print all unit costs."""
     measure_decisions()
     measure_memory()
     measure_messages()
