--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,9 +1,9 @@
-"""Compares placement policies side by side on the users' deployments.
+"""Compares placement policies on models of the users' deployments.
 
-Every run starts a fresh system of real processes, replays one drawn trace
-through three daemons and asks the engines' witnesses what they computed. In
-each run one engine becomes a straggler half way and another leaves a little
-later. Medians over the seeds are printed, with the lowest and the highest.
+Each run starts a new system of real processes, replays one generated trace
+through three daemons and reads the engines' counters. Half way through a run,
+one engine becomes a straggler, and a little later another leaves. Prints the
+median over the seeds, with minimum and maximum.
 
     .venv/bin/python bench/compare.py --seeds 3 --loads 1.0,3.0
 """
@@ -27,7 +27,7 @@
 from apricotlanding import bundle
 from apricotstandins import deployment
 
-# Generation factors of the engines; unlike on purpose.
+# Generation factors of the engines, of several generations.
 FACTORS: ty.Final = {
     'festin': (1.0, 1.0, 1.5, 1.5, 2.0, 2.0),
     'ishami': (1.0, 1.0, 1.0, 1.5, 1.5, 1.5, 2.0, 2.0, 2.0),
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """One replay."""
+    """Parameters of one replay."""
 
     deployment: str
     policy: str
@@ -47,12 +47,12 @@
     seconds: float
     is_calm: bool
     is_storming: bool
-    # Replays only the requests of these routes; all if empty.
+    # Replays only requests of these routes; empty for all routes.
     routes: tuple[str, ...]
 
 
 def make_system(run: Run, directory: pathlib.Path) -> deployment.Deployment:
-    """Return a system for one run, not started."""
+    """Return a system for one run, without starting it."""
     factors = FACTORS[run.deployment]
     plans = [
         deployment.RunnerPlan(
@@ -79,7 +79,7 @@
 
 
 def inject_faults(run: Run, system: deployment.Deployment) -> None:
-    """Make one engine a straggler, and let another leave."""
+    """Make one engine a straggler and another leave."""
     time.sleep(0.5 * run.seconds)
     system.set_faults(
         f'planner-{len(system.runners)}', straggle=STRAGGLE_FACTOR
@@ -89,7 +89,7 @@
 
 
 def measure(run: Run) -> dict[str, ty.Any]:
-    """Replay one trace; return what was measured, with the witnesses'."""
+    """Replay one trace; return its results and the engines' counters."""
     plan = traces.DEPLOYMENTS[run.deployment]
     lines = [
         line
@@ -118,7 +118,7 @@
 
 
 def summarize_witnesses(system: deployment.Deployment) -> dict[str, ty.Any]:
-    """Return prefill and cache figures over all engines."""
+    """Return prefill and cache statistics over all engines."""
     witnesses = [system.read_witness(plan.name) for plan in system.runners]
     computed = sum(item['prefill_computed'] for item in witnesses)
     wasted = sum(item['prefill_wasted'] for item in witnesses)
@@ -136,7 +136,7 @@
 
 
 def summarize(results: list[dict[str, ty.Any]]) -> dict[str, str]:
-    """Return median and spread of the figures that matter."""
+    """Return median and range of each result, by column."""
     columns: dict[str, list[float]] = {}
     for found in results:
         for route, value in found['goodput'].items():
@@ -188,7 +188,7 @@
     routes: str,
     output: pathlib.Path | None,
 ) -> None:
-    """Compare policies; prints a Markdown table."""
+    """Compare policies and print a Markdown table."""
     route_names = tuple(filter(None, routes.split(',')))
     cells = [
         (policy, float(load))
