--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -1,9 +1,9 @@
-"""What callers are told when a claim owner is killed under load.
+"""Measures the outcomes for callers when a claim owner is killed under load.
 
-Callers post at-most-once requests at a steady rate through the daemons that
-stay. One daemon that owns claims is killed. Printed: the outcomes by when
-the request was sent, counted from the kill, and how often a key ran twice
-or ran although its caller was told that it did not.
+Callers post at-most-once requests at a steady rate through the remaining
+daemons while one daemon that owns claims is killed. Prints the outcomes by
+send time relative to the kill, and how many keys were executed twice or were
+executed although the caller was told not-run.
 
     .venv/bin/python bench/takeover.py --seconds 12 --rate 60
 """
@@ -25,7 +25,7 @@
 def post_manifest_change(
     system: deployment.Deployment, host: str, key: str
 ) -> callers.Reply:
-    """Post one manifest change."""
+    """Post one at-most-once request to the manifest service."""
     return callers.post_request(
         system.daemons[host].callers,
         'manifest',
@@ -38,7 +38,7 @@
 def run_load(
     system: deployment.Deployment, victim: str, seconds: float, rate: float
 ) -> list[tuple[float, str, callers.Reply]]:
-    """Return (seconds since the kill, key, reply) of every request."""
+    """Return (seconds since the kill, key, reply) of each request."""
     hosts = [host for host in system.daemons if host != victim]
     sent: list[tuple[float, str, concurrent.futures.Future[callers.Reply]]]
     sent = []
@@ -66,7 +66,7 @@
     system: deployment.Deployment,
     results: list[tuple[float, str, callers.Reply]],
 ) -> None:
-    """Print a table by half second, and the two counts that must be 0."""
+    """Print outcomes per half second, and two counts that must be 0."""
     table: dict[float, collections.Counter[str]] = {}
     executions = system.read_witness('manifest-1')['executions']
     executed_twice = 0
@@ -86,7 +86,8 @@
             print(f'{bucket:6.1f} s  {dict(table[bucket])}')
     print(f'total     {dict(total)}')
     print(
-        f'ran twice {executed_twice}, ran although told not-run {executed_after_not_run}'
+        f'ran twice {executed_twice}, '
+        f'ran although told not-run {executed_after_not_run}'
     )
     print(f'slowest answer {slowest:.2f} s')
 
@@ -95,7 +96,7 @@
 @click.option('--seconds', default=12.0, help='Length of the load.')
 @click.option('--rate', default=60.0, help='Requests a second.')
 def main(seconds: float, rate: float) -> None:
-    """Kill a claim owner under load and print what callers were told."""
+    """Kill a claim owner under load and print the outcomes."""
     with tempfile.TemporaryDirectory() as name:
         system = deployment.Deployment(pathlib.Path(name))
         try:
