--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,9 +1,9 @@
-"""Slopes of the gateway for docs/CAPACITY.md.
+"""Measures the unit costs of the gateway for docs/CAPACITY.md.
 
-Times, on this machine and alone: one request through the scheduler (entered,
-granted, released) by runners and by requests that wait; a host's state
-written, read and taken, by the number of runners that it names. Prints a
-table; each figure is the median of several rounds.
+Measures the scheduler's time per request (enter, grant, release) by number of
+runners and of waiting requests, and the time to encode, decode and apply a
+host's state by the number of runners in it. Nothing else should run on the
+machine. Prints a table; each value is the median of several rounds.
 """
 
 import collections.abc
@@ -28,19 +28,18 @@
 ROUNDS = 5
 CALLS_PER_ROUND = 200
 SLOTS_PER_RUNNER = 8
-# Unix milliseconds of a runner's start.
 RUNNER_START_MS = 1_764_726_589_123
 
 
 def make_start(number: int) -> ids.RunnerStart:
-    """Return a runner's identity, as long as the platform's are."""
+    """Return a runner's identity, with an id as long as the platform's."""
     return ids.make_runner_start(
         ids.Runner(f'i-{number:010}'), RUNNER_START_MS
     )
 
 
 def make_mesh(peers: int, runners: int) -> mesh.Mesh:
-    """Return a mesh that has heard from so many hosts."""
+    """Return a mesh that has received the states of its peers."""
     found = mesh.Mesh(
         ids.Host('host-x'),
         addresses.Address('10.0.0.1', 1),
@@ -53,7 +52,7 @@
 
 
 def make_state(number: int, counter: int, runners: int) -> messages.HostState:
-    """Return the state of a host that uses so many runners."""
+    """Return the state of a host that uses a number of runners."""
     return messages.HostState(
         host=ids.Host(f'host-{number}'),
         incarnation=ids.Incarnation(f'host-{number}/0123456789abcdef.1.2'),
@@ -71,7 +70,7 @@
 
 
 def make_scheduler(runners: int, others: mesh.Mesh) -> scheduler.Scheduler:
-    """Return a scheduler before so many runners."""
+    """Return a scheduler for a number of runners."""
     known = directory.Directory(2.0)
     for number in range(runners):
         known.update(
@@ -90,7 +89,7 @@
 
 
 def make_ticket(number: int) -> waiting.Ticket:
-    """Return a request that never gives up."""
+    """Return a waiting request that does not time out."""
     return waiting.Ticket(
         attempt=f'a-{number}',
         service=POOL,
@@ -107,7 +106,7 @@
 
 
 def time_call(call: collections.abc.Callable[[], object]) -> float:
-    """Return the median microseconds of a call."""
+    """Return the median duration of a call in microseconds."""
     rounds: list[float] = []
     for _ in range(ROUNDS):
         began = time.perf_counter()
@@ -118,12 +117,13 @@
 
 
 def time_scheduler(runners: int, waiting_count: int, peers: int) -> float:
-    """Return microseconds for one release and the grant that follows."""
+    """Return microseconds for one release and the next grant."""
     found = make_scheduler(runners, make_mesh(peers, 0))
     granted: list[ids.RunnerStart] = []
     numbers = itertools.count()
     remaining = waiting_count + 1
-    # A group of hosts has a part of the runners: full when one waits.
+    # A group of hosts has only some of the runners; they are full when a
+    # request waits.
     while remaining > 0:
         ticket = make_ticket(next(numbers))
         found.enter(ticket, 0.0)
