--- a/demo/demo.py
+++ b/demo/demo.py
@@ -1,10 +1,10 @@
-"""The whole system on loopback, as separate processes.
+"""Demo of the complete system on loopback, as separate processes.
 
-Starts a stand-in platform, two unlike engines, one plain service and three
-daemons; submits a signed bundle with apricotctl; posts one request of each
-kind through different daemons; prints what came back, who served it and the
-hops of its trace; stops everything gracefully. Exits with 0 only if every
-answer was complete and its caller's own.
+Starts a stand-in platform, two engines of different generations, one plain
+service and three daemons, and submits a signed bundle with apricotctl. Posts
+one request of each kind through different daemons and prints the answer, its
+runner and the hops of its trace. Then stops all daemons gracefully. Exits
+with 0 only if each answer was complete and belonged to its request.
 """
 
 import dataclasses
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DemoRequest:
-    """One request of the demo."""
+    """A request that the demo posts."""
 
     title: str
     host: str
@@ -67,7 +67,7 @@
 
 
 def run_ctl(system: deployment.Deployment, *arguments: str) -> None:
-    """Run apricotctl as an operator would, and show what it prints."""
+    """Run apricotctl with an operator token; print command and output."""
     environment = os.environ | {
         'APRICOT_DAEMON': system.daemons['entry-1'].operators,
         'APRICOT_OPERATOR_TOKEN': deployment.OPERATOR_TOKEN,
@@ -81,7 +81,7 @@
 
 
 def submit_bundle(system: deployment.Deployment) -> None:
-    """Check, sign twice and submit the first bundle."""
+    """Check the first bundle, sign it as both operators and submit it."""
     path = system.directory / 'bundle.yaml'
     text = yaml.safe_dump(system.make_bundle(1, 0), sort_keys=False)
     path.write_text(text)
@@ -100,7 +100,7 @@
 
 
 def run_request(system: deployment.Deployment, request: DemoRequest) -> bool:
-    """Post one request; tell whether its answer was whole and its own."""
+    """Post one request; tell whether the answer is complete and its own."""
     key = callers.make_key()
     trace = f'{os.urandom(16).hex()}'
     reply = callers.post_request(
@@ -134,7 +134,7 @@
 
 
 def describe_answer(reply: callers.Reply) -> str:
-    """Return an answer on one line."""
+    """Return the answer as one line of text."""
     lines = reply.read_lines()
     words = [str(line['text']) for line in lines if 'text' in line]
     return ''.join(words).strip() or reply.body.decode().strip()
@@ -143,7 +143,7 @@
 def read_hops(
     system: deployment.Deployment, trace: str
 ) -> list[dict[str, ty.Any]]:
-    """Return the spans of a trace in order of their beginning."""
+    """Return the spans of a trace, ordered by start time."""
     found = []
     for path in system.directory.glob('*.spans'):
         for line in path.read_text().splitlines():
@@ -154,7 +154,7 @@
 
 
 def run_demo(system: deployment.Deployment) -> bool:
-    """Run the whole demo; tell whether all was well."""
+    """Run the demo; tell whether all requests and stops succeeded."""
     for number in (1, 2, 3):
         system.add_daemon(f'entry-{number}', f'd{number}')
     system.start_platform()
@@ -177,7 +177,7 @@
 
 
 def main() -> None:
-    """Run the demo in a directory of its own."""
+    """Run the demo in a temporary directory."""
     with tempfile.TemporaryDirectory() as name:
         system = deployment.Deployment(pathlib.Path(name))
         try:
