--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -1,15 +1,16 @@
-"""The fault matrix: every fault at every step of a request.
-
-A *row* is one fault; it runs its cells one after the other on one system of
-real processes, which has to recover in between. In each cell a caller posts
-one at-most-once request and behaves as callers should: it tries again under
-the same key, through another daemon, until it is told how the request ended.
-The fault strikes at the cell's step and is healed a little later.
-
-``EXPECTED_OUTCOMES`` states beforehand which final words are right. Whatever they
-are, in every cell: the key has run at most once; nobody was told "not run"
-of a key that had run; a complete answer was whole and its own; the last word
-came before the deadline; and no daemon's bundle version fell.
+"""Fault matrix: every fault at every step of a request.
+
+A *row* is one fault. Its cells run one after the other on one system of real
+processes, which has to recover in between. In each cell a caller posts one
+at-most-once request and behaves as callers should: it retries with the same
+key through another daemon until it receives the final outcome. The fault is
+injected at the cell's step and healed a little later.
+
+``EXPECTED_OUTCOMES`` lists the final outcomes that are correct. In addition,
+in every cell: the key was executed at most once; no caller was told "not run"
+about a key that had been executed; a complete answer was complete and
+belonged to its request; the final outcome arrived before the deadline; and no
+daemon's bundle version decreased.
 """
 
 import collections.abc
@@ -28,17 +29,17 @@
 import systems
 
 OUTPUT_TOKENS = 30
-# Seconds in which the caller must have its last word.
+# The caller must have the final outcome within this time.
 DEADLINE_S = 25.0
-# How long a fault lasts, in seconds: longer than a lease.
+# Longer than a lease.
 FAULT_DURATION_S = 2.5
-# How long a caller asks again when it is told "unknown" and when to come.
+# How long a caller retries after "unknown" with a retry-after header.
 UNKNOWN_RETRY_WINDOW_S = 12.0
-# Longer than the time after a takeover in which fresh keys may be unknown.
+# Longer than the time after a takeover in which new keys may be unknown.
 SETTLE_DELAY_S = 1.0
 # Makes a decode step last about a tenth of a second.
 SLOW_FACTOR = 20.0
-# Seconds that a slow service takes for a call; over before a fault is healed.
+# Duration of a call to a slow service; it ends before the fault is healed.
 SLOW_CALL_S = 2.0
 
 COMPLETE = frozenset({'complete'})
@@ -78,17 +79,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Workload:
-    """A kind of at-most-once request and its back ends."""
+    """A kind of at-most-once request, and the faults of its back ends."""
 
     route: str
     kind: str
     body: dict[str, ty.Any]
-    # Faults of a back end that works slowly, of one that takes requests and
-    # does nothing, and of one that is well.
+    # Faults of a back end that is slow, of one that accepts requests but does
+    # not process them, and of one without faults.
     slow_faults: dict[str, ty.Any]
     frozen_faults: dict[str, ty.Any]
     no_faults: dict[str, ty.Any]
-    # What the straggler does, and the connection that breaks.
+    # Faults of a straggler and of one that closes the connection.
     straggler_faults: dict[str, ty.Any]
     cut_faults: dict[str, ty.Any]
 
@@ -127,7 +128,7 @@
 
 
 class Caller(threading.Thread):
-    """Posts one request until it knows how it ended."""
+    """Posts one request until it receives the final outcome."""
 
     def __init__(
         self, system: deployment.Deployment, workload: Workload, key: str
@@ -138,7 +139,7 @@
         self.key = key
         self.hosts: list[str] = []
         self.replies: list[callers.Reply] = []
-        # What a reply said that the back ends' witnesses contradict.
+        # Replies that contradict the back ends' execution counts.
         self.contradictions: list[str] = []
         self.total_s = 0.0
 
@@ -154,8 +155,8 @@
             if reply.outcome in COMPLETE_OR_UNKNOWN:
                 if 'retry-after' not in reply.headers:
                     break
-                # Its holder may come back, or an owner be found; after a
-                # while the caller takes "unknown" for its answer.
+                # The request's holder may return, or a new owner may take
+                # over; after a while the caller accepts "unknown".
                 first = first or time.monotonic()
                 if time.monotonic() > first + UNKNOWN_RETRY_WINDOW_S:
                     break
@@ -176,7 +177,7 @@
         )
 
     def find_last_reply(self) -> callers.Reply:
-        # A connection that broke says nothing.
+        # A reply that was cut off has no outcome.
         for reply in reversed(self.replies):
             if reply.outcome != 'cut':
                 return reply
@@ -226,7 +227,7 @@
         self.is_injected = True
 
     def run(self, name: str) -> None:
-        """Run the step, let the fault last, heal, and wait for the end."""
+        """Run the step, heal the fault later, and wait for the caller."""
         try:
             steps[name](self)
             time.sleep(FAULT_DURATION_S)
@@ -263,7 +264,7 @@
         for plan in self.workload.list_plans(self.system):
             address = self.system.runner_addresses[plan.name]
             probe = callers.call_http(address, 'GET', '/standin/witness')
-            # One that the fault has killed is restarted without faults.
+            # One that the fault has killed restarts without faults.
             if probe.status == 200:
                 self.system.set_faults(plan.name, is_frozen=False)
 
@@ -304,16 +305,16 @@
                 == self.entry
                 for number in range(shards)
             ):
-                # It has come to own them all: enter elsewhere.
+                # The entry daemon owns all claim shards: use another one.
                 self.entry = next(
                     host for host in self.hosts if host != self.entry
                 )
 
 
 def count_executions(system: deployment.Deployment, key: str) -> int:
-    """Return how often a key has run; back ends that are away count 0.
+    """Return the executions of a key; unreachable back ends count as 0.
 
-    The engines' count is taken before they do any work for the key.
+    Engines increment the count before they process the key.
     """
     total = 0
     for plan in system.runners:
@@ -365,7 +366,7 @@
 
 @step('after-end')
 def inject_after_end(cell: Cell) -> None:
-    # The caller goes away while it waits and comes back elsewhere.
+    # The caller disconnects while it waits and retries at another daemon.
     address = cell.system.daemons[cell.entry].callers
     cell.freeze_runners()
     callers.post_request(
@@ -425,7 +426,7 @@
 
 
 def _has_accepted(cell: Cell, plan: deployment.RunnerPlan) -> bool:
-    # A service executes a call as soon as it has it.
+    # A service executes a call as soon as it receives it.
     witness = cell.system.read_witness(plan.name)
     found = witness.get('accepted', witness['executions'])
     return cell.key in found
@@ -480,7 +481,7 @@
 
 @fault('kill-entry-and-owner')
 def kill_entry_and_owner(cell: Cell) -> None:
-    # Whoever knew of the grant is gone.
+    # No daemon that knew of the grant is left.
     cell.system.find_process(cell.entry).kill()
     cell.system.find_process(cell.owner).kill()
 
@@ -533,7 +534,7 @@
 
 @fault('log-out-kill-owner', heal_log)
 def stop_log_and_kill_owner(cell: Cell) -> None:
-    # Nobody can take over until the log is back.
+    # No daemon can take over until the log is available.
     cell.system.set_faults('log', is_out=True)
     cell.system.find_process(cell.owner).kill()
 
@@ -610,9 +611,9 @@
         thread.start()
 
 
-# What the last word may be. A request whose holder dies is unknown: nobody
-# else knows how far it had come. One whose key was issued before a takeover
-# may be unknown, if nobody reports it.
+# Correct final outcomes, if not only "complete". A request whose holder is
+# killed is unknown: no other daemon knows its progress. A request whose key
+# was issued before a takeover may be unknown if no daemon reports it.
 EXPECTED_OUTCOMES: ty.Final[dict[tuple[str, str], frozenset[str]]] = {
     ('kill-entry', 'before-grant'): UNKNOWN,
     ('kill-entry', 'before-first-byte'): UNKNOWN,
@@ -639,7 +640,7 @@
     ('freeze-entry', 'after-end'): COMPLETE_OR_UNKNOWN,
     ('freeze-entry', 'before-claim'): COMPLETE_OR_UNKNOWN,
     ('freeze-entry', 'drain'): COMPLETE_OR_UNKNOWN,
-    # The engine forgets what it ran.
+    # A restarted engine has lost its record of executions.
     ('kill-runner', 'before-first-byte'): COMPLETE_OR_UNKNOWN,
     ('kill-runner', 'mid-stream'): COMPLETE_OR_UNKNOWN,
     ('kill-runner', 'drain'): COMPLETE_OR_UNKNOWN,
@@ -653,13 +654,13 @@
     if step_name == 'takeover':
         return COMPLETE_OR_UNKNOWN
     if workload is SERVICE_WORKLOAD and fault_name == 'cut-stream':
-        # A service's answer cannot be resumed, and its call not repeated.
+        # A service's answer cannot be resumed, nor its call be retried.
         return COMPLETE if step_name == 'after-end' else UNKNOWN
     return EXPECTED_OUTCOMES.get((fault_name, step_name), COMPLETE)
 
 
 class VersionWatch(threading.Thread):
-    """Looks for a daemon whose bundle version falls."""
+    """Detects daemons whose bundle version decreases."""
 
     def __init__(self, system: deployment.Deployment) -> None:
         super().__init__(daemon=True)
@@ -688,7 +689,7 @@
     step_name: str,
     seed: int,
 ) -> list[str]:
-    """Run one cell; return what was wrong."""
+    """Run one cell; return its failures."""
     rng = random.Random(f'{seed}{step_name}')
     cell = Cell(system, workload, fault_name, rng)
     caller = cell.caller
@@ -727,7 +728,7 @@
     step_names: collections.abc.Iterable[str],
     seed: int,
 ) -> dict[str, list[str]]:
-    """Run a fault at many steps; return what was wrong, by step."""
+    """Run a fault at several steps; return the failures by step."""
     watch = VersionWatch(system)
     watch.start()
     results: dict[str, list[str]] = {}
