--- a/tests/matrixrows.py
+++ b/tests/matrixrows.py
@@ -1,4 +1,4 @@
-"""What the test cases of both fault matrices share: one test for each row."""
+"""Creates one test for each row of both fault matrices."""
 
 import collections.abc
 import contextlib
@@ -11,7 +11,7 @@
 from apricotstandins import deployment
 
 SEED = 1
-# What was wrong, by step.
+# Failures by step.
 Row = dict[str, list[str]]
 RunRow = collections.abc.Callable[[str, int], Row]
 
@@ -21,12 +21,12 @@
     runners: ty.Sequence[deployment.RunnerPlan] = deployment.DEFAULT_RUNNERS,
     **pool_settings: ty.Any,
 ) -> collections.abc.Iterator[deployment.Deployment]:
-    """Run a system whose links can be cut, and end all of it."""
+    """Run a system whose links can be cut; stop it on exit."""
     with tempfile.TemporaryDirectory() as directory:
         system = deployment.Deployment(pathlib.Path(directory), runners)
         system.has_relays = True
         system.pool_settings = pool_settings
-        # Short, for cells in which owner and successor die together.
+        # Short, for cells in which owner and successor are both killed.
         system.ownership['outage_limit_s'] = 8.0
         try:
             system.start_all()
@@ -38,7 +38,7 @@
 def add_row(
     case: type[testtools.TestCase], name: str, run_row: RunRow
 ) -> None:
-    """Add a test which fails unless all cells of a row pass."""
+    """Add a test that fails unless all cells of a row pass."""
 
     def test(self: testtools.TestCase) -> None:
         results = run_row(name, SEED)
