--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -1,4 +1,4 @@
-"""Runs both fault matrices whole and writes a table of each.
+"""Runs all rows of both fault matrices and writes a table of each.
 
 python tests/run_matrix.py --seed 1 --side-by-side 5 --output DIRECTORY
 """
@@ -17,9 +17,9 @@
 import test_tier_matrix
 import tiermatrix
 
-# What was wrong, by fault and step.
+# Failures by fault and step.
 Results = dict[str, matrixrows.Row]
-# Says what a cell that passed has shown, by fault and step.
+# Returns the text of a cell that passed, by fault and step.
 Describe = collections.abc.Callable[[str, str], str]
 
 
@@ -28,7 +28,7 @@
     names: collections.abc.Collection[str],
     describe: Describe,
 ) -> str:
-    """Return the results as a Markdown table, with failures below."""
+    """Return the results as a Markdown table, followed by the failures."""
     lines = [
         '| fault | ' + ' | '.join(names) + ' |',
         '| --- ' * (len(names) + 1) + '|',
@@ -42,7 +42,7 @@
             failed += bool(failures)
             cells.append('FAILED' if failures else describe(fault, name))
             details += [f'- {fault}, {name}: {text}' for text in failures]
-        # What was wrong in the row as a whole.
+        # Failures of the row as a whole.
         for name in row.keys() - set(names):
             details += [f'- {fault}, {name}: {text}' for text in row[name]]
         lines.append(f'| {fault} | ' + ' | '.join(cells) + ' |')
@@ -57,14 +57,14 @@
     seed: int,
     side_by_side: int,
 ) -> Results:
-    """Run rows, some at a time."""
+    """Run rows, several in parallel."""
     with concurrent.futures.ThreadPoolExecutor(side_by_side) as pool:
         futures = {name: pool.submit(run_row, name, seed) for name in names}
         return {name: future.result() for name, future in futures.items()}
 
 
 def describe_outcomes(workload: faultmatrix.Workload) -> Describe:
-    """Return what tells a cell's possible last words."""
+    """Return a function that lists the correct outcomes of a cell."""
 
     def describe(fault: str, name: str) -> str:
         return ' or '.join(
@@ -75,7 +75,7 @@
 
 
 def has_failed(results: Results) -> bool:
-    """Tell whether anything was wrong."""
+    """Tell whether there was any failure."""
     return any(
         failures for row in results.values() for failures in row.values()
     )
@@ -103,7 +103,7 @@
         seed,
         side_by_side,
     )
-    # A burst loads the machine more than one request does.
+    # A burst loads the machine more than a single request.
     tier_results = run_rows(
         tiermatrix.faults,
         test_tier_matrix.run_row,
