--- a/tests/test_fault_matrix.py
+++ b/tests/test_fault_matrix.py
@@ -1,6 +1,6 @@
-"""The part of the fault matrix that every build runs; see ``faultmatrix``.
+"""Rows of the fault matrix that every build runs; see ``faultmatrix``.
 
-``make matrix`` runs all of it.
+``make matrix`` runs the whole matrix.
 """
 
 import testtools
@@ -8,7 +8,7 @@
 import faultmatrix
 import matrixrows
 
-# Rows that between them kill, freeze and cut each role and stop the log.
+# Together they kill, freeze and cut off each role, and stop the log.
 ROWS = (
     'kill-entry',
     'kill-owner',
@@ -26,7 +26,7 @@
     seed: int,
     workload: faultmatrix.Workload = faultmatrix.MODEL_WORKLOAD,
 ) -> matrixrows.Row:
-    """Run a whole row on a system of its own."""
+    """Run all cells of a row on a new system."""
     with matrixrows.start_system() as system:
         return faultmatrix.run_row(
             system, workload, name, faultmatrix.steps, seed
@@ -34,7 +34,7 @@
 
 
 class TestFaultMatrix(testtools.TestCase):
-    """Each row passes all of its cells."""
+    """All cells of each row pass."""
 
 
 for _name in ROWS:
