--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -1,11 +1,12 @@
-"""The fault matrix of the tiers: every fault at every step of an overload.
-
-The fault matrix follows one request; tiers are about many at once. Here a
-burst of several times what the engine can take comes through every daemon,
-and the fault strikes the pool's *scheduler*, another *entry* daemon, or what
-all share. In every cell: nothing was shed while something of a lower tier
-was kept; whoever was told "not run" was not run; at-most-once work ran at
-most once; and everybody whose daemon lived was told how it ended.
+"""Tier matrix: every fault at every step of an overload.
+
+The fault matrix follows one request; tiers concern many concurrent requests.
+Here a burst of several times the engine's capacity is posted through all
+daemons, and the fault is injected into the pool's *scheduler*, another *entry*
+daemon, or a shared service. In every cell: no request was shed while one of a
+lower tier was kept; no request with outcome "not run" was executed; no
+at-most-once request was executed twice; and each caller whose daemon kept
+running received the final outcome.
 """
 
 import collections.abc
@@ -22,14 +23,14 @@
 from apricotstandins import processes
 import bursts
 
-# Longer than a lease and than the heartbeat's timeout, in seconds.
+# Longer than a lease and than the heartbeat timeout.
 FAULT_DURATION_S = 2.5
-# When the burst has only begun to wait, when it is being shed, and when it
-# has just been posted whole; in seconds from its beginning.
+# Seconds after the start of the burst at which its first requests wait, at
+# which requests are shed, and at which all have been posted.
 FILLING_DELAY_S = 0.3
 SHEDDING_DELAY_S = 1.0
 POSTED_DELAY_S = bursts.REQUEST_COUNT * bursts.POST_INTERVAL_S + 0.2
-# Between the first fault of a cell and the second.
+# Between the first and the second fault of a cell.
 SECOND_FAULT_DELAY_S = 0.4
 POOL_SHARD = 'pool/planners'
 
@@ -39,9 +40,9 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """What strikes and how it is healed."""
+    """A fault: how it is injected and healed."""
 
-    # Which daemon it strikes: scheduler, entry, or '' for what all share.
+    # The daemon with the fault: scheduler, entry, or '' if it is shared.
     role: str
     inject: CellAction
     heal: CellAction
@@ -71,24 +72,24 @@
         self.scheduler, self.successor = self._find_scheduler()
         others = [host for host in system.daemons if host != self.scheduler]
         self.entry = rng.choice(others)
-        # The host that was asked to stop, if any was.
+        # The host that is drained, if any.
         self.drained_host = ''
-        # Two hosts that lost each other, if any did.
+        # Two hosts that are partitioned from each other, if any.
         self.partitioned_pair: list[str] = []
         self.injected_at = 0.0
         self.started_at = 0.0
 
     @property
     def target(self) -> str:
-        """The host that the fault strikes; '' for what all share."""
+        """The host with the fault; '' if the fault is shared."""
         found = {'scheduler': self.scheduler, 'entry': self.entry}
         return found.get(self.fault.role, '')
 
     def find_disconnected_host(self) -> str:
-        """Return the host that the pool's scheduler could not hear.
+        """Return the host that was disconnected from the pool's scheduler.
 
-        The one that was struck, or that lost the host which took the pool
-        over; '' if the scheduler heard all.
+        This is the host with the fault, or the one that is partitioned from
+        the host which took over the pool; '' if all hosts were connected.
         """
         if not self.partitioned_pair:
             return self.target
@@ -104,7 +105,7 @@
         return ''
 
     def run(self, name: str) -> list[bursts.PostedRequest]:
-        """Post a burst, run the step, heal; return all when it ended."""
+        """Post a burst, run the step, heal the fault; return all requests."""
         with concurrent.futures.ThreadPoolExecutor(1) as pool:
             self.started_at = clocks.read_monotonic()
             hosts = sorted(self.system.daemons)
@@ -117,7 +118,7 @@
             return future.result()
 
     def wait_until(self, seconds: float) -> None:
-        """Sleep until so long after the burst began."""
+        """Sleep until this many seconds after the start of the burst."""
         elapsed = clocks.read_monotonic() - self.started_at
         time.sleep(max(seconds - elapsed, 0.0))
 
@@ -144,7 +145,7 @@
         return str(found[0]['owner']), str(found[0]['successor'])
 
     def _read_scheduler(self, host: str) -> dict[str, ty.Any]:
-        # As that host knows it.
+        # In that host's view.
         shards = self.system.read_status(host).get('shards', {})
         found: dict[str, ty.Any] = shards.get(POOL_SHARD, {})
         return found
@@ -178,7 +179,7 @@
 
 @step('takeover')
 def inject_in_takeover(cell: Cell) -> None:
-    # The one that should take over is struck as well.
+    # The fault is injected into the successor.
     cell.wait_until(SHEDDING_DELAY_S - SECOND_FAULT_DELAY_S)
     cell.system.find_process(cell.scheduler).kill()
     cell.scheduler = cell.successor
@@ -230,8 +231,9 @@
 
 
 def _cut_pair(cell: Cell) -> None:
-    # The two that are not the scheduler lose only each other: claims of one
-    # at the other wait, and its queue is fed by both.
+    # Partitions only the two hosts without the scheduler from each other:
+    # claims of one at the other wait, while both register requests in the
+    # scheduler's queue.
     cell.partitioned_pair = [
         host for host in cell.system.daemons if host != cell.scheduler
     ]
@@ -304,7 +306,7 @@
 
 
 def check_cell(cell: Cell, posted: list[bursts.PostedRequest]) -> list[str]:
-    """Return what was wrong."""
+    """Return the failures of a cell."""
     failures = bursts.find_inversions(
         cell.system, posted, cell.find_disconnected_host(), cell.injected_at
     )
@@ -324,7 +326,7 @@
 def run_cell(
     system: deployment.Deployment, fault_name: str, step_name: str, seed: int
 ) -> list[str]:
-    """Run one cell; return what was wrong."""
+    """Run one cell; return its failures."""
     rng = random.Random(f'{seed}{step_name}')  # noqa: S311
     cell = Cell(system, fault_name, rng)
     try:
@@ -342,5 +344,5 @@
 def run_row(
     system: deployment.Deployment, fault_name: str, seed: int
 ) -> dict[str, list[str]]:
-    """Run a fault at every step; return what was wrong, by step."""
+    """Run a fault at every step; return the failures by step."""
     return {name: run_cell(system, fault_name, name, seed) for name in steps}
