--- a/tests/test_tier_matrix.py
+++ b/tests/test_tier_matrix.py
@@ -1,6 +1,6 @@
-"""The part of the tier matrix that every build runs; see ``tiermatrix``.
+"""Rows of the tier matrix that every build runs; see ``tiermatrix``.
 
-``make matrix`` runs all of it.
+``make matrix`` runs the whole matrix.
 """
 
 import json
@@ -14,14 +14,14 @@
 import matrixrows
 import tiermatrix
 
-# The rows that have found faults.
+# Rows that have found faults before.
 ROWS = ('freeze-scheduler', 'cut-entry', 'cut-pair')
-# What a caller reads that was shed.
+# Response body of a request that was shed.
 SHED_BODY = json.dumps({'code': bursts.SHED_CODE}).encode() + b'\n'
 
 
 def run_row(name: str, seed: int) -> matrixrows.Row:
-    """Run a whole row on a system of its own."""
+    """Run all cells of a row on a new system."""
     with matrixrows.start_system(
         bursts.RUNNERS, **bursts.POOL_SETTINGS
     ) as system:
@@ -29,16 +29,16 @@
 
 
 class TestTierMatrix(testtools.TestCase):
-    """Each row passes all of its cells."""
+    """All cells of each row pass."""
 
 
 class TestCheck(testtools.TestCase):
-    """What the check finds, and what it lets pass, with a host unheard."""
+    """Tier inversions that the check reports if a host is disconnected."""
 
     def find(self, kept_at: str, posted_at: float) -> list[str]:
-        """Look at one that is shed at entry-1, 2 s in, and one kept.
+        """Check a request shed at entry-1 after 2 s, and one that is kept.
 
-        The scheduler lost entry-2 at 1 s.
+        entry-2 is disconnected from the scheduler after 1 s.
         """
         shed = bursts.PostedRequest(
             key='a',
@@ -65,16 +65,16 @@
             ty.cast('ty.Any', system), [shed, kept], 'entry-2', 1.0
         )
 
-    def test_kept_at_a_host_that_is_heard(self) -> None:
+    def test_kept_at_a_connected_host(self) -> None:
         self.assertNotEqual([], self.find('entry-1', 1.1))
         self.assertNotEqual([], self.find('entry-3', 1.1))
 
-    def test_kept_at_the_unheard_host_since_before(self) -> None:
-        # It was registered with the scheduler, which must count it.
+    def test_kept_at_the_disconnected_host_since_before(self) -> None:
+        # It is registered at the scheduler, which must consider it.
         self.assertNotEqual([], self.find('entry-2', 0.4))
 
-    def test_kept_at_the_unheard_host_that_came_afterwards(self) -> None:
-        # Nobody can have told the scheduler of it.
+    def test_kept_at_the_disconnected_host_that_came_afterwards(self) -> None:
+        # The scheduler cannot know of it.
         self.assertEqual([], self.find('entry-2', 1.1))
 
 
