--- a/tests/bursts.py
+++ b/tests/bursts.py
@@ -1,8 +1,8 @@
-"""A burst of requests of mixed tiers, and the check that tiers held.
+"""A burst of requests of mixed tiers, and a check for tier inversions.
 
-One small engine gets several times what it can take, through every daemon.
-``find_inversions`` then looks for the one thing that may not happen: that a
-request was shed while one of a lower tier waited and was kept.
+Several times the capacity of one small engine is posted through all daemons.
+``find_inversions`` then checks that no request was shed while one of a lower
+tier waited and was kept.
 """
 
 import collections.abc
@@ -24,7 +24,7 @@
     ('note', 3),
     ('report', 4),
 )
-# One engine with two slots: a dozen requests a second.
+# One engine with two slots handles a dozen requests a second.
 RUNNERS: ty.Final = (
     deployment.RunnerPlan('planner-1', 'planners', slots=2),
     deployment.RunnerPlan('manifest-1', 'manifests', kind='service'),
@@ -34,9 +34,9 @@
 POST_INTERVAL_S = 0.02
 DEADLINE_MS = 20_000
 SHED_CODE = 'APL201'
-# By when a request has surely reached its scheduler, in seconds.
+# Upper limit of the time from post to registration at the scheduler.
 REGISTRATION_DELAY_S = 0.5
-# By how much the clocks of one host's processes may seem to differ.
+# Apparent clock difference between one host's processes.
 CLOCK_MARGIN_S = 0.1
 
 
@@ -57,7 +57,7 @@
 def post_burst(
     system: deployment.Deployment, hosts: collections.abc.Sequence[str]
 ) -> list[PostedRequest]:
-    """Post a burst of a few seconds; return when all have ended."""
+    """Post a burst of a few seconds; return when all requests ended."""
     with concurrent.futures.ThreadPoolExecutor(REQUEST_COUNT) as pool:
         futures = []
         for number in range(REQUEST_COUNT):
@@ -77,11 +77,12 @@
 ) -> list[str]:
     """Return requests that were shed while one of a lower tier was kept.
 
-    A request waited for certain at a time if it had been posted half a
-    second before, ended well, and reached the engine later than that. What
-    a host that was ``faulted_host`` told its callers was told too late to compare,
-    and what was posted there afterwards had not reached its scheduler. Struck
-    is also one that has lost nothing but the scheduler's host.
+    A request was certainly waiting at a time if it had been posted half a
+    second before, succeeded, and reached the engine later than that time.
+    Requests shed at ``faulted_host`` are ignored, since its replies are too
+    late to compare, and so are requests posted there after the fault, which
+    did not reach the scheduler. A host that is only partitioned from the
+    scheduler's host is also a faulted host.
     """
     posted = list(posted)
     accepted_at = system.read_witness('planner-1')['accepted_at']
