--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,11 @@
-"""Hands known red tests to pytest as expected failures, and prints them."""
+"""Marks the tests in KNOWN-RED.txt as expected failures; lists them."""
 
 import pathlib
 
 import pytest
 
 KNOWN_RED = pathlib.Path(__file__).parent.parent / 'KNOWN-RED.txt'
-# More than this many is a build that is simply red.
+# With more entries than this, the build must fail.
 MAX_KNOWN_RED = 3
 
 
