--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Processes that tests start."""
+"""Tests of the processes that tests start."""
 
 import pathlib
 import tempfile
@@ -9,7 +9,7 @@
 
 
 class TestOutput(testtools.TestCase):
-    """What a process has written."""
+    """Output of a process."""
 
     def run_one(self, text: str, output: pathlib.Path) -> processes.Process:
         arguments = ['timeit', '-n', '1', '-r', '1', f'print({text!r})']
@@ -18,9 +18,10 @@
         return process
 
     def test_output_is_its_own(self) -> None:
-        # A host of a soak is away for the rest of the run. It was started
-        # again, and its file held the earlier start's word that it had
-        # started; so it was sent SIGHUP before it could take one, and ended.
+        # Guards against reading the output of an earlier process. In a soak
+        # run, a restarted host seemed to have started, since its file held
+        # the start message of the earlier process. It was sent SIGHUP before
+        # it could handle the signal, and was down for the rest of the run.
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         output = pathlib.Path(directory.name) / 'host.log'
