--- a/tests/test_port_blocks.py
+++ b/tests/test_port_blocks.py
@@ -1,4 +1,4 @@
-"""Blocks of ports that tests reserve, and processes that outlive them."""
+"""Tests of the port blocks that test runs reserve."""
 
 import json
 import os
@@ -11,18 +11,18 @@
 
 import testtools
 
-# Starts a process in a block of ports, names both, and ends as by SIGKILL.
+# Starts a process in a port block, prints both and kills itself.
 STARTER = """
 import json, os, pathlib, signal, sys
 from apricotstandins import processes
 
 port = processes.find_port()
-left = processes.Process(
-    'left',
+orphan = processes.Process(
+    'orphan',
     ['http.server', '--bind', '127.0.0.1', str(port)],
-    pathlib.Path(sys.argv[1], 'left.log'),
+    pathlib.Path(sys.argv[1], 'orphan.log'),
 )
-found = {'guard': port // 100 * 100, 'pid': left.pid}
+found = {'guard': port // 100 * 100, 'pid': orphan.pid}
 print(json.dumps(found), flush=True)
 os.kill(os.getpid(), signal.SIGKILL)
 """
@@ -38,13 +38,14 @@
 
 
 class TestPortBlocks(testtools.TestCase):
-    """A block is free when nobody is left who knows its addresses."""
+    """A block is free when all processes that use it have ended."""
 
-    def test_left_over_process_keeps_its_block(self) -> None:
-        # A test run is killed and its daemons live on. They keep calling the
-        # addresses of those that ended with it. The next run chose the same
-        # block, put a runner's stand-in on such a port, and the stand-in read
-        # the daemons' handshake as "illegal request line".
+    def test_orphan_keeps_its_block(self) -> None:
+        # When a test run is killed, its daemons continue to call the
+        # addresses of the processes that ended. If the next run chose the
+        # same block and started a runner's stand-in on such a port, the
+        # stand-in would read the daemons' handshake and report an "illegal
+        # request line".
         orphan = self.start_orphan()
         guard, pid = orphan['guard'], orphan['pid']
         try:
