--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -53,9 +53,9 @@
 
 
 def step(name: str) -> collections.abc.Callable[[CellAction], CellAction]:
-    def register_step(act: CellAction) -> CellAction:
-        steps[name] = act
-        return act
+    def register_step(action: CellAction) -> CellAction:
+        steps[name] = action
+        return action
 
     return register_step
 
