--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,8 @@
-"""The slopes that docs/CAPACITY.md is worked out from.
+"""Measures the unit costs from which docs/CAPACITY.md is calculated.
 
-In-process parts time the real classes; the rest runs a real daemon and reads
-its processor time and memory from /proc. Everything is bounded and on
-loopback. Figures depend on the machine: compare them within one run.
+Some costs are measured in-process on the real classes; the others on real
+daemons, whose CPU time and memory are read from /proc. Everything is bounded
+and on loopback. Results depend on the machine: compare them within one run.
 
     .venv/bin/python bench/capacity.py
 """
@@ -28,12 +28,12 @@
 from apricotstandins import callers
 from apricotstandins import deployment
 
-_TICK = os.sysconf('SC_CLK_TCK')
+_CLOCK_TICKS_PER_S = os.sysconf('SC_CLK_TCK')
 SENDER = ids.Incarnation('entry-1/0123456789abcdef')
 
 
 def make_pool(runners: int) -> bundle.PoolModel:
-    """Return a pool of engines."""
+    """Return the configuration of a pool of engines."""
     return bundle.PoolModel.model_validate(
         {
             'name': 'planners',
@@ -53,8 +53,8 @@
     )
 
 
-def make_entry(number: int) -> wire.Registration:
-    """Return a request as a scheduler sees it."""
+def make_registration(number: int) -> wire.Registration:
+    """Return the registration of a request at a scheduler."""
     return wire.Registration(
         ticket=f'{SENDER}/{number}',
         organisation=ids.Organisation(f'org-{number % 50}'),
@@ -69,9 +69,10 @@
 
 
 def measure_decisions() -> None:
-    """Print microseconds a decision, by runners and waiting requests.
+    """Print microseconds per decision, by runners and waiting requests.
 
-    One request ends and the next is granted, as under steady overload.
+    In each round one request finishes and the next is granted, as under
+    steady overload.
     """
     click.echo('\nscheduler: microseconds for one end and one grant')
     click.echo('| runners | 100 waiting | 1,000 waiting | 10,000 waiting |')
@@ -85,11 +86,11 @@
 
 
 def time_decisions(runners: int, waiting: int) -> float:
-    """Return microseconds for one end and one grant."""
+    """Return microseconds to finish one request and grant the next."""
     queue = poolqueue.PoolQueue(make_pool(runners))
     count = waiting + 8 * runners
     for number in range(count):
-        queue.register(make_entry(number), SENDER, 0.0)
+        queue.register(make_registration(number), SENDER, 0.0)
     running = [
         decision.waiting.entry.ticket
         for decision in queue.decide(0.0, True)
@@ -103,22 +104,22 @@
             wire.Finished(ids.Pool('planners'), ticket, True, 0.1, 1.0, 200),
             1.0,
         )
-        queue.register(make_entry(count + number), SENDER, 1.0)
+        queue.register(make_registration(count + number), SENDER, 1.0)
         for decision in queue.decide(1.0, True):
             running.append(decision.waiting.entry.ticket)
     return (time.perf_counter() - started) / rounds * 1e6
 
 
 def measure_memory() -> None:
-    """Print bytes a waiting request, a claim and a key's decision."""
+    """Print bytes per waiting request and claim, and time per claim."""
     count = 20_000
     queue = poolqueue.PoolQueue(make_pool(1))
 
     def register_all() -> None:
         for number in range(count):
-            queue.register(make_entry(number), SENDER, 0.0)
+            queue.register(make_registration(number), SENDER, 0.0)
 
-    used = count_bytes(register_all)
+    used = measure_allocated_bytes(register_all)
     click.echo(f'\nbytes a waiting request: {used / count:.0f}')
     table = claimtable.ClaimTable(ids.Epoch(1), bundle.Limits(), None)
     keys = [ids.Key(callers.make_key()) for _ in range(count)]
@@ -138,7 +139,7 @@
                 wall,
             )
 
-    used = count_bytes(claim_all)
+    used = measure_allocated_bytes(claim_all)
     click.echo(f'bytes a claim: {used / count:.0f}')
     fresh = claimtable.ClaimTable(ids.Epoch(1), bundle.Limits(), None)
     table = fresh
@@ -148,8 +149,8 @@
     click.echo(f'microseconds a claim: {micro:.1f}')
 
 
-def count_bytes(fill: ty.Callable[[], object]) -> int:
-    """Return how many bytes a call leaves allocated."""
+def measure_allocated_bytes(fill: ty.Callable[[], object]) -> int:
+    """Return the bytes that are still allocated after a call."""
     gc.collect()
     tracemalloc.start()
     fill()
@@ -160,7 +161,7 @@
 
 
 def measure_messages() -> None:
-    """Print size and cost of the messages that come most often."""
+    """Print size and coding cost of the most frequent messages."""
     shards = [
         (ids.Shard(f'claims/{number}'), ids.Epoch(7)) for number in range(8)
     ]
@@ -174,7 +175,9 @@
             bytes(32),
             f'{SENDER}/1',
         ),
-        wire.Register(ids.Pool('planners'), ids.Epoch(7), [make_entry(10**6)]),
+        wire.Register(
+            ids.Pool('planners'), ids.Epoch(7), [make_registration(10**6)]
+        ),
         wire.Grant(
             ids.Pool('planners'),
             ids.Epoch(7),
@@ -203,7 +206,7 @@
 
 
 def measure_bundle(directory: pathlib.Path) -> None:
-    """Print size and check time of a bundle of the two-year size."""
+    """Print size and check time of a bundle as expected in two years."""
     plans = [
         deployment.RunnerPlan(f'r{number}', f'pool-{number % 11}')
         for number in range(2100)
@@ -252,14 +255,14 @@
     )
 
 
-def read_cpu(pid: int) -> float:
-    """Return the processor seconds that a process has used."""
+def read_cpu_s(pid: int) -> float:
+    """Return the CPU seconds that a process has used."""
     fields = pathlib.Path(f'/proc/{pid}/stat').read_text().split()
-    return (int(fields[13]) + int(fields[14])) / _TICK
+    return (int(fields[13]) + int(fields[14])) / _CLOCK_TICKS_PER_S
 
 
-def read_memory(pid: int) -> int:
-    """Return a process's resident memory in MB."""
+def read_memory_mb(pid: int) -> int:
+    """Return the resident memory of a process in MB."""
     for line in pathlib.Path(f'/proc/{pid}/status').read_text().splitlines():
         if line.startswith('VmRSS'):
             return int(line.split()[1]) // 1024
@@ -267,71 +270,74 @@
 
 
 def measure_daemon(directory: pathlib.Path) -> None:
-    """Print what real daemons spend at rest, a request and a token."""
+    """Print the cost of idle daemons, of a request and of a token."""
     system = deployment.Deployment(directory)
     try:
         system.start_all()
         pids = [system.find_process(host).pid for host in system.daemons]
-        before = [read_cpu(pid) for pid in pids]
+        before = [read_cpu_s(pid) for pid in pids]
         time.sleep(10.0)
         spent = [
-            read_cpu(pid) - was for pid, was in zip(pids, before, strict=True)
+            read_cpu_s(pid) - was
+            for pid, was in zip(pids, before, strict=True)
         ]
         click.echo(
             f'\ndaemon at rest, 3 daemons: {max(spent) * 10:.2f}% of a core,'
-            f' {max(read_memory(pid) for pid in pids)} MB'
+            f' {max(read_memory_mb(pid) for pid in pids)} MB'
         )
         for name in ('planner-1', 'planner-2'):
             system.set_faults(name, straggle=0.02)
-        measure_path(system, pids)
+        measure_request_path(system, pids)
     finally:
         system.stop()
 
 
-def measure_path(system: deployment.Deployment, pids: list[int]) -> None:
-    """Print added latency, and processor time a request and a token."""
-    place = system.daemons['entry-1']
+def measure_request_path(
+    system: deployment.Deployment, pids: list[int]
+) -> None:
+    """Print added latency, and CPU time per request and per token."""
+    entry_host = system.daemons['entry-1']
     direct = [post_direct(system, number) for number in range(200)]
     through = []
     for _ in range(200):
         reply = callers.post_request(
-            place.callers,
+            entry_host.callers,
             'note',
             deployment.FESTIN_TOKEN,
             {'prompt': 'a b c', 'max_tokens': 1},
             callers.make_key(),
         )
-        through.append(reply.first_s)
+        through.append(reply.first_byte_s)
     for name, values in (('direct', direct), ('through', through)):
-        cuts = statistics.quantiles(values, n=100)
+        percentiles = statistics.quantiles(values, n=100)
         click.echo(
-            f'first token {name}: p50 {cuts[49] * 1000:.2f} ms,'
-            f' p99 {cuts[98] * 1000:.2f} ms'
+            f'first token {name}: p50 {percentiles[49] * 1000:.2f} ms,'
+            f' p99 {percentiles[98] * 1000:.2f} ms'
         )
     costs = {
         tokens: time_requests(system, pids, tokens, 60) for tokens in (1, 400)
     }
-    a_token = (costs[400] - costs[1]) / 399
+    token_cost_s = (costs[400] - costs[1]) / 399
     click.echo(
         f'processor time of all daemons a request: {costs[1] * 1e3:.2f} ms;'
-        f' a token relayed: {a_token * 1e6:.1f} µs'
+        f' a token relayed: {token_cost_s * 1e6:.1f} µs'
     )
 
 
 def post_direct(system: deployment.Deployment, number: int) -> float:
-    """Return the seconds to the first token without a daemon."""
+    """Return seconds to the first token, directly from the engine."""
     body = b'{"request": "%d", "prompt": "a b c", "max_tokens": 1}' % number
     reply = callers.call_http(
         system.runner_addresses['planner-1'], 'POST', '/v1/generate', body
     )
-    return reply.first_s
+    return reply.first_byte_s
 
 
 def time_requests(
     system: deployment.Deployment, pids: list[int], tokens: int, count: int
 ) -> float:
-    """Return the daemons' processor seconds a request."""
-    before = sum(read_cpu(pid) for pid in pids)
+    """Return CPU seconds of all daemons per request."""
+    before = sum(read_cpu_s(pid) for pid in pids)
     started = time.monotonic()
     for _ in range(count):
         callers.post_request(
@@ -342,14 +348,14 @@
             callers.make_key(),
         )
     seconds = time.monotonic() - started
-    spent = sum(read_cpu(pid) for pid in pids) - before
-    # What they would have spent at rest in the meantime.
+    spent = sum(read_cpu_s(pid) for pid in pids) - before
+    # Subtracts the cost of the idle daemons in that time.
     return (spent - 0.01 * seconds * len(pids)) / count
 
 
 @click.command()
 def main() -> None:
-    """Print every slope."""
+    """Print all unit costs."""
     measure_decisions()
     measure_memory()
     measure_messages()
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,9 +1,9 @@
-"""Compares placement policies side by side on the users' deployments.
+"""Compares placement policies on models of the users' deployments.
 
-Every run starts a fresh system of real processes, replays one drawn trace
-through three daemons and asks the engines' witnesses what they computed. In
-each run one engine becomes a straggler half way and another leaves a little
-later. Medians over the seeds are printed, with the lowest and the highest.
+Each run starts a new system of real processes, replays one generated trace
+through three daemons and reads the engines' counters. Half way through a run,
+one engine becomes a straggler, and a little later another leaves. Prints the
+median over the seeds, with minimum and maximum.
 
     .venv/bin/python bench/compare.py --seeds 3 --loads 1.0,3.0
 """
@@ -27,18 +27,18 @@
 from apricotlanding import bundle
 from apricotstandins import deployment
 
-# Generation factors of the engines; unlike on purpose.
+# Generation factors of the engines, of several generations.
 FACTORS: ty.Final = {
     'festin': (1.0, 1.0, 1.5, 1.5, 2.0, 2.0),
     'ishami': (1.0, 1.0, 1.0, 1.5, 1.5, 1.5, 2.0, 2.0, 2.0),
 }
-STRAGGLE = 5.0
-SLOTS = 8
+STRAGGLE_FACTOR = 5.0
+SLOTS_PER_ENGINE = 8
 
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """One replay."""
+    """Parameters of one replay."""
 
     deployment: str
     policy: str
@@ -47,12 +47,12 @@
     seconds: float
     is_calm: bool
     is_storming: bool
-    # Replays only the requests of these routes; all if empty.
+    # Replays only requests of these routes; empty for all routes.
     routes: tuple[str, ...]
 
 
 def make_system(run: Run, directory: pathlib.Path) -> deployment.Deployment:
-    """Return a system for one run, not started."""
+    """Return a system for one run, without starting it."""
     factors = FACTORS[run.deployment]
     plans = [
         deployment.RunnerPlan(
@@ -60,13 +60,13 @@
             'planners',
             domain=f'd{number % 4 + 1}',
             factor=factor,
-            slots=SLOTS,
+            slots=SLOTS_PER_ENGINE,
         )
         for number, factor in enumerate(factors, 1)
     ]
     system = deployment.Deployment(directory, plans)
     names = [name for name, _ in traces.DEPLOYMENTS['festin'].organisations]
-    system.bundle_parts['organisations'] = [
+    system.bundle_overrides['organisations'] = [
         {
             'name': name,
             'weight': 1.0,
@@ -78,16 +78,18 @@
     return system
 
 
-def disturb(run: Run, system: deployment.Deployment) -> None:
-    """Make one engine a straggler, and let another leave."""
+def inject_faults(run: Run, system: deployment.Deployment) -> None:
+    """Make one engine a straggler and another leave."""
     time.sleep(0.5 * run.seconds)
-    system.set_faults(f'planner-{len(system.runners)}', straggle=STRAGGLE)
+    system.set_faults(
+        f'planner-{len(system.runners)}', straggle=STRAGGLE_FACTOR
+    )
     time.sleep(0.1 * run.seconds)
     system.set_host_state(f'planner-{len(system.runners) - 1}', 'leaving')
 
 
 def measure(run: Run) -> dict[str, ty.Any]:
-    """Replay one trace; return what was measured, with the witnesses'."""
+    """Replay one trace; return its results and the engines' counters."""
     plan = traces.DEPLOYMENTS[run.deployment]
     lines = [
         line
@@ -99,24 +101,24 @@
         try:
             system.start_all()
             daemons = [
-                addresses.parse_address(place.callers)
-                for place in system.daemons.values()
+                addresses.parse_address(entry_host.callers)
+                for entry_host in system.daemons.values()
             ]
             tokens = {org: f'token-{org}' for org, _ in plan.organisations}
             replay = replaying.Replay(lines, daemons, tokens, run.is_storming)
             if not run.is_calm:
                 threading.Thread(
-                    target=disturb, args=[run, system], daemon=True
+                    target=inject_faults, args=[run, system], daemon=True
                 ).start()
             found = anyio.run(replay.run).describe()
-            found |= add_witnesses(system)
+            found |= summarize_witnesses(system)
         finally:
             system.stop()
     return found
 
 
-def add_witnesses(system: deployment.Deployment) -> dict[str, ty.Any]:
-    """Return prefill and cache figures over all engines."""
+def summarize_witnesses(system: deployment.Deployment) -> dict[str, ty.Any]:
+    """Return prefill and cache statistics over all engines."""
     witnesses = [system.read_witness(plan.name) for plan in system.runners]
     computed = sum(item['prefill_computed'] for item in witnesses)
     wasted = sum(item['prefill_wasted'] for item in witnesses)
@@ -134,7 +136,7 @@
 
 
 def summarize(results: list[dict[str, ty.Any]]) -> dict[str, str]:
-    """Return median and spread of the figures that matter."""
+    """Return median and range of each result, by column."""
     columns: dict[str, list[float]] = {}
     for found in results:
         for route, value in found['goodput'].items():
@@ -186,8 +188,8 @@
     routes: str,
     output: pathlib.Path | None,
 ) -> None:
-    """Compare policies; prints a Markdown table."""
-    only = tuple(filter(None, routes.split(',')))
+    """Compare policies and print a Markdown table."""
+    route_names = tuple(filter(None, routes.split(',')))
     cells = [
         (policy, float(load))
         for load in loads.split(',')
@@ -198,7 +200,16 @@
             (policy, load): [
                 pool.submit(
                     measure,
-                    Run(name, policy, load, seed, seconds, calm, storm, only),
+                    Run(
+                        name,
+                        policy,
+                        load,
+                        seed,
+                        seconds,
+                        calm,
+                        storm,
+                        route_names,
+                    ),
                 )
                 for seed in range(1, seeds + 1)
             ]
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,9 +1,9 @@
-"""Slopes of the gateway for docs/CAPACITY.md.
+"""Measures the unit costs of the gateway for docs/CAPACITY.md.
 
-Times, on this machine and alone: one request through the scheduler (entered,
-granted, released) by runners and by requests that wait; a host's state
-written, read and taken, by the number of runners that it names. Prints a
-table; each figure is the median of several rounds.
+Measures the scheduler's time per request (enter, grant, release) by number of
+runners and of waiting requests, and the time to encode, decode and apply a
+host's state by the number of runners in it. Nothing else should run on the
+machine. Prints a table; each value is the median of several rounds.
 """
 
 import collections.abc
@@ -26,19 +26,20 @@
 
 POOL = ids.Pool('pool')
 ROUNDS = 5
-REPEATS = 200
-SLOTS = 8
-# Unix milliseconds of a runner's start.
-BIRTH = 1_764_726_589_123
+CALLS_PER_ROUND = 200
+SLOTS_PER_RUNNER = 8
+RUNNER_START_MS = 1_764_726_589_123
 
 
 def make_start(number: int) -> ids.RunnerStart:
-    """Return a runner's identity, as long as the platform's are."""
-    return ids.make_runner_start(ids.Runner(f'i-{number:010}'), BIRTH)
+    """Return a runner's identity, with an id as long as the platform's."""
+    return ids.make_runner_start(
+        ids.Runner(f'i-{number:010}'), RUNNER_START_MS
+    )
 
 
 def make_mesh(peers: int, runners: int) -> mesh.Mesh:
-    """Return a mesh that has heard from so many hosts."""
+    """Return a mesh that has received the states of its peers."""
     found = mesh.Mesh(
         ids.Host('host-x'),
         addresses.Address('10.0.0.1', 1),
@@ -51,7 +52,7 @@
 
 
 def make_state(number: int, counter: int, runners: int) -> messages.HostState:
-    """Return the state of a host that uses so many runners."""
+    """Return the state of a host that uses a number of runners."""
     return messages.HostState(
         host=ids.Host(f'host-{number}'),
         incarnation=ids.Incarnation(f'host-{number}/0123456789abcdef.1.2'),
@@ -69,7 +70,7 @@
 
 
 def make_scheduler(runners: int, others: mesh.Mesh) -> scheduler.Scheduler:
-    """Return a scheduler before so many runners."""
+    """Return a scheduler for a number of runners."""
     known = directory.Directory(2.0)
     for number in range(runners):
         known.update(
@@ -78,7 +79,7 @@
                 service=POOL,
                 address=addresses.Address('10.2.0.1', 1),
                 domain=ids.Domain('d'),
-                slots=SLOTS,
+                slots=SLOTS_PER_RUNNER,
                 is_draining=False,
             )
         )
@@ -92,7 +93,7 @@
 
 
 def make_ticket(number: int) -> queueing.QueuedRequest:
-    """Return a request that never gives up."""
+    """Return a waiting request that does not time out."""
     return queueing.QueuedRequest(
         attempt=f'a-{number}',
         service=POOL,
@@ -109,30 +110,31 @@
 
 
 def time_call(call: collections.abc.Callable[[], object]) -> float:
-    """Return the median microseconds of a call."""
+    """Return the median duration of a call in microseconds."""
     rounds: list[float] = []
     for _ in range(ROUNDS):
         began = time.perf_counter()
-        for _ in range(REPEATS):
+        for _ in range(CALLS_PER_ROUND):
             call()
-        rounds.append((time.perf_counter() - began) / REPEATS)
+        rounds.append((time.perf_counter() - began) / CALLS_PER_ROUND)
     return statistics.median(rounds) * 1e6
 
 
 def time_scheduler(runners: int, waiting_count: int, peers: int) -> float:
-    """Return microseconds for one release and the grant that follows."""
+    """Return microseconds for one release and the next grant."""
     found = make_scheduler(runners, make_mesh(peers, 0))
     granted: list[ids.RunnerStart] = []
     numbers = itertools.count()
-    left = waiting_count + 1
-    # A group of hosts has a part of the runners: full when one waits.
-    while left > 0:
+    remaining = waiting_count + 1
+    # A group of hosts has only some of the runners; they are full when a
+    # request waits.
+    while remaining > 0:
         ticket = make_ticket(next(numbers))
         found.enter(ticket, 0.0)
         if isinstance(ticket.decision, queueing.Grant):
             granted.append(ticket.decision.runner)
         else:
-            left -= 1
+            remaining -= 1
 
     def step() -> None:
         runner = granted[next(numbers) % len(granted)]
--- a/packages/apricotstandins/src/apricotstandins/deployment.py
+++ b/packages/apricotstandins/src/apricotstandins/deployment.py
@@ -1,9 +1,8 @@
 """A small system of real processes on loopback, for tests and the demo.
 
 ``Deployment`` starts the stand-in platform, engines and services, and any
-number of daemons, each with its own settings file, and submits bundles. It
-knows how to do things and decides nothing: what is done when is up to the
-test.
+number of daemons, each with its own settings file. It submits bundles and
+sets faults. The test decides which of its operations run and when.
 """
 
 import dataclasses
@@ -35,7 +34,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerPlan:
-    """One back end to start."""
+    """Configuration of one back end."""
 
     name: str
     pool: str
@@ -54,8 +53,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class DaemonPlace:
-    """One entry host."""
+class EntryHost:
+    """Addresses and process of one entry host."""
 
     host: str
     domain: str
@@ -69,32 +68,32 @@
 
 @ty.final
 class Deployment:
-    """The processes of one system."""
+    """All processes of one system."""
 
     def __init__(
         self,
         directory: pathlib.Path,
         runners: ty.Sequence[RunnerPlan] = DEFAULT_RUNNERS,
     ) -> None:
-        """Prepare addresses and keys; nothing is started."""
+        """Allocate addresses and create keys; no process is started."""
         self.directory = directory
         self.runners = list(runners)
         self.log = _make_address()
-        # With relays each daemon has a host list of its own, on which the
-        # others' addresses are those of relays between the two.
+        # With relays, the host list of each daemon contains the addresses of
+        # relays in place of those of the other daemons.
         self.has_relays = False
         self.relay_control = _make_address()
-        # Relay addresses by ``source>target``; a target may be ``log``.
+        # Relay addresses by ``source>target``; the target may be ``log``.
         self.relays: dict[str, str] = {}
         self.runner_addresses = {
             plan.name: _make_address() for plan in self.runners
         }
-        self.daemons: dict[str, DaemonPlace] = {}
+        self.daemons: dict[str, EntryHost] = {}
         self.processes: dict[str, processes.Process] = {}
         self.author_pem = signatures.make_private_key()
         self.approver_pem = signatures.make_private_key()
         # Merged into the settings of daemons that are started later.
-        self.more_settings: dict[str, ty.Any] = {'drain_grace_s': 0.3}
+        self.extra_settings: dict[str, ty.Any] = {'drain_grace_s': 0.3}
         # Merged into the ``ownership`` part of bundles.
         self.ownership: dict[str, ty.Any] = {
             'claim_shards': 4,
@@ -105,20 +104,20 @@
         self.limits: dict[str, ty.Any] = {}
         # Merged into every pool.
         self.pool_settings: dict[str, ty.Any] = {}
-        # Replaces top-level parts of every bundle.
-        self.bundle_parts: dict[str, ty.Any] = {}
+        # Replaces top-level keys of every bundle.
+        self.bundle_overrides: dict[str, ty.Any] = {}
 
-    # Starting.
+    # Start and stop.
 
     def start_platform(self) -> None:
-        """Start log and host lists, and relays if there are any."""
+        """Start the log, the host lists and the relays, if enabled."""
         arguments = ['apricotstandins', 'platform', '--log', self.log]
-        for place in self.daemons.values():
-            arguments += ['--hosts', place.host_list]
+        for entry_host in self.daemons.values():
+            arguments += ['--hosts', entry_host.host_list]
         self._start('platform', arguments)
         self.wait_for_http(self.log, '/standin/faults')
-        for place in self.daemons.values():
-            self.wait_for_http(place.host_list, '/hosts')
+        for entry_host in self.daemons.values():
+            self.wait_for_http(entry_host.host_list, '/hosts')
         if self.has_relays:
             self._start_relays()
 
@@ -142,9 +141,9 @@
                 arguments.append('--checks-fencing')
         self._start(plan.name, arguments + listen)
 
-    def add_daemon(self, host: str, domain: str) -> DaemonPlace:
-        """Give a daemon its addresses."""
-        place = DaemonPlace(
+    def add_daemon(self, host: str, domain: str) -> EntryHost:
+        """Allocate the addresses of a daemon."""
+        entry_host = EntryHost(
             host,
             domain,
             callers=_make_address(),
@@ -152,20 +151,20 @@
             operators=_make_address(),
             host_list=_make_address(),
         )
-        self.daemons[host] = place
-        return place
+        self.daemons[host] = entry_host
+        return entry_host
 
     def start_daemon(self, host: str) -> None:
-        """Start a daemon; ``wait_ready`` waits for it."""
-        place = self.daemons[host]
+        """Start a daemon without waiting; see ``wait_ready``."""
+        entry_host = self.daemons[host]
         path = self.directory / f'{host}.yaml'
-        path.write_text(yaml.safe_dump(self._make_settings(place)))
-        place.process = self._start(
+        path.write_text(yaml.safe_dump(self._make_settings(entry_host)))
+        entry_host.process = self._start(
             host, ['apricotlandingd.command', '--settings', str(path)]
         )
 
     def start_all(self, hosts: int = 3) -> None:
-        """Start everything and put a first bundle in force."""
+        """Start all processes and submit the first bundle."""
         for number in range(1, hosts + 1):
             self.add_daemon(f'entry-{number}', f'd{number}')
         self.start_platform()
@@ -173,8 +172,8 @@
         self.publish_hosts()
         for host in self.daemons:
             self.start_daemon(host)
-        for place in self.daemons.values():
-            self.wait_for_http(place.callers, '/healthz')
+        for entry_host in self.daemons.values():
+            self.wait_for_http(entry_host.callers, '/healthz')
         self.submit(self.make_bundle(1, 0))
         self.wait_ready()
 
@@ -183,7 +182,7 @@
         processes.wait_until(self._are_ready, 'every daemon is ready')
 
     def stop(self) -> None:
-        """End every process that was started here."""
+        """Kill every process that was started here."""
         for process in self.processes.values():
             process.resume()
             process.kill()
@@ -193,7 +192,7 @@
     def make_bundle(
         self, version: int, base: int, **changes: ty.Any
     ) -> dict[str, ty.Any]:
-        """Return a bundle as plain data, with top-level changes."""
+        """Return a bundle as plain data, with changed top-level keys."""
         value: dict[str, ty.Any] = {
             'version': version,
             'base': base,
@@ -215,12 +214,12 @@
             'routes': _make_routes({plan.pool for plan in self.runners}),
             'pools': self._make_pools(),
         }
-        return value | self.bundle_parts | changes
+        return value | self.bundle_overrides | changes
 
     def sign(
         self, value: dict[str, ty.Any], author: str = AUTHOR
     ) -> records.BundleRecord:
-        """Return a bundle signed by both operators."""
+        """Return the bundle, signed by both operators."""
         text = yaml.safe_dump(value, sort_keys=False).encode()
         other = APPROVER if author == AUTHOR else AUTHOR
         return records.BundleRecord(
@@ -243,16 +242,16 @@
         host: str | None = None,
         author: str = AUTHOR,
     ) -> callers.Reply:
-        """Submit a bundle through a daemon, the first if none is named."""
-        place = self.daemons[host or next(iter(self.daemons))]
+        """Submit a bundle through a daemon, by default the first."""
+        entry_host = self.daemons[host or next(iter(self.daemons))]
         return self.call_operator(
-            place.host,
+            entry_host.host,
             'POST',
             '/v1/bundle',
             submissions.encode_submission(self.sign(value, author)),
         )
 
-    # Looking and disturbing.
+    # Inspection and fault injection.
 
     def call_operator(
         self, host: str, method: str, path: str, body: bytes = b''
@@ -268,21 +267,21 @@
         )
 
     def read_status(self, host: str) -> dict[str, ty.Any]:
-        """Return a daemon's status; empty if it does not answer."""
+        """Return a daemon's status; empty if it is not available."""
         reply = self.call_operator(host, 'GET', '/v1/status')
         if reply.status != 200:
             return {}
         return ty.cast('dict[str, ty.Any]', json.loads(reply.body))
 
     def read_witness(self, runner: str) -> dict[str, ty.Any]:
-        """Return what a back end has counted."""
+        """Return the counters of a back end."""
         found = _call_json(
             self.runner_addresses[runner], 'GET', '/standin/witness'
         )
         return ty.cast('dict[str, ty.Any]', found)
 
     def count_executions(self, key: str) -> int:
-        """Return how often a key has run, over all back ends."""
+        """Return the number of executions of a key on all back ends."""
         return sum(
             self.read_witness(plan.name)['executions'].get(key, 0)
             for plan in self.runners
@@ -294,16 +293,16 @@
         _call_json(address, 'POST', '/standin/faults', faults)
 
     def publish_hosts(self) -> None:
-        """Write the host lists as they are now."""
+        """Publish the current hosts in every host list."""
         for viewer in self.daemons.values():
             hosts: list[dict[str, ty.Any]] = [
                 {
-                    'name': place.host,
-                    'state': place.state,
-                    'domain': place.domain,
-                    'peers': self._find_peer_address(viewer, place),
+                    'name': entry_host.host,
+                    'state': entry_host.state,
+                    'domain': entry_host.domain,
+                    'peers': self._find_peer_address(viewer, entry_host),
                 }
-                for place in self.daemons.values()
+                for entry_host in self.daemons.values()
             ]
             hosts += [
                 {'name': plan.name, 'state': 'live', 'domain': plan.domain}
@@ -314,69 +313,69 @@
             )
 
     def set_host_state(self, name: str, state: str) -> None:
-        """Change a host's state on the lists: live, leaving or gone."""
+        """Set a host's state in every list: live, leaving or gone."""
         change = {'name': name, 'state': state}
         for viewer in self.daemons.values():
             _call_json(viewer.host_list, 'POST', '/standin/state', change)
 
     def set_host_lag(self, seconds: float) -> None:
-        """Let later changes of the lists show after so many seconds."""
+        """Delay the visibility of later changes to the host lists."""
         for viewer in self.daemons.values():
             _call_json(
                 viewer.host_list, 'POST', '/standin/lag', {'lag_s': seconds}
             )
 
-    def set_links(self, **faults: dict[str, ty.Any]) -> None:
-        """Set faults of relays by name, ``entry-1>entry-2``."""
+    def set_link_faults(self, **faults: dict[str, ty.Any]) -> None:
+        """Set faults of relays by name, such as ``entry-1>entry-2``."""
         _call_json(self.relay_control, 'POST', '/standin/routes', faults)
 
     def cut_host(
         self, host: str, is_cut: bool, is_one_way: bool = False
     ) -> None:
-        """Cut a host off from all other daemons, or heal it."""
+        """Partition a host from all other daemons, or heal the partition."""
         faults: dict[str, dict[str, ty.Any]] = {}
         for name in self.relays:
             source, _, target = name.partition('>')
             if host not in (source, target) or target == 'log':
                 continue
-            is_from = source == host
-            # One way: nothing that the host sends arrives.
+            is_source = source == host
+            # One way: only data that the host sends is blocked.
             faults[name] = {
-                'cut_forward': is_cut and (is_from or not is_one_way),
-                'cut_back': is_cut and (not is_from or not is_one_way),
+                'cut_forward': is_cut and (is_source or not is_one_way),
+                'cut_back': is_cut and (not is_source or not is_one_way),
             }
-        self.set_links(**faults)
+        self.set_link_faults(**faults)
 
     def cut_log(self, host: str, is_cut: bool) -> None:
-        """Cut a host off from the log only, or heal it."""
+        """Partition a host from the log only, or heal the partition."""
         fault = {'cut_forward': is_cut, 'cut_back': is_cut}
-        self.set_links(**{f'{host}>log': fault})
+        self.set_link_faults(**{f'{host}>log': fault})
 
     def find_process(self, host: str) -> processes.Process:
-        """Return a daemon's latest process; KeyError if it never had one."""
+        """Return a daemon's latest process; KeyError if there is none."""
         process = self.daemons[host].process
         if process is None:
             raise KeyError(f'{host} was never started')
         return process
 
     def find_owner(self, shard: str, host: str | None = None) -> str:
-        """Return who serves a shard, as a daemon sees it; '' if nobody."""
+        """Return the owner that serves a shard in a daemon's view, or ''."""
         asked = host or next(iter(self.daemons))
         found = self.read_status(asked).get('shards', {}).get(shard)
         if found is None or not found['serving']:
             return ''
         return str(found['owner'])
 
-    # Within.
+    # Helpers.
 
     def _start_relays(self) -> None:
         arguments = ['apricotstandins', 'relay']
         arguments += ['--control', self.relay_control]
         for source in self.daemons.values():
             targets = {
-                place.host: place.peers
-                for place in self.daemons.values()
-                if place is not source
+                entry_host.host: entry_host.peers
+                for entry_host in self.daemons.values()
+                if entry_host is not source
             }
             for target, address in (targets | {'log': self.log}).items():
                 name = f'{source.host}>{target}'
@@ -386,10 +385,10 @@
         self.wait_for_http(self.relay_control, '/standin/routes')
 
     def _find_peer_address(
-        self, viewer: DaemonPlace, place: DaemonPlace
+        self, viewer: EntryHost, entry_host: EntryHost
     ) -> str:
-        name = f'{viewer.host}>{place.host}'
-        return self.relays.get(name, place.peers)
+        name = f'{viewer.host}>{entry_host.host}'
+        return self.relays.get(name, entry_host.peers)
 
     def _start(self, name: str, arguments: list[str]) -> processes.Process:
         process = processes.Process(
@@ -398,16 +397,16 @@
         self.processes[f'{name}/{process.pid}'] = process
         return process
 
-    def _make_settings(self, place: DaemonPlace) -> dict[str, ty.Any]:
+    def _make_settings(self, entry_host: EntryHost) -> dict[str, ty.Any]:
         keys = ((AUTHOR, self.author_pem), (APPROVER, self.approver_pem))
         return {
-            'host': place.host,
-            'domain': place.domain,
-            'callers': place.callers,
-            'peers': place.peers,
-            'operators_listen': place.operators,
-            'log': self.relays.get(f'{place.host}>log', self.log),
-            'host_list': place.host_list,
+            'host': entry_host.host,
+            'domain': entry_host.domain,
+            'callers': entry_host.callers,
+            'peers': entry_host.peers,
+            'operators_listen': entry_host.operators,
+            'log': self.relays.get(f'{entry_host.host}>log', self.log),
+            'host_list': entry_host.host_list,
             'peer_key': PEER_KEY,
             'operator_token_sha256': [bundle.hash_token(OPERATOR_TOKEN)],
             'operators': [
@@ -417,8 +416,8 @@
                 }
                 for name, pem in keys
             ],
-            'trace_file': str(self.directory / f'{place.host}.spans'),
-        } | self.more_settings
+            'trace_file': str(self.directory / f'{entry_host.host}.spans'),
+        } | self.extra_settings
 
     def _make_pools(self) -> list[dict[str, ty.Any]]:
         pools: dict[str, dict[str, ty.Any]] = {}
@@ -445,16 +444,17 @@
 
     def _are_ready(self) -> bool:
         return all(
-            self._is_ready(place)
-            for place in self.daemons.values()
-            if place.process is not None and place.process.is_running()
+            self._is_ready(entry_host)
+            for entry_host in self.daemons.values()
+            if entry_host.process is not None
+            and entry_host.process.is_running()
         )
 
-    def _is_ready(self, place: DaemonPlace) -> bool:
-        reply = callers.call_http(place.callers, 'GET', '/readyz')
+    def _is_ready(self, entry_host: EntryHost) -> bool:
+        reply = callers.call_http(entry_host.callers, 'GET', '/readyz')
         if reply.status != 200:
             return False
-        shards = self.read_status(place.host).get('shards', {})
+        shards = self.read_status(entry_host.host).get('shards', {})
         pools = {plan.pool for plan in self.runners}
         expected = self.ownership['claim_shards'] + len(pools)
         if len(shards) < expected:
@@ -465,7 +465,7 @@
         )
 
     def wait_for_http(self, address: str, path: str) -> None:
-        """Wait until an address answers."""
+        """Wait until an address answers with status 200."""
         processes.wait_until(
             lambda: callers.call_http(address, 'GET', path).status == 200,
             f'{address}{path}',
--- a/packages/apricotstandins/src/apricotstandins/engine.py
+++ b/packages/apricotstandins/src/apricotstandins/engine.py
@@ -1,20 +1,22 @@
 """Emulator of a model engine.
 
-It batches continuously, caches prompt prefixes in limited memory, knows no
-priorities and admits requests as they come. Its speed follows a small model
-whose constants stand in ``Speed``:
+It uses continuous batching and a prefix cache of limited size, has no
+priorities and admits requests in order of arrival. Its speed follows a small
+model with the constants in ``Speed``:
 
-* prefill: ``prefill_tokens_s`` prompt tokens a second, cached ones free;
+* prefill processes ``prefill_tokens_s`` prompt tokens a second; cached tokens
+  take no time;
 * a decode step takes ``step_s`` plus ``step_per_request_s`` for each request
-  in the batch, and gives each of them one token;
-* a generation factor multiplies both; straggling multiplies them again.
+  in the batch, and produces one token for each of them;
+* both are multiplied by a generation factor and by the ``straggle`` fault.
 
-The prompt is divided into blocks of ``BLOCK`` words; a block is cached under
-the hash of itself and all before it, least recently used first out.
+The prompt is divided into blocks of ``BLOCK_WORDS`` words. A block is cached
+under the hash of itself and all blocks before it; the least recently used
+block is evicted first.
 
-The witness (``/standin/witness``) counts executions by key and prefill
-tokens by what became of them: this is what tests and measurements believe,
-not what the scheduler says of itself.
+The witness (``/standin/witness``) counts executions by key, and prefill
+tokens computed and wasted. Tests and measurements use these counts instead of
+what the scheduler reports about itself.
 """
 
 import collections
@@ -32,14 +34,13 @@
 
 __all__ = ['Engine', 'Speed', 'hash_blocks']
 
-# Words in a cache block.
-BLOCK = 16
+BLOCK_WORDS = 16
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
 class Speed:
-    """Constants of the model, all for generation factor 1."""
+    """Constants of the speed model, for generation factor 1."""
 
     prefill_tokens_s: float = 8000.0
     step_s: float = 0.004
@@ -47,38 +48,37 @@
     # 1 is the newest generation; 2 takes twice as long.
     generation_factor: float = 1.0
     cache_blocks: int = 4096
-    # Requests that the batch admits; more wait in the engine, first come
-    # first served.
+    # Maximum batch size; further requests wait in a FIFO queue.
     batch_requests: int = 16
-    # Age of the load report that is shown, in seconds.
+    # Age of the load report that is returned, in seconds.
     report_lag_s: float = 1.0
-    # Delay and loss of cache events.
+    # Delay in seconds and lost fraction of cache events.
     event_lag_s: float = 0.5
     event_loss: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong now."""
+    """Faults in effect."""
 
     # Multiplies every duration.
     straggle: float = 1.0
-    # Refuse requests, saying that they were not taken.
+    # Reject requests and report that they were not accepted.
     is_refusing: bool = False
     # Cut this many streams after ``cut_after`` tokens.
     cut_streams: int = 0
     cut_after: int = 0
-    # Answer this many requests under another request's name.
+    # Answer this many requests with another request's name.
     wrong_names: int = 0
     # Answer this many requests with lines that are not JSON.
     malformed: int = 0
-    # Stop all work while this is set.
+    # Stop all computation while this is set.
     is_frozen: bool = False
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Work:
-    """One request in the engine."""
+class Sequence:
+    """State of one request in the engine."""
 
     request: str
     key: str
@@ -90,7 +90,7 @@
     is_prefilled: bool = False
     is_done: bool = False
     is_cancelled: bool = False
-    news: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    updated: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
     def add_line(self, value: dict[str, ty.Any]) -> None:
         data = json.dumps({'request': self.request} | value)
@@ -98,47 +98,48 @@
         self.wake()
 
     def wake(self) -> None:
-        news, self.news = self.news, anyio.Event()
-        news.set()
+        updated, self.updated = self.updated, anyio.Event()
+        updated.set()
 
 
 def hash_blocks(words: list[str]) -> list[int]:
-    """Return the hash chain of a prompt's full blocks."""
+    """Return the chained hashes of a prompt's full blocks."""
     chain = []
     hasher = xxhash.xxh3_64()
-    for start in range(0, len(words) - BLOCK + 1, BLOCK):
-        hasher.update('\0'.join(words[start : start + BLOCK]).encode())
+    for start in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
+        hasher.update('\0'.join(words[start : start + BLOCK_WORDS]).encode())
         chain.append(hasher.intdigest() >> 1)
     return chain
 
 
 @ty.final
 class Engine:
-    """The emulator, as an ASGI application."""
+    """ASGI application that emulates the engine."""
 
     def __init__(
         self, name: str, speed: Speed, checks_fencing: bool = False
     ) -> None:
-        """Start idle with a cold cache."""
+        """Create an idle engine with an empty cache."""
         self.name = name
         self.speed = speed
         self.checks_fencing = checks_fencing
         self.faults = Faults()
-        # Requests taken and prefills begun, by key.
+        # Requests accepted and prefills begun, by key.
         self.accepted: collections.Counter[str] = collections.Counter()
-        # When each key was first taken, on the monotonic clock.
+        # Monotonic time at which each key was first accepted.
         self.accepted_at: dict[str, float] = {}
         self.executions: collections.Counter[str] = collections.Counter()
         self.prefill_computed = 0
-        # Prefill tokens of requests that were cancelled or that a cut kept
-        # from being read to the end, or that a key had computed before.
+        # Prefill tokens of requests that were cancelled or whose stream was
+        # cut before it was read to the end, or that were computed again for
+        # the same key.
         self.prefill_wasted = 0
         self.cache_hits = 0
         self.epoch = 0
         self.orders: list[dict[str, ty.Any]] = []
-        self._works: dict[str, Work] = {}
-        self._waiting: collections.deque[Work] = collections.deque()
-        self._batch: list[Work] = []
+        self._sequences: dict[str, Sequence] = {}
+        self._waiting: collections.deque[Sequence] = collections.deque()
+        self._batch: list[Sequence] = []
         self._cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
@@ -146,20 +147,24 @@
             collections.deque()
         )
         self._events: list[tuple[float, dict[str, ty.Any]]] = []
-        self._arrival = anyio.Event()
+        self._arrived = anyio.Event()
 
     async def run_batches(self) -> None:
-        """Compute until cancelled: one prefill or one decode step a turn."""
+        """Run one prefill or one decode step at a time until cancelled."""
         while True:
             if not self._batch and not self._waiting:
-                await self._arrival.wait()
+                await self._arrived.wait()
             if self.faults.is_frozen:
                 await anyio.sleep(0.05)
                 continue
             self._admit_waiting()
-            fresh = [work for work in self._batch if not work.is_prefilled]
-            if fresh:
-                await self._prefill(fresh[0])
+            unprefilled = [
+                sequence
+                for sequence in self._batch
+                if not sequence.is_prefilled
+            ]
+            if unprefilled:
+                await self._prefill(unprefilled[0])
                 continue
             await self._decode_step()
 
@@ -169,28 +174,30 @@
                 break
             self._batch.append(self._waiting.popleft())
 
-    async def _prefill(self, work: Work) -> None:
-        if work.is_cancelled:
-            self._drop(work)
+    async def _prefill(self, sequence: Sequence) -> None:
+        if sequence.is_cancelled:
+            self._drop(sequence)
             return
         cached = 0
-        for block in work.blocks:
+        for block in sequence.blocks:
             if block not in self._cache:
                 break
             self._cache.move_to_end(block)
             cached += 1
-        self.cache_hits += cached * BLOCK
-        work.cached_tokens = min(cached * BLOCK, work.prompt_tokens)
-        tokens = work.prompt_tokens - work.cached_tokens
-        if work.key:
-            self.executions[work.key] += 1
-        await self._spend(tokens / self.speed.prefill_tokens_s)
+        self.cache_hits += cached * BLOCK_WORDS
+        sequence.cached_tokens = min(
+            cached * BLOCK_WORDS, sequence.prompt_tokens
+        )
+        tokens = sequence.prompt_tokens - sequence.cached_tokens
+        if sequence.key:
+            self.executions[sequence.key] += 1
+        await self._sleep_scaled(tokens / self.speed.prefill_tokens_s)
         self.prefill_computed += tokens
-        if self.executions[work.key] > 1:
+        if self.executions[sequence.key] > 1:
             self.prefill_wasted += tokens
-        for block in work.blocks:
+        for block in sequence.blocks:
             self._cache_block(block)
-        work.is_prefilled = True
+        sequence.is_prefilled = True
 
     def _cache_block(self, block: int) -> None:
         now = clocks.read_monotonic()
@@ -199,43 +206,43 @@
         self._cache[block] = None
         self._cache.move_to_end(block)
         if len(self._cache) > self.speed.cache_blocks:
-            gone, _ = self._cache.popitem(last=False)
-            self._events.append((now, {'kind': 'evicted', 'block': gone}))
+            evicted, _ = self._cache.popitem(last=False)
+            self._events.append((now, {'kind': 'evicted', 'block': evicted}))
 
     async def _decode_step(self) -> None:
         count = len(self._batch)
-        await self._spend(
+        await self._sleep_scaled(
             self.speed.step_s + count * self.speed.step_per_request_s
         )
-        for work in list(self._batch):
-            if work.is_cancelled:
-                if not work.is_done:
+        for sequence in list(self._batch):
+            if sequence.is_cancelled:
+                if not sequence.is_done:
                     self.prefill_wasted += (
-                        work.prompt_tokens - work.cached_tokens
+                        sequence.prompt_tokens - sequence.cached_tokens
                     )
-                self._drop(work)
+                self._drop(sequence)
                 continue
-            index = len(work.lines)
-            work.add_line({'index': index, 'text': f'w{index} '})
-            if index + 1 >= work.max_tokens:
-                work.is_done = True
-                work.add_line(
+            index = len(sequence.lines)
+            sequence.add_line({'index': index, 'text': f'w{index} '})
+            if index + 1 >= sequence.max_tokens:
+                sequence.is_done = True
+                sequence.add_line(
                     {
                         'end': True,
-                        'prompt_tokens': work.prompt_tokens,
-                        'cached_tokens': work.cached_tokens,
-                        'output_tokens': work.max_tokens,
+                        'prompt_tokens': sequence.prompt_tokens,
+                        'cached_tokens': sequence.cached_tokens,
+                        'output_tokens': sequence.max_tokens,
                         'engine': self.name,
                     }
                 )
-                self._drop(work)
+                self._drop(sequence)
 
-    def _drop(self, work: Work) -> None:
-        if work in self._batch:
-            self._batch.remove(work)
-        work.wake()
+    def _drop(self, sequence: Sequence) -> None:
+        if sequence in self._batch:
+            self._batch.remove(sequence)
+        sequence.wake()
 
-    async def _spend(self, seconds: float) -> None:
+    async def _sleep_scaled(self, seconds: float) -> None:
         self._record_load()
         factor = self.speed.generation_factor * self.faults.straggle
         await anyio.sleep(seconds * factor)
@@ -246,7 +253,8 @@
             'running': len(self._batch),
             'queued': len(self._waiting),
             'tokens': sum(
-                work.prompt_tokens + len(work.lines) for work in self._batch
+                sequence.prompt_tokens + len(sequence.lines)
+                for sequence in self._batch
             ),
         }
         self._reports.append((now, report))
@@ -257,7 +265,7 @@
     async def __call__(
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         body = await asgi.read_body(receive, 64 * 1024 * 1024)
         path = scope['path']
         method = scope['method']
@@ -274,7 +282,7 @@
         elif path == '/v1/cache-events':
             await self._show_events(scope, send)
         elif path == '/v1/orders' and method == 'POST':
-            await self._take_order(json.loads(body), send)
+            await self._accept_order(json.loads(body), send)
         elif path == '/standin/faults':
             if body:
                 self.faults = dataclasses.replace(
@@ -298,37 +306,39 @@
             )
             return
         words = str(value['prompt']).split()
-        work = Work(
+        sequence = Sequence(
             request=value['request'],
             key=value.get('key', ''),
             prompt_tokens=max(1, len(words)),
             blocks=hash_blocks(words),
             max_tokens=int(value['max_tokens']),
         )
-        self._works[work.request] = work
-        self.accepted[work.key] += 1
-        self.accepted_at.setdefault(work.key, clocks.read_monotonic())
-        self._waiting.append(work)
-        arrival, self._arrival = self._arrival, anyio.Event()
-        arrival.set()
-        await self._stream(work, 0, send)
+        self._sequences[sequence.request] = sequence
+        self.accepted[sequence.key] += 1
+        self.accepted_at.setdefault(sequence.key, clocks.read_monotonic())
+        self._waiting.append(sequence)
+        arrived, self._arrived = self._arrived, anyio.Event()
+        arrived.set()
+        await self._stream(sequence, 0, send)
 
     async def _resume(
         self, name: str, scope: asgi.Scope, send: asgi.Send
     ) -> None:
-        work = self._works.get(name)
-        if work is None:
+        sequence = self._sequences.get(name)
+        if sequence is None:
             await asgi.send_json(send, 404, {'error': 'unknown request'})
             return
         query = urllib.parse.parse_qs(scope['query_string'].decode())
-        await self._stream(work, int(query.get('from', ['0'])[0]), send)
+        await self._stream(sequence, int(query.get('from', ['0'])[0]), send)
 
-    async def _stream(self, work: Work, start: int, send: asgi.Send) -> None:
+    async def _stream(
+        self, sequence: Sequence, start: int, send: asgi.Send
+    ) -> None:
         cut_after = None
         if self.faults.cut_streams > 0:
             self.faults.cut_streams -= 1
             cut_after = start + self.faults.cut_after
-        name = work.request
+        name = sequence.request
         if self.faults.wrong_names > 0:
             self.faults.wrong_names -= 1
             name = 'another'
@@ -341,33 +351,32 @@
         position = start
         while True:
             if cut_after is not None and position >= cut_after:
-                # Leaving without a last part makes the server cut the
-                # connection.
+                # Without a last body part, the server closes the connection.
                 raise ConnectionAbortedError('cut by the stand-in')
-            if position < len(work.lines):
-                line = work.lines[position]
+            if position < len(sequence.lines):
+                line = sequence.lines[position]
                 position += 1
-                if name != work.request:
-                    line = line.replace(work.request.encode(), b'another')
+                if name != sequence.request:
+                    line = line.replace(sequence.request.encode(), b'another')
                 if is_malformed:
                     line = line[: len(line) // 2] + b'\n'
                 await asgi.send_body_part(send, line)
                 continue
-            if work.is_done or work.is_cancelled:
+            if sequence.is_done or sequence.is_cancelled:
                 break
-            await work.news.wait()
+            await sequence.updated.wait()
         await asgi.send_body_part(send, b'', is_last=True)
 
     async def _cancel(self, name: str, send: asgi.Send) -> None:
-        work = self._works.get(name)
-        if work is not None:
-            work.is_cancelled = True
-            if work in self._waiting:
-                self._waiting.remove(work)
-            work.wake()
+        sequence = self._sequences.get(name)
+        if sequence is not None:
+            sequence.is_cancelled = True
+            if sequence in self._waiting:
+                self._waiting.remove(sequence)
+            sequence.wake()
         await asgi.send_json(send, 200, {})
 
-    async def _take_order(
+    async def _accept_order(
         self, order: dict[str, ty.Any], send: asgi.Send
     ) -> None:
         epoch = int(order['epoch'])
@@ -399,8 +408,8 @@
                 break
             position += 1
             if self.speed.event_loss > 0.0:
-                mark = xxhash.xxh3_64_intdigest(b'%d' % position) % 1000
-                if mark < 1000 * self.speed.event_loss:
+                hash_value = xxhash.xxh3_64_intdigest(b'%d' % position) % 1000
+                if hash_value < 1000 * self.speed.event_loss:
                     continue
             found.append(event)
         await asgi.send_json(send, 200, {'next': position, 'events': found})
--- a/packages/apricotstandins/src/apricotstandins/hostservice.py
+++ b/packages/apricotstandins/src/apricotstandins/hostservice.py
@@ -1,8 +1,8 @@
 """Stand-in for the platform's list of live and leaving hosts.
 
-The list changes by ``POST /standin/hosts`` (a whole list) or ``POST
-/standin/state`` (one host), and shows each change only after a lag that
-``POST /standin/lag`` sets.
+``POST /standin/hosts`` replaces the list and ``POST /standin/state`` changes
+the state of one host. A change becomes visible after the lag that ``POST
+/standin/lag`` sets.
 """
 
 import json
@@ -16,30 +16,30 @@
 
 @ty.final
 class HostService:
-    """The list, as an ASGI application."""
+    """ASGI application that serves the host list."""
 
     def __init__(self) -> None:
-        """Start with an empty list and no lag."""
+        """Create an empty list without lag."""
         self._lag_s = 0.0
-        self._now: list[dict[str, ty.Any]] = []
-        # Changes that do not show yet: (time to show, list).
-        self._coming: list[tuple[float, list[dict[str, ty.Any]]]] = []
-        self._shown: list[dict[str, ty.Any]] = []
+        self._hosts: list[dict[str, ty.Any]] = []
+        # Changes that are not visible yet: (time of visibility, list).
+        self._pending: list[tuple[float, list[dict[str, ty.Any]]]] = []
+        self._visible: list[dict[str, ty.Any]] = []
 
     async def __call__(
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         body = await asgi.read_body(receive, 16 * 1024 * 1024)
         path = scope['path']
         now = clocks.read_monotonic()
         if path == '/hosts':
-            await asgi.send_json(send, 200, {'hosts': self._show(now)})
+            await asgi.send_json(send, 200, {'hosts': self._read_visible(now)})
             return
         if path == '/standin/hosts':
-            self._change(json.loads(body)['hosts'], now)
+            self._schedule_change(json.loads(body)['hosts'], now)
         elif path == '/standin/state':
-            self._change(self._replace(json.loads(body)), now)
+            self._schedule_change(self._apply_state(json.loads(body)), now)
         elif path == '/standin/lag':
             self._lag_s = float(json.loads(body)['lag_s'])
         else:
@@ -47,18 +47,22 @@
             return
         await asgi.send_json(send, 200, {})
 
-    def _show(self, now: float) -> list[dict[str, ty.Any]]:
-        while self._coming and self._coming[0][0] <= now:
-            _, self._shown = self._coming.pop(0)
-        return self._shown
+    def _read_visible(self, now: float) -> list[dict[str, ty.Any]]:
+        while self._pending and self._pending[0][0] <= now:
+            _, self._visible = self._pending.pop(0)
+        return self._visible
 
-    def _change(self, hosts: list[dict[str, ty.Any]], now: float) -> None:
-        self._now = hosts
-        self._coming.append((now + self._lag_s, hosts))
+    def _schedule_change(
+        self, hosts: list[dict[str, ty.Any]], now: float
+    ) -> None:
+        self._hosts = hosts
+        self._pending.append((now + self._lag_s, hosts))
 
-    def _replace(self, change: dict[str, ty.Any]) -> list[dict[str, ty.Any]]:
+    def _apply_state(
+        self, change: dict[str, ty.Any]
+    ) -> list[dict[str, ty.Any]]:
         hosts = []
-        for host in self._now:
+        for host in self._hosts:
             if host['name'] != change['name']:
                 hosts.append(host)
                 continue
--- a/tests/test_bundles.py
+++ b/tests/test_bundles.py
@@ -155,7 +155,7 @@
 
     def configure(self) -> None:
         # State is repeated four times within this retention period.
-        self.system.more_settings |= {'log_retention_s': 2.0}
+        self.system.extra_settings |= {'log_retention_s': 2.0}
 
     def test_daemon_that_starts_after_records_expired(self) -> None:
         # All but the last eight records are dropped when a host is replaced:
@@ -174,7 +174,7 @@
         key = callers.make_key()
         body = {'prompt': systems.make_prompt(20), 'max_tokens': 5}
         reply = self.post('entry-3', 'note', body, key)
-        self.assertTrue(reply.is_whole(key, 5))
+        self.assertTrue(reply.is_complete_answer(key, 5))
 
     def has_restated(self) -> bool:
         status = self.system.read_status('entry-1')
--- a/tests/test_fault_matrix.py
+++ b/tests/test_fault_matrix.py
@@ -1,6 +1,6 @@
-"""The part of the fault matrix that every build runs; see ``faultmatrix``.
+"""Rows of the fault matrix that every build runs; see ``faultmatrix``.
 
-``make matrix`` runs all of it.
+``make matrix`` runs the whole matrix.
 """
 
 import testtools
@@ -8,7 +8,7 @@
 import faultmatrix
 import matrixrows
 
-# Rows that between them kill, freeze and cut each role and stop the log.
+# Together they kill, freeze and cut off each role, and stop the log.
 ROWS = (
     'kill-entry',
     'kill-owner',
@@ -22,15 +22,19 @@
 
 
 def run_row(
-    name: str, seed: int, work: faultmatrix.Work = faultmatrix.MODEL_WORK
+    name: str,
+    seed: int,
+    workload: faultmatrix.Workload = faultmatrix.MODEL_WORKLOAD,
 ) -> matrixrows.Row:
-    """Run a whole row on a system of its own."""
+    """Run all cells of a row on a new system."""
     with matrixrows.start_system() as system:
-        return faultmatrix.run_row(system, work, name, faultmatrix.steps, seed)
+        return faultmatrix.run_row(
+            system, workload, name, faultmatrix.steps, seed
+        )
 
 
 class TestFaultMatrix(testtools.TestCase):
-    """Each row passes all of its cells."""
+    """All cells of each row pass."""
 
 
 for _name in ROWS:
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -23,7 +23,7 @@
 
     def test_lowest_tier_is_shed_first(self) -> None:
         posted = self.post_burst()
-        shed = [item for item in posted if item.reply.code == bursts.SHED]
+        shed = [item for item in posted if item.reply.code == bursts.SHED_CODE]
         self.assertNotEqual([], shed)
         self.assertEqual([], self.find_inversions(posted))
         # A shed request is refused at once, with the time of a retry.
@@ -53,11 +53,11 @@
         self.system.submit(self.system.make_bundle(2, 1))
         self.assertNotEqual([], self.find_inversions(self.post_burst()))
 
-    def post_burst(self, avoid: str = '') -> list[bursts.Posted]:
+    def post_burst(self, avoid: str = '') -> list[bursts.PostedRequest]:
         hosts = [host for host in self.system.daemons if host != avoid]
         return bursts.post_burst(self.system, hosts)
 
-    def find_inversions(self, posted: list[bursts.Posted]) -> list[str]:
+    def find_inversions(self, posted: list[bursts.PostedRequest]) -> list[str]:
         return bursts.find_inversions(self.system, posted)
 
 
@@ -74,7 +74,7 @@
             self.system.set_faults(name, cut_streams=1, cut_after=3)
         key = callers.make_key()
         reply = self.post('entry-1', 'rebuild', self.body, key)
-        self.assertTrue(reply.is_whole(key, 12), reply)
+        self.assertTrue(reply.is_complete_answer(key, 12), reply)
         self.assertEqual(1, self.system.count_executions(key))
 
     def test_answer_of_another_request_is_not_forwarded(self) -> None:
@@ -95,7 +95,7 @@
         self.system.set_faults('planner-2', malformed=0)
         key = callers.make_key()
         reply = self.post('entry-2', 'note', self.body, key)
-        self.assertTrue(reply.is_whole(key, 12), reply)
+        self.assertTrue(reply.is_complete_answer(key, 12), reply)
 
     def test_stop_after_a_failed_call_is_not_called_not_run(self) -> None:
         # Guards against "not run" for an idempotent request that has run: one
@@ -139,7 +139,7 @@
         self.system.set_faults('planner-1', is_refusing=True)
         key = callers.make_key()
         reply = self.post('entry-3', 'rebuild', self.body, key)
-        self.assertTrue(reply.is_whole(key, 12), reply)
+        self.assertTrue(reply.is_complete_answer(key, 12), reply)
         self.assertEqual('planner-2', reply.headers['apricot-runner'])
 
     def test_late_answer_is_read_by_a_retry(self) -> None:
@@ -150,7 +150,7 @@
         key = callers.make_key()
         self.post('entry-1', 'rebuild', self.body, key, timeout=0.4)
         reply = self.post('entry-2', 'rebuild', self.body, key)
-        self.assertTrue(reply.is_whole(key, 12), reply)
+        self.assertTrue(reply.is_complete_answer(key, 12), reply)
         self.assertEqual(1, self.system.count_executions(key))
 
     def test_service_call_that_breaks_is_not_repeated(self) -> None:
@@ -210,7 +210,7 @@
             ]
             for key, future in zip(keys, futures, strict=True):
                 reply = future.result()
-                self.assertTrue(reply.is_whole(key, 4))
+                self.assertTrue(reply.is_complete_answer(key, 4))
                 self.assertLess(reply.total_s, 30.0)
 
     def test_graceful_stop_completes_all_requests(self) -> None:
@@ -225,7 +225,7 @@
                 'entry-1 is not ready',
             )
             for key, future in posted.items():
-                self.assertTrue(future.result().is_whole(key, 12))
+                self.assertTrue(future.result().is_complete_answer(key, 12))
             self.assertEqual(0, process.wait())
 
     def test_second_signal_reports_true_outcomes(self) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -19,7 +19,7 @@
 
     def configure(self) -> None:
         # A directory that does not exist, and a port without a listener.
-        self.system.more_settings |= {
+        self.system.extra_settings |= {
             'trace_file': '/proc/nowhere/spans',
             'statsd': f'127.0.0.1:{processes.find_port()}',
         }
@@ -29,7 +29,7 @@
             key = callers.make_key()
             body = {'prompt': 'a b c', 'max_tokens': 4}
             reply = self.post('entry-1', 'rebuild', body, key)
-            self.assertTrue(reply.is_whole(key, 4))
+            self.assertTrue(reply.is_complete_answer(key, 4))
 
     def test_bad_settings_exit_with_the_remedy(self) -> None:
         path = self.system.directory / 'bad.yaml'
--- a/tests/tiermatrix.py
+++ b/tests/tiermatrix.py
@@ -1,11 +1,12 @@
-"""The fault matrix of the tiers: every fault at every step of an overload.
-
-The fault matrix follows one request; tiers are about many at once. Here a
-burst of several times what the engine can take comes through every daemon,
-and the fault strikes the pool's *scheduler*, another *entry* daemon, or what
-all share. In every cell: nothing was shed while something of a lower tier
-was kept; whoever was told "not run" was not run; at-most-once work ran at
-most once; and everybody whose daemon lived was told how it ended.
+"""Tier matrix: every fault at every step of an overload.
+
+The fault matrix follows one request; tiers concern many concurrent requests.
+Here a burst of several times the engine's capacity is posted through all
+daemons, and the fault is injected into the pool's *scheduler*, another *entry*
+daemon, or a shared service. In every cell: no request was shed while one of a
+lower tier was kept; no request with outcome "not run" was executed; no
+at-most-once request was executed twice; and each caller whose daemon kept
+running received the final outcome.
 """
 
 import collections.abc
@@ -22,41 +23,41 @@
 from apricotstandins import processes
 import bursts
 
-# Longer than a lease and than the heartbeat's timeout, in seconds.
-DURATION = 2.5
-# When the burst has only begun to wait, when it is being shed, and when it
-# has just been posted whole; in seconds from its beginning.
-FILLING = 0.3
-SHEDDING = 1.0
-POSTED = bursts.COUNT * bursts.INTERVAL + 0.2
-# Between the first fault of a cell and the second.
-BETWEEN = 0.4
-POOL = 'pool/planners'
+# Longer than a lease and than the heartbeat timeout.
+FAULT_DURATION_S = 2.5
+# Seconds after the start of the burst at which its first requests wait, at
+# which requests are shed, and at which all have been posted.
+FILLING_DELAY_S = 0.3
+SHEDDING_DELAY_S = 1.0
+POSTED_DELAY_S = bursts.REQUEST_COUNT * bursts.POST_INTERVAL_S + 0.2
+# Between the first and the second fault of a cell.
+SECOND_FAULT_DELAY_S = 0.4
+POOL_SHARD = 'pool/planners'
 
-Act = collections.abc.Callable[['Cell'], None]
+CellAction = collections.abc.Callable[['Cell'], None]
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """What strikes and how it is healed."""
+    """A fault: how it is injected and healed."""
 
-    # Which daemon it strikes: scheduler, entry, or '' for what all share.
+    # The daemon with the fault: scheduler, entry, or '' if it is shared.
     role: str
-    strike: Act
-    heal: Act
+    inject: CellAction
+    heal: CellAction
 
 
 faults: dict[str, Fault] = {}
-steps: dict[str, Act] = {}
+steps: dict[str, CellAction] = {}
 
 
-def step(name: str) -> collections.abc.Callable[[Act], Act]:
-    def file_step(act: Act) -> Act:
-        steps[name] = act
-        return act
+def step(name: str) -> collections.abc.Callable[[CellAction], CellAction]:
+    def register_step(action: CellAction) -> CellAction:
+        steps[name] = action
+        return action
 
-    return file_step
+    return register_step
 
 
 @ty.final
@@ -64,70 +65,70 @@
     """One fault at one step."""
 
     def __init__(
-        self, system: deployment.Deployment, name: str, draw: random.Random
+        self, system: deployment.Deployment, name: str, rng: random.Random
     ) -> None:
         self.system = system
         self.fault = faults[name]
         self.scheduler, self.successor = self._find_scheduler()
         others = [host for host in system.daemons if host != self.scheduler]
-        self.entry = draw.choice(others)
-        # The host that was asked to stop, if any was.
-        self.drained = ''
-        # Two hosts that lost each other, if any did.
-        self.pair: list[str] = []
-        self.struck_at = 0.0
+        self.entry = rng.choice(others)
+        # The host that is drained, if any.
+        self.drained_host = ''
+        # Two hosts that are partitioned from each other, if any.
+        self.partitioned_pair: list[str] = []
+        self.injected_at = 0.0
         self.started_at = 0.0
 
     @property
     def target(self) -> str:
-        """The host that the fault strikes; '' for what all share."""
+        """The host with the fault; '' if the fault is shared."""
         found = {'scheduler': self.scheduler, 'entry': self.entry}
         return found.get(self.fault.role, '')
 
-    def find_unheard(self) -> str:
-        """Return the host that the pool's scheduler could not hear.
+    def find_disconnected_host(self) -> str:
+        """Return the host that was disconnected from the pool's scheduler.
 
-        The one that was struck, or that lost the host which took the pool
-        over; '' if the scheduler heard all.
+        This is the host with the fault, or the one that is partitioned from
+        the host which took over the pool; '' if all hosts were connected.
         """
-        if not self.pair:
+        if not self.partitioned_pair:
             return self.target
         alive = [
             host
-            for host in self.pair
+            for host in self.partitioned_pair
             if self.system.find_process(host).is_running()
         ]
         owners = [self._read_scheduler(host).get('owner') for host in alive]
-        for host, other in itertools.permutations(self.pair):
+        for host, other in itertools.permutations(self.partitioned_pair):
             if host in owners:
                 return other
         return ''
 
-    def run(self, name: str) -> list[bursts.Posted]:
-        """Post a burst, run the step, heal; return all when it ended."""
+    def run(self, name: str) -> list[bursts.PostedRequest]:
+        """Post a burst, run the step, heal the fault; return all requests."""
         with concurrent.futures.ThreadPoolExecutor(1) as pool:
             self.started_at = clocks.read_monotonic()
             hosts = sorted(self.system.daemons)
             future = pool.submit(bursts.post_burst, self.system, hosts)
             try:
                 steps[name](self)
-                time.sleep(DURATION)
+                time.sleep(FAULT_DURATION_S)
             finally:
                 self.fault.heal(self)
             return future.result()
 
     def wait_until(self, seconds: float) -> None:
-        """Sleep until so long after the burst began."""
-        over = clocks.read_monotonic() - self.started_at
-        time.sleep(max(seconds - over, 0.0))
+        """Sleep until this many seconds after the start of the burst."""
+        elapsed = clocks.read_monotonic() - self.started_at
+        time.sleep(max(seconds - elapsed, 0.0))
 
-    def strike(self) -> None:
-        self.struck_at = clocks.read_monotonic()
-        self.fault.strike(self)
+    def inject(self) -> None:
+        self.injected_at = clocks.read_monotonic()
+        self.fault.inject(self)
 
-    def restart_dead(self) -> None:
-        if self.drained:
-            self.system.find_process(self.drained).wait()
+    def restart_stopped_daemons(self) -> None:
+        if self.drained_host:
+            self.system.find_process(self.drained_host).wait()
         for host in self.system.daemons:
             if not self.system.find_process(host).is_running():
                 self.system.start_daemon(host)
@@ -144,9 +145,9 @@
         return str(found[0]['owner']), str(found[0]['successor'])
 
     def _read_scheduler(self, host: str) -> dict[str, ty.Any]:
-        # As that host knows it.
+        # In that host's view.
         shards = self.system.read_status(host).get('shards', {})
-        found: dict[str, ty.Any] = shards.get(POOL, {})
+        found: dict[str, ty.Any] = shards.get(POOL_SHARD, {})
         return found
 
 
@@ -154,56 +155,56 @@
 
 
 @step('before')
-def strike_before(cell: Cell) -> None:
-    cell.strike()
+def inject_before(cell: Cell) -> None:
+    cell.inject()
 
 
 @step('filling')
-def strike_filling(cell: Cell) -> None:
-    cell.wait_until(FILLING)
-    cell.strike()
+def inject_filling(cell: Cell) -> None:
+    cell.wait_until(FILLING_DELAY_S)
+    cell.inject()
 
 
 @step('shedding')
-def strike_shedding(cell: Cell) -> None:
-    cell.wait_until(SHEDDING)
-    cell.strike()
+def inject_shedding(cell: Cell) -> None:
+    cell.wait_until(SHEDDING_DELAY_S)
+    cell.inject()
 
 
 @step('posted')
-def strike_posted(cell: Cell) -> None:
-    cell.wait_until(POSTED)
-    cell.strike()
+def inject_posted(cell: Cell) -> None:
+    cell.wait_until(POSTED_DELAY_S)
+    cell.inject()
 
 
 @step('takeover')
-def strike_in_takeover(cell: Cell) -> None:
-    # The one that should take over is struck as well.
-    cell.wait_until(SHEDDING - BETWEEN)
+def inject_in_takeover(cell: Cell) -> None:
+    # The fault is injected into the successor.
+    cell.wait_until(SHEDDING_DELAY_S - SECOND_FAULT_DELAY_S)
     cell.system.find_process(cell.scheduler).kill()
     cell.scheduler = cell.successor
-    time.sleep(BETWEEN)
-    cell.strike()
+    time.sleep(SECOND_FAULT_DELAY_S)
+    cell.inject()
 
 
 @step('drain')
-def strike_in_drain(cell: Cell) -> None:
-    cell.wait_until(SHEDDING - BETWEEN)
-    cell.drained = cell.scheduler
+def inject_in_drain(cell: Cell) -> None:
+    cell.wait_until(SHEDDING_DELAY_S - SECOND_FAULT_DELAY_S)
+    cell.drained_host = cell.scheduler
     cell.system.find_process(cell.scheduler).send(signal.SIGTERM)
-    time.sleep(BETWEEN)
-    cell.strike()
+    time.sleep(SECOND_FAULT_DELAY_S)
+    cell.inject()
 
 
 @step('roll-out')
-def strike_in_roll_out(cell: Cell) -> None:
-    cell.wait_until(SHEDDING)
+def inject_in_roll_out(cell: Cell) -> None:
+    cell.wait_until(SHEDDING_DELAY_S)
     host = cell.successor
     version = cell.system.read_status(host).get('bundle', 0)
     value = cell.system.make_bundle(version + 1, version)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         pool.submit(cell.system.submit, value, host)
-        cell.strike()
+        cell.inject()
 
 
 # Faults.
@@ -230,15 +231,16 @@
 
 
 def _cut_pair(cell: Cell) -> None:
-    # The two that are not the scheduler lose only each other: claims of one
-    # at the other wait, and its queue is fed by both.
-    cell.pair = [
+    # Partitions only the two hosts without the scheduler from each other:
+    # claims of one at the other wait, while both register requests in the
+    # scheduler's queue.
+    cell.partitioned_pair = [
         host for host in cell.system.daemons if host != cell.scheduler
     ]
-    cell.system.set_links(
+    cell.system.set_link_faults(
         **{
             f'{source}>{target}': {'cut_forward': True, 'cut_back': True}
-            for source, target in itertools.permutations(cell.pair)
+            for source, target in itertools.permutations(cell.partitioned_pair)
         }
     )
 
@@ -256,7 +258,7 @@
 
 
 def _delay_lists(cell: Cell) -> None:
-    cell.system.set_host_lag(2 * DURATION)
+    cell.system.set_host_lag(2 * FAULT_DURATION_S)
 
 
 def _resume(cell: Cell) -> None:
@@ -303,44 +305,44 @@
 }
 
 
-def check_cell(cell: Cell, posted: list[bursts.Posted]) -> list[str]:
-    """Return what was wrong."""
-    wrong = bursts.find_inversions(
-        cell.system, posted, cell.find_unheard(), cell.struck_at
+def check_cell(cell: Cell, posted: list[bursts.PostedRequest]) -> list[str]:
+    """Return the failures of a cell."""
+    failures = bursts.find_inversions(
+        cell.system, posted, cell.find_disconnected_host(), cell.injected_at
     )
     executions = cell.system.read_witness('planner-1')['executions']
     for item in posted:
         count = executions.get(item.key, 0)
         if item.reply.outcome == 'not-run' and count > 0:
-            wrong.append(f'not-run ({item.reply.code}) after {count} runs')
+            failures.append(f'not-run ({item.reply.code}) after {count} runs')
         if item.route in ('rebuild', 'report') and count > 1:
-            wrong.append(f'{item.route} ran {count} times')
-        has_lived = cell.system.find_process(item.host).is_running()
-        if item.reply.outcome == 'cut' and has_lived:
-            wrong.append(f'no last word at {item.host}: {item.reply.error}')
-    return wrong
+            failures.append(f'{item.route} ran {count} times')
+        was_running = cell.system.find_process(item.host).is_running()
+        if item.reply.outcome == 'cut' and was_running:
+            failures.append(f'no last word at {item.host}: {item.reply.error}')
+    return failures
 
 
 def run_cell(
     system: deployment.Deployment, fault_name: str, step_name: str, seed: int
 ) -> list[str]:
-    """Run one cell; return what was wrong."""
-    draw = random.Random(f'{seed}{step_name}')  # noqa: S311
-    cell = Cell(system, fault_name, draw)
+    """Run one cell; return its failures."""
+    rng = random.Random(f'{seed}{step_name}')  # noqa: S311
+    cell = Cell(system, fault_name, rng)
     try:
         posted = cell.run(step_name)
-        wrong = check_cell(cell, posted)
-        cell.restart_dead()
+        failures = check_cell(cell, posted)
+        cell.restart_stopped_daemons()
     except AssertionError as error:
         return [f'{error} (seed {seed})']
-    shed = sum(item.reply.code == bursts.SHED for item in posted)
+    shed = sum(item.reply.code == bursts.SHED_CODE for item in posted)
     good = sum(item.reply.outcome == 'complete' for item in posted)
     note = f'seed {seed}, {good} complete and {shed} shed of {len(posted)}'
-    return [f'{text} ({note})' for text in wrong]
+    return [f'{text} ({note})' for text in failures]
 
 
 def run_row(
     system: deployment.Deployment, fault_name: str, seed: int
 ) -> dict[str, list[str]]:
-    """Run a fault at every step; return what was wrong, by step."""
+    """Run a fault at every step; return the failures by step."""
     return {name: run_cell(system, fault_name, name, seed) for name in steps}
