--- a/demo/demo.py
+++ b/demo/demo.py
@@ -1,10 +1,10 @@
-"""The whole system on loopback, as separate processes.
+"""Demo of the complete system on loopback, as separate processes.
 
-Starts a stand-in platform, two unlike engines, one plain service and three
-daemons; submits a signed bundle with apricotctl; posts one request of each
-kind through different daemons; prints what came back, who served it and the
-hops of its trace; stops everything gracefully. Exits with 0 only if every
-answer was complete and its caller's own.
+Starts a stand-in platform, two engines of different generations, one plain
+service and three daemons, and submits a signed bundle with apricotctl. Posts
+one request of each kind through different daemons and prints the answer, its
+runner and the hops of its trace. Then stops all daemons gracefully. Exits
+with 0 only if each answer was complete and belonged to its request.
 """
 
 import dataclasses
@@ -24,8 +24,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
-    """One request of the demo."""
+class DemoRequest:
+    """A request that the demo posts."""
 
     title: str
     host: str
@@ -34,29 +34,29 @@
     body: dict[str, ty.Any]
 
 
-WISHES: ty.Final = [
-    Wish(
+DEMO_REQUESTS: ty.Final = [
+    DemoRequest(
         'Festin: route rebuild',
         'entry-1',
         'rebuild',
         deployment.FESTIN_TOKEN,
         {'prompt': 'rebuild the day for van seven ' * 40, 'max_tokens': 24},
     ),
-    Wish(
+    DemoRequest(
         'Festin: stop note',
         'entry-2',
         'note',
         deployment.FESTIN_TOKEN,
         {'prompt': 'short note for the next stop', 'max_tokens': 6},
     ),
-    Wish(
+    DemoRequest(
         'Festin: manifest change',
         'entry-3',
         'manifest',
         deployment.FESTIN_TOKEN,
         {'van': 7, 'remove': 'two trays'},
     ),
-    Wish(
+    DemoRequest(
         'Ishami: field note',
         'entry-2',
         'report',
@@ -67,7 +67,7 @@
 
 
 def run_ctl(system: deployment.Deployment, *arguments: str) -> None:
-    """Run apricotctl as an operator would, and show what it prints."""
+    """Run apricotctl with an operator token; print command and output."""
     environment = os.environ | {
         'APRICOT_DAEMON': system.daemons['entry-1'].operators,
         'APRICOT_OPERATOR_TOKEN': deployment.OPERATOR_TOKEN,
@@ -81,7 +81,7 @@
 
 
 def submit_bundle(system: deployment.Deployment) -> None:
-    """Check, sign twice and submit the first bundle."""
+    """Check the first bundle, sign it as both operators and submit it."""
     path = system.directory / 'bundle.yaml'
     text = yaml.safe_dump(system.make_bundle(1, 0), sort_keys=False)
     path.write_text(text)
@@ -99,26 +99,28 @@
     run_ctl(system, 'bundle', 'submit', f'{path}.signed')
 
 
-def show_wish(system: deployment.Deployment, wish: Wish) -> bool:
-    """Post one request; tell whether its answer was whole and its own."""
+def run_request(system: deployment.Deployment, request: DemoRequest) -> bool:
+    """Post one request; tell whether the answer is complete and its own."""
     key = callers.make_key()
     trace = f'{os.urandom(16).hex()}'
     reply = callers.post_request(
-        system.daemons[wish.host].callers,
-        wish.route,
-        wish.token,
-        wish.body,
+        system.daemons[request.host].callers,
+        request.route,
+        request.token,
+        request.body,
         key,
         headers={'traceparent': f'00-{trace}-{os.urandom(8).hex()}-01'},
     )
-    print(f'\n{wish.title}, through {wish.host}')
+    print(f'\n{request.title}, through {request.host}')
     print(f'  key     {key}')
     print(f'  status  {reply.status}, outcome {reply.outcome}')
     print(f'  runner  {reply.headers.get("apricot-runner")}')
     print(f'  answer  {describe_answer(reply)}')
     is_own = reply.headers.get('apricot-request') == key
-    if 'prompt' in wish.body:
-        is_own = is_own and reply.is_whole(key, wish.body['max_tokens'])
+    if 'prompt' in request.body:
+        is_own = is_own and reply.is_complete_answer(
+            key, request.body['max_tokens']
+        )
     else:
         is_own = is_own and json.loads(reply.body)['key'] == key
     processes.wait_until(
@@ -132,7 +134,7 @@
 
 
 def describe_answer(reply: callers.Reply) -> str:
-    """Return an answer on one line."""
+    """Return the answer as one line of text."""
     lines = reply.read_lines()
     words = [str(line['text']) for line in lines if 'text' in line]
     return ''.join(words).strip() or reply.body.decode().strip()
@@ -141,7 +143,7 @@
 def read_hops(
     system: deployment.Deployment, trace: str
 ) -> list[dict[str, ty.Any]]:
-    """Return the spans of a trace in order of their beginning."""
+    """Return the spans of a trace, ordered by start time."""
     found = []
     for path in system.directory.glob('*.spans'):
         for line in path.read_text().splitlines():
@@ -152,7 +154,7 @@
 
 
 def run_demo(system: deployment.Deployment) -> bool:
-    """Run the whole demo; tell whether all was well."""
+    """Run the demo; tell whether all requests and stops succeeded."""
     for number in (1, 2, 3):
         system.add_daemon(f'entry-{number}', f'd{number}')
     system.start_platform()
@@ -160,11 +162,11 @@
     system.publish_hosts()
     for host in system.daemons:
         system.start_daemon(host)
-    for place in system.daemons.values():
-        system.wait_for_http(place.callers, '/healthz')
+    for entry_host in system.daemons.values():
+        system.wait_for_http(entry_host.callers, '/healthz')
     submit_bundle(system)
     system.wait_ready()
-    results = [show_wish(system, wish) for wish in WISHES]
+    results = [run_request(system, request) for request in DEMO_REQUESTS]
     print(flush=True)
     run_ctl(system, 'status')
     codes = []
@@ -175,15 +177,15 @@
 
 
 def main() -> None:
-    """Run the demo in a directory of its own."""
+    """Run the demo in a temporary directory."""
     with tempfile.TemporaryDirectory() as name:
         system = deployment.Deployment(pathlib.Path(name))
         try:
-            is_good = run_demo(system)
+            has_passed = run_demo(system)
         finally:
             system.stop()
-    print('demo: every answer was whole' if is_good else 'demo: FAILED')
-    sys.exit(0 if is_good else 1)
+    print('demo: every answer was whole' if has_passed else 'demo: FAILED')
+    sys.exit(0 if has_passed else 1)
 
 
 if __name__ == '__main__':
--- a/packages/apricotctl/src/apricotctl/client.py
+++ b/packages/apricotctl/src/apricotctl/client.py
@@ -11,15 +11,15 @@
 
 __all__ = ['call_daemon']
 
-_TIMEOUT = 20.0
+_TIMEOUT_S = 20.0
 
 
 def call_daemon(
     address: str, token: str, method: str, path: str, body: bytes = b''
 ) -> ty.Any:
-    """Return a daemon's JSON answer.
+    """Return a daemon's JSON response.
 
-    Raises click.ClickException with code and remedy for anything else.
+    Raises click.ClickException with code and remedy on any error.
     """
     try:
         parsed = addresses.parse_address(address)
@@ -38,17 +38,19 @@
     client = webclient.WebClient(address)
     headers = [(b'authorization', b'Bearer ' + token.encode())]
     try:
-        status, data = await client.call(method, path, headers, body, _TIMEOUT)
+        status, data = await client.call(
+            method, path, headers, body, _TIMEOUT_S
+        )
         value = json.loads(data)
     except webclient.NotSent as error:
         raise click.ClickException(
-            f'no daemon answers at {address}; start it or name another one'
-            ' with --daemon'
+            f'cannot connect to a daemon at {address}; start it or choose'
+            ' another one with --daemon'
         ) from error
     except (webclient.WebError, ValueError) as error:
         raise click.ClickException(
-            f'the daemon at {address} broke off: {error}; find out with'
-            ' "apricotctl status" what it did before you try again'
+            f'the call to the daemon at {address} failed: {error}; check with'
+            ' "apricotctl status" what it did before you retry'
         ) from error
     finally:
         await client.close()
--- a/packages/apricotctl/src/apricotctl/replaying.py
+++ b/packages/apricotctl/src/apricotctl/replaying.py
@@ -1,10 +1,10 @@
-"""Replays a trace against running daemons and measures what came of it.
+"""Replays a trace against running daemons and measures the results.
 
-Each request is posted at its time through the daemons in turn. A caller that
-is refused comes back after Retry-After, under the same key, while its
-deadline allows; ``is_storming`` callers come back at once as well, the first
-time. Measured are goodput by tier (whole answers within the deadline), time
-to the first token and between tokens, and every outcome.
+Each request is posted at its time, to the daemons in round-robin order. A
+rejected request is retried after Retry-After with the same key until its
+deadline; with ``is_storming`` the first retry is sent immediately. Measured
+are goodput by tier (complete answers within the deadline), time to first
+token, time between tokens, and all outcomes.
 """
 
 import collections
@@ -24,12 +24,12 @@
 
 __all__ = ['Replay', 'Results', 'make_key']
 
-# Histograms in microseconds, up to two minutes, to two digits.
-_LOWEST = 1
-_HIGHEST = 120_000_000
-_DIGITS = 2
+# Histogram range, up to two minutes, and precision.
+_MIN_DURATION_US = 1
+_MAX_DURATION_US = 120_000_000
+_SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50, 95, 99)
-_LAST_WAIT = 0.05
+_MIN_RETRY_DELAY_S = 0.05
 
 
 def make_key() -> str:
@@ -41,20 +41,20 @@
 
 @ty.final
 class Results:
-    """What was measured."""
+    """Measurements of a replay."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Create empty counters and histograms."""
         self.sent: collections.Counter[str] = collections.Counter()
         self.good: collections.Counter[str] = collections.Counter()
         self.outcomes: collections.Counter[str] = collections.Counter()
         self.shed: collections.Counter[str] = collections.Counter()
         self.retries = 0
-        self.first = _make_histogram()
-        self.between = _make_histogram()
+        self.first_token = _make_histogram()
+        self.between_tokens = _make_histogram()
 
     def describe(self) -> dict[str, ty.Any]:
-        """Return everything for machines."""
+        """Return the results as JSON-serialisable data."""
         return {
             'sent': dict(self.sent),
             'good': dict(self.good),
@@ -65,14 +65,14 @@
             'shed': dict(self.shed),
             'outcomes': dict(self.outcomes),
             'retries': self.retries,
-            'first_token_ms': _describe_histogram(self.first),
-            'between_tokens_ms': _describe_histogram(self.between),
+            'first_token_ms': _describe_histogram(self.first_token),
+            'between_tokens_ms': _describe_histogram(self.between_tokens),
         }
 
 
 @dataclasses.dataclass(slots=True)
 class _Attempt:
-    # One HTTP call: how it ended and when to come back.
+    # Result of one HTTP call.
     outcome: str = 'cut'
     code: str = ''
     retry_after_s: float = 0.0
@@ -90,7 +90,7 @@
         tokens: dict[str, str],
         is_storming: bool = False,
     ) -> None:
-        """Prepare; ``tokens`` are credentials by organisation."""
+        """Create a replay; ``tokens`` are credentials by organisation."""
         self.results = Results()
         self.done = 0
         self._lines = lines
@@ -102,63 +102,72 @@
         ]
 
     async def run(self) -> Results:
-        """Send everything at its time; return when all has ended."""
+        """Send each request at its time; return when all have ended."""
         started = time.monotonic()
         try:
             async with anyio.create_task_group() as group:
                 for number, line in enumerate(self._lines):
-                    wait = started + line.at_s - time.monotonic()
-                    await anyio.sleep(max(wait, 0.0))
-                    group.start_soon(self._follow, number, line)
+                    delay_s = started + line.at_s - time.monotonic()
+                    await anyio.sleep(max(delay_s, 0.0))
+                    group.start_soon(self._send_with_retries, number, line)
         finally:
             for client in self._clients:
                 await client.close()
         return self.results
 
-    async def _follow(self, number: int, line: traces.TraceLine) -> None:
+    async def _send_with_retries(
+        self, number: int, line: traces.TraceLine
+    ) -> None:
         results = self.results
         results.sent[line.route] += 1
         key = line.key or make_key()
-        end = time.monotonic() + line.deadline_ms / 1000.0
+        deadline = time.monotonic() + line.deadline_ms / 1000.0
         attempt = _Attempt()
-        turn = number
+        client_number = number
         while True:
-            left = end - time.monotonic()
-            if left <= _LAST_WAIT:
+            remaining_s = deadline - time.monotonic()
+            if remaining_s <= _MIN_RETRY_DELAY_S:
                 break
-            attempt = await self._post(turn, line, number, key, left)
-            may_ask = attempt.outcome == 'cut' or attempt.retry_after_s > 0
-            if attempt.outcome != 'not-run' and not may_ask:
+            attempt = await self._post(
+                client_number, line, number, key, remaining_s
+            )
+            can_retry = attempt.outcome == 'cut' or attempt.retry_after_s > 0
+            if attempt.outcome != 'not-run' and not can_retry:
                 break
-            if attempt.code == 'APL201' and turn == number:
+            if attempt.code == 'APL201' and client_number == number:
                 results.shed[line.route] += 1
-            is_first = turn == number
-            turn += 1
+            is_first_attempt = client_number == number
+            client_number += 1
             results.retries += 1
-            if not (self._is_storming and is_first):
-                await anyio.sleep(max(attempt.retry_after_s, _LAST_WAIT))
+            if not (self._is_storming and is_first_attempt):
+                await anyio.sleep(
+                    max(attempt.retry_after_s, _MIN_RETRY_DELAY_S)
+                )
         results.outcomes[attempt.outcome] += 1
-        is_whole = attempt.tokens == line.output_tokens
-        if attempt.outcome == 'complete' and is_whole:
-            if time.monotonic() <= end:
+        has_all_tokens = attempt.tokens == line.output_tokens
+        if attempt.outcome == 'complete' and has_all_tokens:
+            if time.monotonic() <= deadline:
                 results.good[line.route] += 1
         self.done += 1
 
     async def _post(
         self,
-        turn: int,
+        client_number: int,
         line: traces.TraceLine,
         number: int,
         key: str,
-        left: float,
+        remaining_s: float,
     ) -> _Attempt:
         attempt = _Attempt()
-        client = self._clients[turn % len(self._clients)]
+        client = self._clients[client_number % len(self._clients)]
         token = self._tokens[line.organisation]
         headers = [
             (b'authorization', f'Bearer {token}'.encode()),
             (b'idempotency-key', key.encode()),
-            (b'apricot-deadline-ms', str(max(int(left * 1000), 1)).encode()),
+            (
+                b'apricot-deadline-ms',
+                str(max(int(remaining_s * 1000), 1)).encode(),
+            ),
         ]
         body = json.dumps(
             {
@@ -169,7 +178,7 @@
         path = f'/v1/routes/{line.route}'
         sent_at = time.monotonic()
         try:
-            with anyio.move_on_after(left + 1.0):
+            with anyio.move_on_after(remaining_s + 1.0):
                 async with client.open('POST', path, headers, body) as reply:
                     await self._read(reply, attempt, sent_at)
         except webclient.WebError:
@@ -180,10 +189,10 @@
         self, reply: webclient.Response, attempt: _Attempt, sent_at: float
     ) -> None:
         last_at: float | None = None
-        rest = b''
+        buffered = b''
         async for part in reply.iterate():
             now = time.monotonic()
-            *lines, rest = (rest + part).split(b'\n')
+            *lines, buffered = (buffered + part).split(b'\n')
             for text in lines:
                 value = json.loads(text)
                 if 'outcome' in value:
@@ -193,18 +202,20 @@
                     continue
                 attempt.tokens += 1
                 if last_at is None:
-                    _record(self.results.first, now - sent_at)
+                    _record(self.results.first_token, now - sent_at)
                 else:
-                    _record(self.results.between, now - last_at)
+                    _record(self.results.between_tokens, now - last_at)
                 last_at = now
 
 
 def _make_histogram() -> ty.Any:
-    return histogram.HdrHistogram(_LOWEST, _HIGHEST, _DIGITS)
+    return histogram.HdrHistogram(
+        _MIN_DURATION_US, _MAX_DURATION_US, _SIGNIFICANT_DIGITS
+    )
 
 
 def _record(target: ty.Any, seconds: float) -> None:
-    target.record_value(max(int(seconds * 1e6), _LOWEST))
+    target.record_value(max(int(seconds * 1e6), _MIN_DURATION_US))
 
 
 def _describe_histogram(source: ty.Any) -> dict[str, float]:
--- a/packages/apricotlanding/src/apricotlanding/codec.py
+++ b/packages/apricotlanding/src/apricotlanding/codec.py
@@ -1,12 +1,11 @@
-"""Typed messages to and from msgpack.
+"""Encoding and decoding of typed messages with msgpack.
 
 ``wire`` and ``records`` declare small frozen dataclasses and register each
-under a number with a ``Registry``. A message travels as the msgpack array
+under a number with a ``Registry``. A message is encoded as the msgpack array
 ``[number, field, field, ...]`` in the order of the declaration. Decoding
-checks the shape with pydantic, so that a peer or a log record of the wrong
-shape is one clear error at the border and never a surprise further in.
-Fields at the end that have a default may be missing: that is how a newer
-daemon talks to an older one.
+validates the array with pydantic, so that malformed data from a peer or the
+log is rejected here and does not reach other code. Trailing fields that have a
+default may be missing, so that daemons of different versions can communicate.
 
     registry = Registry('peer message')
 
@@ -31,9 +30,9 @@
 
 __all__ = ['Registry']
 
-# Characters of an error about a message. Parts of the message stand in it,
-# which a stranger may make as long as a frame.
-DETAIL_LENGTH: ty.Final = 200
+# Longest error detail. It quotes parts of the message, which an untrusted
+# peer can make as long as a frame.
+DETAIL_LIMIT_CHARS: ty.Final = 200
 
 T = ty.TypeVar('T')
 
@@ -43,7 +42,7 @@
     """Message types by number."""
 
     def __init__(self, name: str) -> None:
-        """Start without any type; the name is used in errors."""
+        """Create an empty registry; the name is used in errors."""
         self.name = name
         self._adapters: dict[int, pydantic.TypeAdapter[ty.Any]] = {}
         self._fields: dict[int, list[str]] = {}
@@ -52,21 +51,21 @@
     def register(
         self, number: int
     ) -> collections.abc.Callable[[type[T]], type[T]]:
-        """Return a decorator that files a dataclass under a number."""
+        """Return a decorator that registers a dataclass under a number."""
 
-        def file_type(cls: type[T]) -> type[T]:
+        def register_type(cls: type[T]) -> type[T]:
             if number in self._adapters:
-                raise ValueError(f'{self.name} {number} is taken')
+                raise ValueError(f'{self.name} {number} is already registered')
             fields = dataclasses.fields(cls)  # type: ignore[arg-type]
             self._adapters[number] = pydantic.TypeAdapter(cls)
             self._fields[number] = [field.name for field in fields]
             self._numbers[cls] = number
             return cls
 
-        return file_type
+        return register_type
 
     def pack(self, message: object) -> list[ty.Any]:
-        """Return the array that stands for a message."""
+        """Convert a message to an array."""
         number = self._numbers[type(message)]
         names = self._fields[number]
         adapter = self._adapters[number]
@@ -74,67 +73,69 @@
         return [number, *(fields[name] for name in names)]
 
     def unpack(self, array: ty.Any) -> ty.Any:
-        """Return the message that an array stands for.
+        """Convert an array to a message.
 
-        Raises Refused (BAD_FRAME) for anything else.
+        Raises Refused (BAD_FRAME) if the array is not a valid message.
         """
         if not isinstance(array, list) or not array:
-            raise self._refuse('not an array')
+            raise self._make_error('not an array')
         number = array[0]
         if not isinstance(number, int) or number not in self._adapters:
-            # Cut short also in depth: the writing of a list within a list
-            # within a list ends in a RecursionError.
-            raise self._refuse(f'unknown {self.name} {reprlib.repr(number)}')
+            # reprlib also limits the depth: repr of a deeply nested list
+            # raises RecursionError.
+            raise self._make_error(
+                f'unknown {self.name} {reprlib.repr(number)}'
+            )
         names = self._fields[number]
         if len(array) - 1 > len(names):
-            raise self._refuse(f'too many fields for {self.name} {number}')
+            raise self._make_error(f'too many fields for {self.name} {number}')
         fields = dict(zip(names, array[1:], strict=False))
         try:
             return self._adapters[number].validate_python(fields)
         except pydantic.ValidationError as error:
             first = error.errors(include_url=False)[0]
-            where = '.'.join(str(part) for part in first['loc'])
-            raise self._refuse(f'{where}: {first["msg"]}') from error
+            location = '.'.join(str(part) for part in first['loc'])
+            raise self._make_error(f'{location}: {first["msg"]}') from error
 
     def encode(self, message: object) -> bytes:
-        """Return a message as msgpack."""
+        """Encode a message as msgpack."""
         return pack_data(self.pack(message))
 
     def decode(self, data: bytes) -> ty.Any:
-        """Return the message in msgpack data; Refused (BAD_FRAME) if bad."""
+        """Decode a message; raises Refused (BAD_FRAME) if it is invalid."""
         return self.unpack(unpack_data(data))
 
-    def _refuse(self, detail: str) -> errors.Refused:
-        return refuse_frame(detail)
+    def _make_error(self, detail: str) -> errors.Refused:
+        return make_frame_error(detail)
 
 
 def pack_data(value: ty.Any) -> bytes:
-    """Return a plain value as msgpack; enums go by their values."""
-    return ty.cast(bytes, msgpack.packb(value, default=_simplify))
+    """Encode a plain value as msgpack; enums are encoded by value."""
+    return ty.cast(bytes, msgpack.packb(value, default=_convert_enum))
 
 
-def _simplify(value: ty.Any) -> ty.Any:
+def _convert_enum(value: ty.Any) -> ty.Any:
     if isinstance(value, enum.Enum):
         return value.value
     raise TypeError(f'{type(value).__name__} cannot be sent')
 
 
 def unpack_data(data: bytes) -> ty.Any:
-    """Return the plain value in msgpack data; Refused if there is none."""
+    """Decode msgpack data; raises Refused (BAD_FRAME) if it is invalid."""
     try:
         return msgpack.unpackb(data, strict_map_key=False)
     except (
         ValueError,
-        # A list or a map as the key of a map.
+        # Raised for a list or a map as the key of a map.
         TypeError,
         msgpack.UnpackException,
     ) as error:
-        raise refuse_frame(f'not msgpack ({error})') from error
+        raise make_frame_error(f'not msgpack ({error})') from error
 
 
-def refuse_frame(detail: str) -> errors.Refused:
-    """Return the error for data that cannot be read."""
-    short = detail[:DETAIL_LENGTH]
+def make_frame_error(detail: str) -> errors.Refused:
+    """Return the error for data that cannot be decoded."""
+    short = detail[:DETAIL_LIMIT_CHARS]
     return errors.Refused(
         errors.make_problem(errors.Kind.BAD_FRAME, detail=short)
     )
--- a/packages/apricotlanding/src/apricotlanding/shutdown.py
+++ b/packages/apricotlanding/src/apricotlanding/shutdown.py
@@ -1,15 +1,16 @@
-"""The planned end of a process: what is closed when, and what is waited for.
-
-    asked        not ready any more; answers tell callers to go elsewhere
-    notice over  the listener closes, and with it each idle connection
-    all closed   the process ends
-    grace over   what is left is given up, each request with a true answer
-    last words   the process ends, just before it is killed
-
-The end follows the connections. Requests in progress are the wrong thing to
-ask for: one that was just read is not counted yet, and one that is answered
-may have bytes that its caller has not taken. Either would be cut. A
-connection is gone only when nothing can come on it and all has left.
+"""Graceful shutdown of a process.
+
+    stop requested  readiness fails; responses send callers to other hosts
+    notice over     the listener and all idle connections are closed
+    all closed      the process exits
+    grace over      remaining requests are aborted, each with a truthful answer
+    exit            the process exits, just before it is killed
+
+The process exits when all connections are closed, not when no request is in
+progress: a request that was just read is not counted yet, and an answered
+request may have bytes that its caller has not received. Both would be
+truncated. A connection is closed only when no data can arrive on it and all
+data has been sent.
 """
 
 import dataclasses
@@ -17,58 +18,58 @@
 
 import anyio
 
-__all__ = ['Intake', 'Plan', 'finish', 'make_plan']
+__all__ = ['Listener', 'Plan', 'close_listener', 'make_plan']
 
-# Seconds after the signal in which new connections may still arrive: the
-# balancer asks once a second and acts on the second answer.
-NOTICE = 2.5
-# Part of the grace that the notice may use where the grace is short. The rest
-# is for what is in progress.
-NOTICE_PART = 2 / 3
-# Part of the grace after which requests in progress are given up. What their
-# callers are told then needs the rest to leave.
-GIVE_UP_PART = 0.9
-# Part of the grace after which the process ends although connections are
-# open: the kill that follows would end them without a line in the log.
-END_PART = 0.95
+# New connections may still arrive for this time after the signal: the load
+# balancer checks readiness once a second and acts on the second failure.
+NOTICE_S = 2.5
+# Largest share of the grace period that the notice may use. The rest is left
+# for requests in progress.
+NOTICE_SHARE = 2 / 3
+# Share of the grace period after which requests in progress are aborted. The
+# rest is needed to send the error responses.
+ABORT_SHARE = 0.9
+# Share of the grace period after which the process exits with open
+# connections: the kill that follows would end them without a log line.
+EXIT_SHARE = 0.95
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """When a stop does what, on the steady clock."""
+    """Times of the steps of a shutdown, on the monotonic clock."""
 
-    # The listener closes.
+    # The listener is closed.
     close_at: float
-    # Requests in progress are given up.
-    give_up_at: float
-    # The process ends with what is open.
-    end_at: float
+    # Requests in progress are aborted.
+    abort_at: float
+    # The process exits even with open connections.
+    exit_at: float
 
 
-class Intake(ty.Protocol):
-    """The listeners of a process and their connections."""
+class Listener(ty.Protocol):
+    """A listener and its connections."""
 
     def stop(self) -> None:
-        """Take nothing new, and close what is idle."""
+        """Accept no new connections and close idle ones."""
 
-    async def wait_ended(self) -> None:
-        """Wait until no connection is left."""
+    async def wait_closed(self) -> None:
+        """Wait until all connections are closed."""
 
 
 def make_plan(grace_s: float, now: float) -> Plan:
-    """Return the times of a stop asked for now, with a grace in seconds."""
-    notice_s = min(NOTICE, grace_s * NOTICE_PART)
+    """Return the times of a shutdown that is requested now."""
+    notice_s = min(NOTICE_S, grace_s * NOTICE_SHARE)
     return Plan(
         close_at=now + notice_s,
-        give_up_at=now + grace_s * GIVE_UP_PART,
-        end_at=now + grace_s * END_PART,
+        abort_at=now + grace_s * ABORT_SHARE,
+        exit_at=now + grace_s * EXIT_SHARE,
     )
 
 
-async def finish(intake: Intake, left_s: float) -> bool:
-    """Close an intake; False if connections are left after so many seconds."""
-    intake.stop()
-    with anyio.move_on_after(left_s) as limit:
-        await intake.wait_ended()
-    return not limit.cancelled_caught
+async def close_listener(listener: Listener, timeout_s: float) -> bool:
+    """Close a listener; False if connections are open after the timeout."""
+    listener.stop()
+    with anyio.move_on_after(timeout_s) as scope:
+        await listener.wait_closed()
+    return not scope.cancelled_caught
--- a/packages/apricotlanding/src/apricotlanding/sockets.py
+++ b/packages/apricotlanding/src/apricotlanding/sockets.py
@@ -1,36 +1,35 @@
-"""Socket options that show a silent connection.
+"""Socket options that detect dead connections.
 
-A connection can fall silent for good without a reset: a host lost power, a
-partition cut it, or a device in between forgot it. Nothing then tells the
-waiting side, which would wait until its own timeout, with every request that
-it sends on this connection. The kernel's own probes show it within seconds
-and cost no message of ours.
+A connection can die without a reset: a host loses power, the network is
+partitioned, or a middlebox drops its connection state. Each request on such a
+connection would wait until its own timeout. TCP keepalive detects it within
+seconds and needs no messages in the protocol.
 """
 
 import socket
 import typing as ty
 
-__all__ = ['WATCH_OPTIONS', 'watch_socket']
+__all__ = ['KEEPALIVE_OPTIONS', 'enable_keepalive']
 
-# Seconds of silence before the first probe, and between probes; probes
-# without an answer until the connection breaks. Together about three
-# seconds: a lossy link loses one probe now and then, not three in a row.
-PROBE_AFTER = 1
-PROBE_INTERVAL = 1
-PROBES = 2
-# Milliseconds for which sent data may stay unacknowledged.
-UNACKED_MS = 2500
+# Idle time before the first probe, interval between probes, and number of
+# unanswered probes that break the connection: about three seconds in total. A
+# lossy link occasionally loses one probe, but not three in a row.
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
+# How long sent data may remain unacknowledged.
+UNACKED_TIMEOUT_MS = 2500
 
-WATCH_OPTIONS: ty.Final[list[tuple[int, int, int]]] = [
+KEEPALIVE_OPTIONS: ty.Final[list[tuple[int, int, int]]] = [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS),
 ]
 
 
-def watch_socket(connected: socket.socket) -> None:
-    """Set the options on a connected TCP socket."""
-    for level, option, value in WATCH_OPTIONS:
-        connected.setsockopt(level, option, value)
+def enable_keepalive(connection: socket.socket) -> None:
+    """Enable TCP keepalive on a connected socket."""
+    for level, option, value in KEEPALIVE_OPTIONS:
+        connection.setsockopt(level, option, value)
--- a/packages/apricotlanding/src/apricotlanding/yamlfiles.py
+++ b/packages/apricotlanding/src/apricotlanding/yamlfiles.py
@@ -1,8 +1,8 @@
-"""YAML files whose mistakes are found all at once, each with its line.
+"""Validation of YAML files that reports all errors with their lines.
 
-``load_model`` reads text into a pydantic model. A file that is not YAML is
-one finding; otherwise every unknown key, doubled key, missing field and bad
-value is found in the same run, with the line where it stands.
+``load_model`` loads text into a pydantic model. Invalid YAML is reported as
+one finding; otherwise all unknown keys, duplicate keys, missing fields and
+invalid values are reported in one run, each with its line.
 """
 
 import collections.abc
@@ -29,7 +29,7 @@
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Finding:
-    """One mistake in a file."""
+    """One error in a file."""
 
     # Counted from 1.
     line: int
@@ -39,23 +39,23 @@
     remedy: str
 
     def __str__(self) -> str:
-        """Return one line for people."""
+        """Return one human-readable line."""
         return f'line {self.line}: {self.where}: {self.text}; {self.remedy}'
 
 
 @ty.final
 class LineMap:
-    """Lines of a YAML file by location."""
+    """Line numbers of a YAML file by location."""
 
     def __init__(self, root: yaml.Node | None) -> None:
-        """Walk the tree of nodes; None stands for an empty file."""
+        """Index the tree of nodes; None for an empty file."""
         self._lines: dict[Location, int] = {(): 1}
         self.duplicates: list[Finding] = []
         if root is not None:
             self._visit(root, ())
 
     def find_line(self, location: Location) -> int:
-        """Return the line of a location or of its nearest parent."""
+        """Return the line of a location or of its nearest ancestor."""
         while location not in self._lines:
             location = location[:-1]
         return self._lines[location]
@@ -76,10 +76,10 @@
         if not isinstance(node, yaml.MappingNode):
             return
         for key, value in node.value:
-            place = (*location, str(key.value))
-            if place in self._lines:
+            child = (*location, str(key.value))
+            if child in self._lines:
                 line = key.start_mark.line + 1
-                where = '.'.join(str(part) for part in place)
+                where = '.'.join(str(part) for part in child)
                 self.duplicates.append(
                     Finding(
                         line,
@@ -89,28 +89,28 @@
                     )
                 )
                 continue
-            self._lines[place] = key.start_mark.line + 1
-            self._visit(value, place)
+            self._lines[child] = key.start_mark.line + 1
+            self._visit(value, child)
 
 
 def load_model(
     text: bytes | str, model: type[M]
 ) -> expression.Result[tuple[M, LineMap], list[Finding]]:
-    """Read YAML into a model, or return every mistake, in line order."""
+    """Load YAML into a model, or return all errors, in line order."""
     try:
         root = yaml.compose(text, Loader=yaml.SafeLoader)
-        plain = yaml.safe_load(text)
+        data = yaml.safe_load(text)
     except (yaml.YAMLError, ValueError) as error:
         return expression.Error([_describe_syntax(error)])
     lines = LineMap(root)
     findings = list(lines.duplicates)
-    if not isinstance(plain, dict):
+    if not isinstance(data, dict):
         finding = Finding(
             1, 'file', 'not a mapping', 'write "key: value" lines'
         )
         return expression.Error([finding])
     try:
-        value = model.model_validate(plain)
+        value = model.model_validate(data)
     except pydantic.ValidationError as error:
         findings.extend(_describe_fields(error, lines))
         return expression.Error(sorted(findings))
--- a/packages/apricotlandingd/src/apricotlandingd/command.py
+++ b/packages/apricotlandingd/src/apricotlandingd/command.py
@@ -13,8 +13,8 @@
 
 __all__ = ['main']
 
-# Exit code for settings that cannot be used.
-BAD_SETTINGS = 2
+# Invalid settings, or addresses that cannot be bound.
+BAD_SETTINGS_EXIT_CODE = 2
 
 
 @click.command()
@@ -29,18 +29,18 @@
 def main(path: pathlib.Path, check: bool) -> None:
     """Run the apricotlanding daemon of this host.
 
-    SIGTERM stops it gracefully; a second one ends what is left.
+    SIGTERM stops it gracefully; a second one cancels the open requests.
     """
     loaded = settings.load_settings(path)
     if loaded.is_error():
         for finding in loaded.error:
             click.echo(f'{path}: {finding}', err=True)
-        sys.exit(BAD_SETTINGS)
+        sys.exit(BAD_SETTINGS_EXIT_CODE)
     config = loaded.ok
     if check:
         click.echo(f'{path}: good')
         return
-    stop_logs = logs.write_logs(host=config.host)
+    stop_logs = logs.start_logging(host=config.host)
     try:
         anyio.run(
             _run,
@@ -53,7 +53,7 @@
             ' this host that are free',
             err=True,
         )
-        sys.exit(BAD_SETTINGS)
+        sys.exit(BAD_SETTINGS_EXIT_CODE)
     finally:
         stop_logs()
 
--- a/packages/apricotlandingd/src/apricotlandingd/daemon.py
+++ b/packages/apricotlandingd/src/apricotlandingd/daemon.py
@@ -1,23 +1,24 @@
-"""The daemon: builds its parts, ties them together, and runs the tree.
+"""Builds the components of the daemon, connects them and runs their tasks.
 
     daemon
-    ├── callers      HTTP listener, one task a connection
+    ├── callers      HTTP listener, one task for each connection
     ├── operators    HTTP listener
     ├── log          reads the platform's log
-    ├── peers        accepts; one task a peer that it dials
-    ├── owners       takes, renews and releases shards
-    ├── claim desk   claims of the shards that it owns
-    ├── pool desk    queues of the pools that it owns
-    ├── claims, pools, runs   the requests that it carries
-    ├── reports      tells new owners what it holds
-    ├── fetch        gets newer bundles from peers
-    ├── restate      says again what the log is about to forget
-    └── metrics      sends counts
-
-A graceful stop (SIGTERM, or ``apricotctl drain``) goes in this order: not
-ready for the balancer; shards handed over; after a grace nothing new is
-taken; requests in progress end; exit. A second signal, or the stop limit of
-the settings, ends what is left, each with the answer that is true of it.
+    ├── peers        listener, and one task for each peer that it dials
+    ├── owners       acquires, renews and releases shards
+    ├── claim desk   answers claims for the shards that it owns
+    ├── pool desk    schedules the queues of the pools that it owns
+    ├── claims, pools, runs   the requests that it runs
+    ├── reports      reports the claims that it holds to new owners
+    ├── fetch        fetches newer bundles from peers
+    ├── restate      appends state again before the log's retention ends
+    └── metrics      sends metrics
+
+A graceful stop (SIGTERM, or ``apricotctl drain``) has these steps: /readyz
+reports not ready to the load balancer; shards are handed over; after a grace
+period new requests are rejected; open requests end; the process exits. A
+second signal, or ``stop_limit_s`` of the settings, cancels the remaining
+requests, each with the outcome for its state.
 """
 
 import functools
@@ -59,11 +60,11 @@
 
 __all__ = ['Daemon']
 
-CALL_TIMEOUT = 1.0
-REPORT_INTERVAL = 1.0
-# Seconds that callers get at most to read their final answers before the
-# exit. A caller that takes 64 KB in this time is slower than any link here.
-LAST_WORDS = 2.0
+CALL_TIMEOUT_S = 1.0
+REPORT_INTERVAL_S = 1.0
+# Timeout for callers to read their final answers before the exit. A caller
+# that needs longer for 64 KB is slower than any link in use.
+CLOSE_TIMEOUT_S = 2.0
 
 
 @ty.final
@@ -71,36 +72,36 @@
     """One daemon process."""
 
     def __init__(self, config: settings.Settings) -> None:
-        """Build all parts and bind the HTTP addresses.
+        """Build all components and bind the HTTP addresses.
 
         Raises OSError if an address cannot be bound.
         """
         self.settings = config
         self.host = ids.Host(config.host)
-        # Bound before the incarnation is named: its name says that nobody
-        # else listens there. See ``ids``.
+        # Bound before the incarnation is named, because its name implies
+        # that no other process listens on this address. See ``ids``.
         self._peer_socket = asgi.bind_address(config.peers)
         self.incarnation = ids.make_incarnation(
             self.host,
-            f'{clocks.read_boot()} {config.peers}',
+            f'{clocks.read_boot_id()} {config.peers}',
             clocks.read_monotonic(),
         )
         self.metrics = metrics.Metrics(config.statsd)
-        self.tracer, self._end_traces = tracing.make_tracer(
+        self.tracer, self._close_tracer = tracing.make_tracer(
             config.host, config.trace_file
         )
         self.is_draining = False
-        self._drain_asked = anyio.Event()
-        # A peer with a newer bundle than ours.
-        self._newer_at: ids.Incarnation | None = None
-        self._newer_seen = anyio.Event()
-        self._build_agreement()
+        self._drain_requested = anyio.Event()
+        # A peer that has a newer bundle than this daemon.
+        self._newer_bundle_peer: ids.Incarnation | None = None
+        self._newer_bundle_seen = anyio.Event()
+        self._build_shared_state()
         self._build_requests()
-        self._tie_parts()
+        self._connect_components()
         self._callers = asgi.Server(self.entry, config.callers)
         self._operators = asgi.Server(self.operators, config.operators_listen)
 
-    def _build_agreement(self) -> None:
+    def _build_shared_state(self) -> None:
         config = self.settings
         self.log = platformlog.PlatformLog(config.log)
         self.follower = logfollower.LogFollower(self.log, self.incarnation)
@@ -116,11 +117,11 @@
             self.host_list,
             self.router,
         )
-        self.owners = owners.Owners(
+        self.owners = owners.OwnershipManager(
             self.incarnation,
             self.follower,
             self.view,
-            leases.PromiseBook(),
+            leases.PromiseTable(),
             self.peers,
         )
         self.restater = restating.Restater(
@@ -134,15 +135,17 @@
     def _build_requests(self) -> None:
         config = self.settings
         self.store = answers.AnswerStore(config.kept_answer_bytes)
-        self.claim_desk = claims.ClaimDesk(self.peers)
+        self.claim_server = claims.ClaimServer(self.peers)
         self.claim_client = claims.ClaimClient(
             self.incarnation,
             self.view,
             self.peers,
-            self.claim_desk,
+            self.claim_server,
             self.store,
         )
-        self.pool_desk = poolservice.PoolDesk(self.peers, self.metrics)
+        self.pool_scheduler = poolservice.PoolScheduler(
+            self.peers, self.metrics
+        )
         self.pool_client = poolclient.PoolClient(
             self.incarnation,
             self.view,
@@ -177,58 +180,60 @@
             self.start_drain,
         )
 
-    def _tie_parts(self) -> None:
+    def _connect_components(self) -> None:
         self.follower.add_observer(self.bundles)
         self.follower.add_observer(self.view)
         self.follower.add_observer(self.restater)
-        find = self.bundles.get
-        self.owners.find_bundle = find
-        self.claim_desk.find_bundle = find
-        self.pool_desk.find_bundle = find
-        self.runs.find_bundle = find
-        self.entry.find_bundle = find
+        get_bundle = self.bundles.get
+        self.owners.find_bundle = get_bundle
+        self.claim_server.find_bundle = get_bundle
+        self.pool_scheduler.find_bundle = get_bundle
+        self.runs.find_bundle = get_bundle
+        self.entry.find_bundle = get_bundle
         self.entry.is_ready = self.is_ready
-        self.owners.may_take = self._may_take
+        self.owners.may_take = self._may_own_shards
         self.owners.roles = {
-            owners.CLAIMS: self.claim_desk,
-            owners.POOL: self.pool_desk,
+            owners.CLAIMS_KIND: self.claim_server,
+            owners.POOL_KIND: self.pool_scheduler,
         }
-        self.pool_desk.deliver = self._push
-        self.bundles.on_change.append(self.pool_desk.update_bundle)
+        self.pool_scheduler.deliver = self._push
+        self.bundles.on_change.append(self.pool_scheduler.update_bundle)
         self.peers.make_ping = self._make_ping
-        self.peers.on_pong = self._take_pong
-        self.peers.on_lost = self._forget_connection
+        self.peers.on_pong = self._handle_pong
+        self.peers.on_lost = self._handle_lost_connection
         self.peers.find_needed = self.owners.find_needed_hosts
-        self._fill_router()
+        self._register_handlers()
 
-    def _fill_router(self) -> None:
+    def _register_handlers(self) -> None:
         router = self.router
-        router.quick |= {
+        router.sync_handlers |= {
             wire.Ping: self._answer_ping,
             wire.PromiseRequest: self.owners.answer_promise,
-            wire.ClaimEnd: self.claim_desk.answer_end,
-            wire.ClaimReport: self.claim_desk.answer_report,
-            wire.ClaimQuery: self.claim_desk.answer_query,
-            wire.Register: self.pool_desk.answer_register,
+            wire.ClaimEnd: self.claim_server.answer_end,
+            wire.ClaimReport: self.claim_server.answer_report,
+            wire.ClaimQuery: self.claim_server.answer_query,
+            wire.Register: self.pool_scheduler.answer_register,
             wire.FetchState: self._answer_fetch,
             wire.Drain: self._answer_drain,
         }
-        router.slow[wire.ClaimRequest] = self.claim_desk.answer_claim
-        router.streaming[wire.Attach] = self.attacher.serve
-        router.pushes |= {
-            wire.Register: self.pool_desk.take_register,
-            wire.Started: self.pool_desk.take_started,
-            wire.Finished: self.pool_desk.take_finished,
-            wire.Withdraw: self.pool_desk.take_withdraw,
-            wire.Grant: self.pool_client.take_grant,
-            wire.Shed: self.pool_client.take_shed,
-            wire.Withdrawn: self.pool_client.take_withdrawn,
+        router.async_handlers[wire.ClaimRequest] = (
+            self.claim_server.answer_claim
+        )
+        router.stream_handlers[wire.Attach] = self.attacher.serve
+        router.push_handlers |= {
+            wire.Register: self.pool_scheduler.handle_register,
+            wire.Started: self.pool_scheduler.handle_started,
+            wire.Finished: self.pool_scheduler.handle_finished,
+            wire.Withdraw: self.pool_scheduler.handle_withdraw,
+            wire.Grant: self.pool_client.handle_grant,
+            wire.Shed: self.pool_client.handle_shed,
+            wire.Withdrawn: self.pool_client.handle_withdrawn,
         }
 
-    # Running.
+    # Tasks.
 
     async def run(self) -> None:
-        """Run until a graceful stop has ended."""
+        """Run until a graceful stop has completed."""
         self._peer_socket.setblocking(False)
         listener = await anyio.abc.SocketListener.from_socket(
             self._peer_socket
@@ -237,8 +242,8 @@
             tree.start('log', self.follower.follow)
             tree.start('peers', lambda: self.peers.run(listener))
             tree.start('owners', self.owners.run)
-            tree.start('claim desk', self.claim_desk.run)
-            tree.start('pool desk', self.pool_desk.run)
+            tree.start('claim desk', self.claim_server.run)
+            tree.start('pool desk', self.pool_scheduler.run)
             tree.start('claims', self.claim_client.run)
             tree.start('pools', self._run_pools)
             tree.start('runs', self.runs.run)
@@ -250,19 +255,19 @@
             tree.start('callers', self._callers.serve)
             tree.start('signals', self._watch_signals)
             eliot.log_message('daemon:started', incarnation=self.incarnation)
-            await self._drain_asked.wait()
+            await self._drain_requested.wait()
             await self._drain()
         await self._close()
 
     def is_ready(self) -> bool:
-        """Tell the balancer whether to send callers here."""
+        """Tell whether the load balancer may send requests here."""
         if self.is_draining or self.bundles.bundle is None:
             return False
         return self.view.entries != {}
 
     def start_drain(self) -> None:
         """Begin a graceful stop."""
-        self._drain_asked.set()
+        self._drain_requested.set()
 
     def describe(self) -> dict[str, ty.Any]:
         """Return the daemon's state for operators."""
@@ -274,7 +279,7 @@
             'log_next': self.follower.next,
             'clock_offset_s': round(self.peers.find_clock_offset(), 3),
             'open_requests': self.runs.count(),
-            'claims': self.claim_desk.count_claims(),
+            'claims': self.claim_server.count_claims(),
             'peers': sorted(
                 str(item.host) for item in self.peers.list_dialed()
             ),
@@ -291,7 +296,7 @@
                 }
                 for shard, item in sorted(self.view.entries.items())
             },
-            'pools': self.pool_desk.describe(),
+            'pools': self.pool_scheduler.describe(),
             'counts': self.metrics.counts,
         }
 
@@ -306,18 +311,18 @@
         while True:
             for shard in list(self.view.entries):
                 kind, _ = owners.parse_shard(shard)
-                if kind == owners.CLAIMS:
-                    self.claim_client.report_to(shard)
-            await logfollower.wait_for_change(self.follower, REPORT_INTERVAL)
+                if kind == owners.CLAIMS_KIND:
+                    self.claim_client.report_claims(shard)
+            await logfollower.wait_for_change(self.follower, REPORT_INTERVAL_S)
 
-    # Stopping.
+    # Shutdown.
 
     async def _watch_signals(self) -> None:
         with anyio.open_signal_receiver(
             signal.SIGTERM, signal.SIGINT
         ) as received:
             async for _ in received:
-                if not self._drain_asked.is_set():
+                if not self._drain_requested.is_set():
                     self.start_drain()
                     continue
                 eliot.log_message('daemon:second-signal')
@@ -335,10 +340,12 @@
             if limit.cancelled_caught:
                 self.runs.stop_all()
                 await self.runs.wait_until_idle()
-        # Nothing is in progress; what callers have not read yet still leaves.
+        # No request is open; send what callers have not read yet.
         async with anyio.create_task_group() as group:
             for listener in (self._callers, self._operators):
-                group.start_soon(shutdown.finish, listener, LAST_WORDS)
+                group.start_soon(
+                    shutdown.close_listener, listener, CLOSE_TIMEOUT_S
+                )
         eliot.log_message('daemon:stopped')
 
     async def _hand_over(self) -> None:
@@ -349,11 +356,11 @@
         await self.relay.close()
         await self.log.close()
         await self.host_list.close()
-        self._end_traces()
+        self._close_tracer()
 
-    # Between the parts.
+    # Calls between the components.
 
-    def _may_take(self) -> bool:
+    def _may_own_shards(self) -> bool:
         config = self.bundles.bundle
         if self.is_draining or config is None:
             return False
@@ -362,7 +369,7 @@
 
     def _push(self, receiver: ids.Incarnation, message: object) -> None:
         if receiver == self.incarnation:
-            self.router.pushes[type(message)](message, self.incarnation)
+            self.router.push_handlers[type(message)](message, self.incarnation)
             return
         connection = self.peers.find(receiver)
         if connection is not None:
@@ -372,19 +379,21 @@
         self, receiver: ids.Incarnation, message: object
     ) -> object:
         if receiver == self.incarnation:
-            return self.router.quick[type(message)](message, self.incarnation)
+            return self.router.sync_handlers[type(message)](
+                message, self.incarnation
+            )
         connection = self.peers.find(receiver)
         if connection is None:
             return None
         try:
-            return await connection.call(message, CALL_TIMEOUT)
+            return await connection.call(message, CALL_TIMEOUT_S)
         except peerlink.PeerLost:
             return None
 
-    def _forget_connection(self, incarnation: ids.Incarnation) -> None:
-        self.pool_client.forget_connection(incarnation)
+    def _handle_lost_connection(self, incarnation: ids.Incarnation) -> None:
+        self.pool_client.mark_unregistered(incarnation)
         if self.peers.find(incarnation) is None:
-            self.pool_desk.drop_sender(incarnation)
+            self.pool_scheduler.drop_sender(incarnation)
 
     def _make_ping(self) -> wire.Ping:
         return wire.Ping(
@@ -394,7 +403,7 @@
     def _answer_ping(
         self, ping: wire.Ping, sender: ids.Incarnation
     ) -> wire.Pong:
-        self._catch_up(ping.version, sender)
+        self._check_peer_version(ping.version, sender)
         return wire.Pong(
             clocks.read_wall(),
             self.bundles.version,
@@ -402,25 +411,27 @@
             self.is_draining,
         )
 
-    def _take_pong(
+    def _handle_pong(
         self, pong: wire.Pong, connection: peerlink.Connection
     ) -> None:
-        self._catch_up(pong.version, connection.incarnation)
+        self._check_peer_version(pong.version, connection.incarnation)
 
-    def _catch_up(self, version: ids.Version, peer: ids.Incarnation) -> None:
-        # The peer has a newer bundle than we: the log is out for us, or
-        # slow. What was accepted must not wait for that.
+    def _check_peer_version(
+        self, version: ids.Version, peer: ids.Incarnation
+    ) -> None:
+        # If the peer has a newer bundle, the log is unreachable from here or
+        # slow. An accepted bundle must not wait for it, so it is fetched.
         if version > self.bundles.version:
-            self._newer_at = peer
-            self._newer_seen.set()
+            self._newer_bundle_peer = peer
+            self._newer_bundle_seen.set()
 
     async def _fetch_forever(self) -> None:
         while True:
-            await self._newer_seen.wait()
-            self._newer_seen = anyio.Event()
-            assert self._newer_at is not None
+            await self._newer_bundle_seen.wait()
+            self._newer_bundle_seen = anyio.Event()
+            assert self._newer_bundle_peer is not None
             reply = await self._call(
-                self._newer_at, wire.FetchState(self.bundles.version)
+                self._newer_bundle_peer, wire.FetchState(self.bundles.version)
             )
             if isinstance(reply, wire.StateReply) and reply.bundle:
                 self.bundles.adopt(reply.bundle)
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/coordinator.py
@@ -1,10 +1,10 @@
-"""This host as the coordinator of subsets of runners.
+"""Coordinator of subsets of runners, which grants their places to hosts.
 
-Any host coordinates a subset as soon as another one asks it to, so there is
-nothing to agree on and nothing to take over: hosts state all that they hold in
-each request, and a coordinator that is new to a subset knows its places when
-the hosts have asked it once. Decisions are those of ``decisions.scheduler``,
-with the runners of the subset and the requests of all hosts that ask.
+Any host coordinates a subset as soon as another one asks it to, so there is no
+election and no handover: each request states all places that its host holds,
+and a new coordinator knows the places of a subset once all hosts have asked
+it. Decisions are those of ``decisions.scheduler``, over the runners of the
+subset and the requests of all hosts that ask.
 """
 
 import collections.abc
@@ -14,30 +14,30 @@
 
 from apricotlanding import addresses
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import scheduler
 from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.hosts import placemessages
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
-from apricotlandingd.gateway.runners import starts
+from apricotlandingd.gateway.runners import startindex
 
-__all__ = ['Coordinator', 'Outgoing']
+__all__ = ['AddressedReply', 'Coordinator']
 
-# Seconds without a message after which a host's places are given to others:
-# it sends several times as often while it holds or wants any.
-CLIENT_TIMEOUT = 1.2
-# Seconds within which a second host that cannot reach a runner shows that the
-# runner is the reason, and not the first host's link.
-CONFIRM_TIME = 2.0
+# Seconds without a message after which a host's places are released: it sends
+# several times as often while it holds or wants any.
+CLIENT_TIMEOUT_S = 1.2
+# Seconds within which a second host must fail to reach a runner too, to show
+# that the runner is at fault and not the first host's link.
+CONFIRMATION_WINDOW_S = 2.0
 
 
-class Outgoing(ty.NamedTuple):
-    """A reply, and where it goes."""
+class AddressedReply(ty.NamedTuple):
+    """A reply, and the address that it goes to."""
 
     address: addresses.Address
     reply: placemessages.PlaceReply
@@ -45,7 +45,7 @@
 
 @ty.final
 class _SubsetView:
-    """What the scheduler of a subset asks about others: there are none."""
+    """The peers as the scheduler of a subset sees them: there are none."""
 
     def __init__(self, subset: subsets.Subset) -> None:
         self.partition = _SubsetRunners(subset)
@@ -53,7 +53,7 @@
     def count_running(self, runner: ids.RunnerStart) -> int:
         return 0
 
-    def list_waiting(self, service: ids.Pool) -> list[waiting.Rank]:
+    def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
         return []
 
     def find_silent_share(self) -> float:
@@ -77,11 +77,12 @@
     """A host's process that asks for places in a subset."""
 
     address: addresses.Address
-    # Of its newest request.
+    # Number of its newest request.
     number: int
     heard_at: float
-    # What waits or was decided, and places held, by number of the place.
-    tickets: dict[int, waiting.Ticket] = dataclasses.field(
+    # Requests that wait or were decided, and the runners of held places, by
+    # number of the place.
+    tickets: dict[int, queueing.QueuedRequest] = dataclasses.field(
         default_factory=dict
     )
     held: dict[int, ids.RunnerStart] = dataclasses.field(default_factory=dict)
@@ -90,70 +91,73 @@
 @ty.final
 @dataclasses.dataclass(slots=True)
 class _Schedule:
-    """One subset, as this host coordinates it."""
+    """State of one subset that this host coordinates."""
 
     decisions: scheduler.Scheduler
     # By the digest of the process.
     clients: dict[int, _Client] = dataclasses.field(default_factory=dict)
-    # What waits, by process and number of the place.
-    open: dict[tuple[int, int], waiting.Ticket] = dataclasses.field(
-        default_factory=dict
+    # Undecided requests, by process and number of the place.
+    undecided: dict[tuple[int, int], queueing.QueuedRequest] = (
+        dataclasses.field(default_factory=dict)
     )
 
-    def take_decided(self) -> set[int]:
-        """Return the processes for which there are new decisions."""
+    def pop_decided(self) -> set[int]:
+        """Remove decided requests, and return the processes they are from."""
         decided = [
             key
-            for key, ticket in self.open.items()
+            for key, ticket in self.undecided.items()
             if ticket.decision is not None
         ]
         for key in decided:
-            del self.open[key]
+            del self.undecided[key]
         return {process for process, _ in decided}
 
 
 @ty.final
 class Coordinator:
-    """The subsets of runners that other hosts leave to this one."""
+    """Grants the places of the subsets for which hosts ask this one."""
 
     def __init__(
         self,
         host: ids.Host,
         runners: directory.Directory,
-        paces: pace.Paces,
+        latencies: latency.LatencyEstimates,
         fitness: health.Health,
-        spread: random.Random,
+        rng: random.Random,
         is_stopping: collections.abc.Callable[[], bool],
         knows_runners: collections.abc.Callable[[], bool],
-        find_hold: collections.abc.Callable[[ids.Pool], float],
+        find_hold_time: collections.abc.Callable[[ids.Pool], float],
     ) -> None:
         """Start without subsets.
 
-        While ``knows_runners`` says no, this host answers nobody.
-        ``find_hold`` returns how long this host's own requests hold a place
-        of a service, for subsets of which nothing is known yet.
+        While ``knows_runners`` returns False, requests get no reply.
+        ``find_hold_time`` returns the seconds for which this host's own
+        requests hold a place of a service, as the first estimate for a new
+        subset.
         """
         self._host = host
         self._runners = runners
-        self._starts = starts.Starts(runners)
-        self._paces = paces
+        self._starts = startindex.StartIndex(runners)
+        self._latencies = latencies
         self._health = fitness
-        self._spread = spread
+        self._rng = rng
         self._is_stopping = is_stopping
         self._knows_runners = knows_runners
-        self._find_hold = find_hold
+        self._find_hold = find_hold_time
         self._schedules: dict[subsets.Subset, _Schedule] = {}
-        # The last host that could not reach a runner, and when.
-        self._missed: dict[ids.RunnerStart, tuple[int, float]] = {}
+        # The last process that could not reach a runner, and when.
+        self._unreachable_reports: dict[
+            ids.RunnerStart, tuple[int, float]
+        ] = {}
 
-    def take(
+    def handle_request(
         self, request: placemessages.PlaceRequest, now: float
-    ) -> list[Outgoing]:
-        """Take a host's request; return the replies to it and to others."""
+    ) -> list[AddressedReply]:
+        """Handle a host's request; return the replies to it and others."""
         if request.place >= request.total or not self._knows_runners():
             return []
         subset = subsets.Subset(request.service, request.place, request.total)
-        schedule = self._open(subset)
+        schedule = self._get_schedule(subset)
         client = schedule.clients.get(request.process)
         if client is None:
             address = messages.read_address(request.address)
@@ -164,53 +168,53 @@
         client.number = request.number
         client.heard_at = now
         for item in request.seen:
-            self._learn(schedule, request, item, now)
-        self._settle(schedule, subset, client, request, now)
-        self._enter(schedule, client, request, now)
+            self._apply_observation(schedule, request, item, now)
+        self._reconcile_places(schedule, subset, client, request, now)
+        self._enqueue(schedule, client, request, now)
         asking = request.process if request.wants_reply else None
-        return self._answer(subset, schedule, asking, now)
+        return self._make_replies(subset, schedule, asking, now)
 
-    def pump(self, now: float) -> list[Outgoing]:
-        """Decide by time; return the replies."""
-        found: list[Outgoing] = []
+    def pump(self, now: float) -> list[AddressedReply]:
+        """Make the decisions that are due; return the replies."""
+        found: list[AddressedReply] = []
         for subset, schedule in list(self._schedules.items()):
             self._drop_silent(schedule, subset, now)
             if not schedule.clients:
                 del self._schedules[subset]
                 continue
-            schedule.decisions.pump(now)
-            found.extend(self._answer(subset, schedule, None, now))
+            schedule.decisions.schedule_all(now)
+            found.extend(self._make_replies(subset, schedule, None, now))
         return found
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
-        """Forget runners that are gone."""
-        for start in set(self._missed) - runners:
-            del self._missed[start]
+        """Drop the state of all other runners."""
+        for start in set(self._unreachable_reports) - runners:
+            del self._unreachable_reports[start]
 
     def count_subsets(self) -> int:
-        """Return the subsets that hosts have left to this one."""
+        """Return the number of subsets that this host coordinates."""
         return len(self._schedules)
 
-    def _open(self, subset: subsets.Subset) -> _Schedule:
+    def _get_schedule(self, subset: subsets.Subset) -> _Schedule:
         found = self._schedules.get(subset)
         if found is None:
             found = _Schedule(
                 scheduler.Scheduler(
                     self._runners,
-                    self._paces,
+                    self._latencies,
                     self._health,
                     _SubsetView(subset),
-                    self._spread,
+                    self._rng,
                 )
             )
             held_s = self._find_hold(subset.service)
-            found.decisions.assume_hold(subset.service, held_s)
+            found.decisions.set_hold_time(subset.service, held_s)
             self._schedules[subset] = found
         return found
 
-    # What hosts hold and want.
+    # Held and wanted places.
 
-    def _settle(
+    def _reconcile_places(
         self,
         schedule: _Schedule,
         subset: subsets.Subset,
@@ -222,8 +226,8 @@
             if number in request.wanted:
                 continue
             del client.tickets[number]
-            schedule.open.pop((request.process, number), None)
-            if isinstance(ticket.decision, waiting.Grant):
+            schedule.undecided.pop((request.process, number), None)
+            if isinstance(ticket.decision, queueing.Grant):
                 client.held[number] = ticket.decision.runner
             elif ticket.decision is None:
                 schedule.decisions.leave(ticket)
@@ -240,9 +244,9 @@
                 continue
             # Granted by another coordinator, or before the subsets changed.
             client.held[number] = known
-            schedule.decisions.places.take(known)
+            schedule.decisions.held_slots.take(known)
 
-    def _enter(
+    def _enqueue(
         self,
         schedule: _Schedule,
         client: _Client,
@@ -252,12 +256,12 @@
         for number, wanted in request.wanted.items():
             known = client.tickets.get(number)
             if known is not None:
-                known.share = 1 / wanted.coordinators
+                known.queue_weight = 1 / wanted.coordinators
             if known is not None or number in client.held:
                 continue
             ticket = self._make_ticket(request, number, wanted, now)
             client.tickets[number] = ticket
-            schedule.open[request.process, number] = ticket
+            schedule.undecided[request.process, number] = ticket
             schedule.decisions.enter(ticket, now)
 
     def _make_ticket(
@@ -266,9 +270,9 @@
         number: int,
         wanted: placemessages.Wanted,
         now: float,
-    ) -> waiting.Ticket:
+    ) -> queueing.QueuedRequest:
         excluded = (self._starts.find(item) for item in wanted.excluded)
-        return waiting.Ticket(
+        return queueing.QueuedRequest(
             attempt=f'{request.host}/{number}',
             service=request.service,
             tier=ids.Tier(wanted.tier),
@@ -281,47 +285,47 @@
             events=wanted.events,
             last_part=wanted.last_part,
             tried={start for start in excluded if start is not None},
-            share=1 / wanted.coordinators,
+            queue_weight=1 / wanted.coordinators,
         )
 
     def _drop_silent(
         self, schedule: _Schedule, subset: subsets.Subset, now: float
     ) -> None:
         for process, client in list(schedule.clients.items()):
-            if now - client.heard_at <= CLIENT_TIMEOUT:
+            if now - client.heard_at <= CLIENT_TIMEOUT_S:
                 continue
             del schedule.clients[process]
             for number, ticket in client.tickets.items():
-                schedule.open.pop((process, number), None)
+                schedule.undecided.pop((process, number), None)
                 if ticket.decision is None:
                     schedule.decisions.leave(ticket)
-                elif isinstance(ticket.decision, waiting.Grant):
+                elif isinstance(ticket.decision, queueing.Grant):
                     schedule.decisions.release(
                         subset.service, ticket.decision.runner, now
                     )
             for start in client.held.values():
                 schedule.decisions.release(subset.service, start, now)
 
-    # What hosts are told.
+    # Replies.
 
-    def _answer(
+    def _make_replies(
         self,
         subset: subsets.Subset,
         schedule: _Schedule,
         asking: int | None,
         now: float,
-    ) -> list[Outgoing]:
-        told = schedule.take_decided()
+    ) -> list[AddressedReply]:
+        recipients = schedule.pop_decided()
         if asking is not None:
-            told.add(asking)
-        if not told:
+            recipients.add(asking)
+        if not recipients:
             return []
-        free = schedule.decisions.count_free(subset.service, now)
-        found: list[Outgoing] = []
-        for process in sorted(told):
+        free = schedule.decisions.count_free_slots(subset.service, now)
+        found: list[AddressedReply] = []
+        for process in sorted(recipients):
             client = schedule.clients[process]
             reply = self._make_reply(subset, process, client, free)
-            found.append(Outgoing(client.address, reply))
+            found.append(AddressedReply(client.address, reply))
         return found
 
     def _make_reply(
@@ -337,12 +341,12 @@
             decision = ticket.decision
             if decision is None:
                 continue
-            if isinstance(decision, waiting.Grant):
+            if isinstance(decision, queueing.Grant):
                 granted[number] = messages.digest_start(decision.runner)
                 continue
             refused[number] = placemessages.Refused(
-                decision.return_s,
-                min(decision.wait_s, placemessages.LONGEST),
+                decision.retry_after_s,
+                min(decision.wait_s, placemessages.MAX_SECONDS),
                 decision.ahead,
             )
         return placemessages.PlaceReply(
@@ -350,7 +354,7 @@
             process=process,
             answers=client.number,
             service=subset.service,
-            place=subset.place,
+            place=subset.number,
             total=subset.total,
             granted=granted,
             refused=refused,
@@ -358,25 +362,25 @@
             is_stopping=self._is_stopping(),
         )
 
-    # What hosts have seen.
+    # Observations of runners.
 
-    def _learn(
+    def _apply_observation(
         self,
         schedule: _Schedule,
         request: placemessages.PlaceRequest,
-        item: placemessages.Seen,
+        item: placemessages.RunnerObservation,
         now: float,
     ) -> None:
         start = self._starts.find(item.runner)
         if start is None:
             return
         if item.kind is observations.Kind.HOLD:
-            schedule.decisions.note_hold(request.service, item.seconds)
+            schedule.decisions.note_hold_time(request.service, item.seconds)
             return
         if item.kind is observations.Kind.FIRST:
-            schedule.decisions.note_part(item.part, start, now)
+            schedule.decisions.note_cached_prefix(item.part, start, now)
         if request.host == self._host:
-            # This host has learned from it already.
+            # This host has applied its own observation already.
             return
         kind = item.kind
         if kind is observations.Kind.UNREACHABLE and not self._is_confirmed(
@@ -389,7 +393,7 @@
             ),
             request.service,
             start,
-            self._paces,
+            self._latencies,
             self._health,
             now,
         )
@@ -397,9 +401,9 @@
     def _is_confirmed(
         self, start: ids.RunnerStart, process: int, now: float
     ) -> bool:
-        # One host alone may itself be cut off from the runner.
-        known = self._missed.get(start)
-        self._missed[start] = (process, now)
+        # A single host may have lost its own link to the runner.
+        known = self._unreachable_reports.get(start)
+        self._unreachable_reports[start] = (process, now)
         if known is None or known[0] == process:
             return False
-        return now - known[1] < CONFIRM_TIME
+        return now - known[1] < CONFIRMATION_WINDOW_S
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/dispatch.py
@@ -1,14 +1,14 @@
-"""Places for this host's requests: from coordinators, or on its own.
+"""Places at runners for this host's requests.
 
-Up to some twenty hosts share all places with each other, and each schedules
-its own requests (``decisions.scheduler``). In a larger system a request asks
-the coordinator of a subset of its service's runners (``decisions.subsets``),
-and a second one when the first has no place at once.
+Up to some twenty hosts share the state of all places, and each schedules its
+own requests (``decisions.scheduler``). In a larger system the coordinator of
+a subset of the service's runners is asked for a place
+(``decisions.subsets``), and a second one if the first has none at once.
 
-A coordinator may be dead, frozen, or cut off from this host alone. One that
-does not answer is passed over for a while and the next host in the order is
-asked, with all that this one holds; when several in a row are silent, this
-host decides by what it knows itself, beside asking on.
+A coordinator may be dead, frozen, or unreachable from this host alone. One
+that does not reply is skipped for a while, and the next host in the order is
+asked and told all places that this host holds. When several in a row do not
+reply, this host also decides locally while it goes on asking.
 """
 
 import dataclasses
@@ -19,43 +19,43 @@
 
 from apricotlanding import addresses
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import scheduler
 from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway.hosts import candidates
 from apricotlandingd.gateway.hosts import coordinator
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.hosts import placemessages
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
-from apricotlandingd.gateway.runners import starts
+from apricotlandingd.gateway.runners import startindex
 
 __all__ = ['Dispatcher']
 
 # Seconds that a request waits before a second coordinator is asked.
-SECOND_TIME = 0.03
+SECOND_COORDINATOR_DELAY_S = 0.03
 # Seconds between messages while requests wait, and while places are held.
-WAITING_INTERVAL = 0.1
-HOLDING_INTERVAL = 0.3
-# Seconds for which the free places that a coordinator states are used.
-FREE_TIME = 1.0
-# Observations that wait for the next message to a coordinator.
-MOST_SEEN = 32
+WAITING_INTERVAL_S = 0.1
+HOLDING_INTERVAL_S = 0.3
+# Seconds for which the free places in a coordinator's reply are used.
+FREE_PLACES_MAX_AGE_S = 1.0
+# Most observations that are kept for the next message to a coordinator.
+MAX_UNSENT_OBSERVATIONS = 32
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class _Waiting:
+class _WaitingRequest:
     """A request for which coordinators are asked."""
 
-    ticket: waiting.Ticket
+    ticket: queueing.QueuedRequest
     since: float
-    # Subsets that are asked, and those that refused.
+    # Subsets whose coordinators are asked, and their refusals.
     asked: list[subsets.Subset]
-    refusals: list[waiting.Refusal] = dataclasses.field(default_factory=list)
-    # Digests of runners that were granted and are not known here.
+    refusals: list[queueing.Refusal] = dataclasses.field(default_factory=list)
+    # Digests of granted runners that are unknown here, or draining.
     unknown: set[int] = dataclasses.field(default_factory=set)
     is_local: bool = False
 
@@ -63,27 +63,29 @@
 @ty.final
 @dataclasses.dataclass(slots=True)
 class _Link:
-    """This host and the coordinator of one subset."""
+    """Exchange of messages with the coordinator of one subset."""
 
     subset: subsets.Subset
     target: ids.Host
     sent_at: float = 0.0
-    # Number of the newest message that wants a reply, and when the oldest one
-    # was sent that has none.
-    awaited: int = 0
+    # Number of the newest message that wants a reply, and when the oldest
+    # unanswered one was sent.
+    awaited_number: int = 0
     unanswered_at: float | None = None
     wanted: set[int] = dataclasses.field(default_factory=set)
-    seen: list[placemessages.Seen] = dataclasses.field(default_factory=list)
-    # Free places by the last reply, and when it came.
+    unsent: list[placemessages.RunnerObservation] = dataclasses.field(
+        default_factory=list
+    )
+    # Free places according to the last reply, and when it arrived.
     free: int = 0
     heard_at: float | None = None
-    # Coordinators in a row that did not answer.
-    silent: int = 0
+    # Consecutive coordinators that did not reply.
+    silent_hosts: int = 0
 
 
 @ty.final
 class Dispatcher:
-    """The places that this host's requests wait for and hold."""
+    """Obtains and releases the places of this host's requests."""
 
     def __init__(
         self,
@@ -91,81 +93,82 @@
         address: addresses.Address,
         process: ids.Incarnation,
         local: scheduler.Scheduler,
-        own: coordinator.Coordinator,
+        own_coordinator: coordinator.Coordinator,
         runners: directory.Directory,
-        paces: pace.Paces,
+        latencies: latency.LatencyEstimates,
         fitness: health.Health,
         hosts: candidates.Hosts,
-        asked: candidates.Candidates,
-        spread: random.Random,
+        candidate_hosts: candidates.Candidates,
+        rng: random.Random,
     ) -> None:
         """Start without requests.
 
-        ``own`` serves the subsets that this host coordinates itself.
+        ``own_coordinator`` serves the subsets that this host coordinates.
         """
         self._host = host
         self._address = str(address)
-        # Stands for this process in messages.
+        # Identifies this process in messages.
         self.process = messages.digest_process(process)
         self._local = local
-        self._own = own
+        self._own_coordinator = own_coordinator
         self._runners = runners
-        self._starts = starts.Starts(runners)
-        self._paces = paces
+        self._starts = startindex.StartIndex(runners)
+        self._latencies = latencies
         self._health = fitness
         self._hosts = hosts
-        self._candidates = asked
-        self._spread = spread
-        self._count = 0
-        self._message = 0
-        self._waiting: dict[int, _Waiting] = {}
+        self._candidates = candidate_hosts
+        self._rng = rng
+        self._place_count = 0
+        self._message_count = 0
+        self._waiting: dict[int, _WaitingRequest] = {}
         self._held: dict[int, ids.RunnerStart] = {}
         self._links: dict[subsets.Subset, _Link] = {}
-        # Subsets by service and by runner, as of the directory's changes.
+        # Subsets by service and by runner, for the value of the directory's
+        # ``changes`` below.
         self._subsets: dict[ids.Pool, list[subsets.Subset]] = {}
         self._subset_of: dict[ids.RunnerStart, subsets.Subset] = {}
         self._changes = -1
 
     # Requests.
 
-    def enter(self, ticket: waiting.Ticket, now: float) -> None:
-        """Let a request wait; it may be decided at once."""
+    def enter(self, ticket: queueing.QueuedRequest, now: float) -> None:
+        """Add a request that waits for a place; it may be decided at once."""
         found = self._list_subsets(ticket.service)
-        if not self._hosts.is_divided() or not found:
+        if not self._hosts.has_multiple_groups() or not found:
             self._local.enter(ticket, now)
             return
-        self._count += 1
-        ticket.number = self._count
-        self._waiting[ticket.number] = _Waiting(ticket, now, [])
-        self._ask(ticket.number, self._spread.choice(found), now)
+        self._place_count += 1
+        ticket.number = self._place_count
+        self._waiting[ticket.number] = _WaitingRequest(ticket, now, [])
+        self._ask(ticket.number, self._rng.choice(found), now)
 
-    def leave(self, ticket: waiting.Ticket, now: float) -> None:
-        """Drop a request that waits no more."""
+    def leave(self, ticket: queueing.QueuedRequest, now: float) -> None:
+        """Remove a request that no longer waits."""
         self._local.leave(ticket)
         if ticket.number in self._waiting:
             self._withdraw(ticket.number, None, now)
 
     def release(
-        self, service: ids.Pool, grant: waiting.Grant, now: float
+        self, service: ids.Pool, grant: queueing.Grant, now: float
     ) -> None:
-        """Give a place back."""
+        """Release a place."""
         if not grant.number:
             self._local.release(service, grant.runner, now)
             return
         start = self._held.pop(grant.number, None)
         if start is None:
             return
-        self._local.places.release(start)
+        self._local.held_slots.release(start)
         subset = self._find_subset(start)
         if subset is not None:
-            self._send(self._open(subset, now), now, wants_reply=False)
+            self._send(self._get_link(subset, now), now, wants_reply=False)
 
     def has_place(
         self, service: ids.Pool, tried: set[ids.RunnerStart], now: float
     ) -> bool:
         """Tell whether a runner that was not tried may have a free place."""
-        if not self._hosts.is_divided():
-            return self._local.has_place(service, tried, now)
+        if not self._hosts.has_multiple_groups():
+            return self._local.has_free_slot(service, tried, now)
         if all(
             entry.start in tried for entry in self._runners.list_open(service)
         ):
@@ -175,7 +178,7 @@
             for link in self._links.values()
             if link.subset.service == service
             and link.heard_at is not None
-            and now - link.heard_at < FREE_TIME
+            and now - link.heard_at < FREE_PLACES_MAX_AGE_S
         ]
         return not heard or any(link.free > 0 for link in heard)
 
@@ -183,151 +186,167 @@
         self,
         service: ids.Pool,
         start: ids.RunnerStart,
-        seen: observations.Observation,
+        observation: observations.Observation,
         now: float,
     ) -> None:
-        """Learn from what was seen of a runner, and report it."""
+        """Apply an observation of a runner, and report it."""
         observations.apply(
-            seen, service, start, self._paces, self._health, now
+            observation, service, start, self._latencies, self._health, now
         )
-        if seen.kind is observations.Kind.HOLD:
-            self._local.note_hold(service, seen.seconds)
-        if seen.kind is observations.Kind.FIRST:
-            self._local.note_part(seen.part, start, now)
-        if not self._hosts.is_divided():
+        if observation.kind is observations.Kind.HOLD:
+            self._local.note_hold_time(service, observation.seconds)
+        if observation.kind is observations.Kind.FIRST:
+            self._local.note_cached_prefix(observation.part, start, now)
+        if not self._hosts.has_multiple_groups():
             return
         subset = self._find_subset(start)
         if subset is None:
             return
-        link = self._open(subset, now)
-        if len(link.seen) < MOST_SEEN:
+        link = self._get_link(subset, now)
+        if len(link.unsent) < MAX_UNSENT_OBSERVATIONS:
             runner = messages.digest_start(start)
-            link.seen.append(placemessages.Seen(runner, *seen))
+            link.unsent.append(
+                placemessages.RunnerObservation(runner, *observation)
+            )
 
     def note_load(
         self, start: ids.RunnerStart, load: tuple[int, int], now: float
     ) -> None:
-        """Take a runner's own statement of what runs and waits there."""
+        """Apply a runner's own counts of running and waiting requests."""
         self._local.note_load(start, load, now)
 
-    # Replies, and what time brings.
+    # Messages and timers.
 
-    def take(self, request: placemessages.PlaceRequest, now: float) -> None:
-        """Take the request of a host that this one coordinates for."""
-        self._deliver(self._own.take(request, now), now)
+    def handle_request(
+        self, request: placemessages.PlaceRequest, now: float
+    ) -> None:
+        """Handle a request of a host that this one coordinates for."""
+        self._deliver(self._own_coordinator.handle_request(request, now), now)
 
-    def take_reply(self, reply: placemessages.PlaceReply, now: float) -> None:
-        """Take the decisions of a coordinator."""
+    def handle_reply(
+        self, reply: placemessages.PlaceReply, now: float
+    ) -> None:
+        """Handle a coordinator's reply, and apply its decisions."""
         subset = subsets.Subset(reply.service, reply.place, reply.total)
         link = self._links.get(subset)
         if reply.process != self.process or link is None:
             return
         if reply.host != link.target:
-            # It was passed over; another one has all requests by now.
+            # It was skipped; another coordinator has all requests by now.
             return
-        link.free, link.heard_at, link.silent = reply.free, now, 0
-        if reply.answers >= link.awaited:
+        link.free, link.heard_at, link.silent_hosts = reply.free, now, 0
+        if reply.answers >= link.awaited_number:
             link.unanswered_at = None
         elif link.unanswered_at is not None:
             link.unanswered_at = link.sent_at
-        self._candidates.note_heard(reply.host)
+        self._candidates.mark_reachable(reply.host)
         for number, digest in reply.granted.items():
             if number in link.wanted:
-                self._take_grant(number, digest, subset, now)
+                self._apply_grant(number, digest, subset, now)
         for number, refused in reply.refused.items():
             if number in link.wanted:
-                self._take_refusal(number, refused, subset, now)
+                self._apply_refusal(number, refused, subset, now)
         if reply.is_stopping and reply.host != self._host:
-            self._candidates.note_stopping(reply.host, now)
-            self._retarget(link, now)
+            self._candidates.mark_stopping(reply.host, now)
+            self._switch_target(link, now)
 
     def tick(self, now: float) -> None:
-        """Send what is due, and decide by time."""
-        self._deliver(self._own.pump(now), now)
+        """Send the messages and make the decisions that are due."""
+        self._deliver(self._own_coordinator.pump(now), now)
         for number, item in list(self._waiting.items()):
             if number in self._waiting:
-                self._advance(number, item, now)
+                self._check_waiting(number, item, now)
         for subset, link in list(self._links.items()):
-            self._maintain(subset, link, now)
+            self._check_link(subset, link, now)
 
     def keep_only(self, runners: set[ids.RunnerStart]) -> None:
-        """Forget what is kept about runners that are gone."""
-        self._own.keep_only(runners)
+        """Drop the state of all other runners."""
+        self._own_coordinator.keep_only(runners)
 
     def _deliver(
-        self, replies: list[coordinator.Outgoing], now: float
+        self, replies: list[coordinator.AddressedReply], now: float
     ) -> None:
         for item in replies:
             if item.reply.process == self.process:
-                self.take_reply(item.reply, now)
+                self.handle_reply(item.reply, now)
                 continue
             self._hosts.send(item.reply, item.address)
 
-    def _advance(self, number: int, item: _Waiting, now: float) -> None:
+    def _check_waiting(
+        self, number: int, item: _WaitingRequest, now: float
+    ) -> None:
         if item.ticket.decision is not None:
-            # Decided by this host alone.
+            # Decided locally.
             self._withdraw(number, None, now)
             return
-        if now - item.since > SECOND_TIME and len(item.asked) == 1:
+        if (
+            now - item.since > SECOND_COORDINATOR_DELAY_S
+            and len(item.asked) == 1
+        ):
             self._ask_second(number, item, now)
         if item.is_local:
             return
         if all(
             subset not in self._links
-            or self._links[subset].silent >= candidates.MOST_SILENT
+            or self._links[subset].silent_hosts >= candidates.MAX_SILENT_HOSTS
             for subset in item.asked
         ):
             item.is_local = True
             self._local.enter(item.ticket, now)
 
-    def _maintain(
+    def _check_link(
         self, subset: subsets.Subset, link: _Link, now: float
     ) -> None:
         has_held = any(
             self._find_subset(start) == subset for start in self._held.values()
         )
-        if not link.wanted and not has_held and not link.seen:
-            if link.heard_at is None or now - link.heard_at > FREE_TIME:
+        if not link.wanted and not has_held and not link.unsent:
+            if (
+                link.heard_at is None
+                or now - link.heard_at > FREE_PLACES_MAX_AGE_S
+            ):
                 del self._links[subset]
             return
         if self._choose_target(subset, now) != link.target:
-            self._say_goodbye(link, now)
-            self._retarget(link, now)
+            self._release_all(link, now)
+            self._switch_target(link, now)
             return
         if link.unanswered_at is not None:
-            if now - link.unanswered_at > candidates.SILENT_TIME:
-                link.silent += 1
-                self._candidates.note_silent(link.target, now)
-                self._retarget(link, now)
-            elif now - link.sent_at > candidates.RESEND_TIME:
+            if now - link.unanswered_at > candidates.REPLY_TIMEOUT_S:
+                link.silent_hosts += 1
+                self._candidates.mark_silent(link.target, now)
+                self._switch_target(link, now)
+            elif now - link.sent_at > candidates.RESEND_INTERVAL_S:
                 self._send(link, now)
             return
-        pause = WAITING_INTERVAL if link.wanted else HOLDING_INTERVAL
+        pause = WAITING_INTERVAL_S if link.wanted else HOLDING_INTERVAL_S
         if now - link.sent_at > pause:
             self._send(link, now)
 
-    # Asking.
+    # Requests to coordinators.
 
     def _ask(self, number: int, subset: subsets.Subset, now: float) -> None:
         self._waiting[number].asked.append(subset)
-        link = self._open(subset, now)
+        link = self._get_link(subset, now)
         link.wanted.add(number)
         self._send(link, now)
 
-    def _ask_second(self, number: int, item: _Waiting, now: float) -> None:
+    def _ask_second(
+        self, number: int, item: _WaitingRequest, now: float
+    ) -> None:
         others = [
             subset
             for subset in self._list_subsets(item.ticket.service)
             if subset not in item.asked
         ]
         if others:
-            self._ask(number, self._spread.choice(others), now)
+            self._ask(number, self._rng.choice(others), now)
 
     def _withdraw(
         self, number: int, granted: subsets.Subset | None, now: float
     ) -> None:
-        # A grant may be on its way: other coordinators hear at once that
-        # their places are not wanted.
+        # A grant may be in flight, so other coordinators are told at once
+        # that their places are not wanted.
         item = self._waiting.pop(number)
         if item.is_local:
             self._local.leave(item.ticket)
@@ -339,37 +358,37 @@
             if subset != granted:
                 self._send(link, now, wants_reply=False)
 
-    def _take_grant(
+    def _apply_grant(
         self, number: int, digest: int, subset: subsets.Subset, now: float
     ) -> None:
         item = self._waiting[number]
         entry = self._starts.find_entry(digest)
         if entry is None or entry.is_draining:
-            # The coordinator's directory is behind this one, or ahead.
-            self._renew(number, item, digest, now)
+            # The coordinator's directory is older or newer than this host's.
+            self._ask_again(number, item, digest, now)
             return
         self._withdraw(number, subset, now)
         self._held[number] = entry.start
-        # Counts when this host decides by itself, and is told to its group.
-        self._local.places.take(entry.start)
-        item.ticket.decide(waiting.Grant(entry.start, number))
+        # Counts in local decisions, and is reported to this host's group.
+        self._local.held_slots.take(entry.start)
+        item.ticket.decide(queueing.Grant(entry.start, number))
 
-    def _renew(
-        self, number: int, item: _Waiting, digest: int, now: float
+    def _ask_again(
+        self, number: int, item: _WaitingRequest, digest: int, now: float
     ) -> None:
         self._withdraw(number, None, now)
-        self._count += 1
-        item.ticket.number = self._count
+        self._place_count += 1
+        item.ticket.number = self._place_count
         unknown = item.unknown | {digest}
         asked, item.asked = item.asked, []
-        self._waiting[self._count] = dataclasses.replace(
+        self._waiting[self._place_count] = dataclasses.replace(
             item, unknown=unknown, refusals=[], is_local=False
         )
         for subset in asked:
             if item.ticket.number in self._waiting:
                 self._ask(item.ticket.number, subset, now)
 
-    def _take_refusal(
+    def _apply_refusal(
         self,
         number: int,
         refused: placemessages.Refused,
@@ -379,12 +398,12 @@
         item = self._waiting[number]
         link = self._links[subset]
         link.wanted.discard(number)
-        item.refusals.append(waiting.Refusal(*refused))
+        item.refusals.append(queueing.Refusal(*refused))
         self._send(link, now, wants_reply=False)
         if len(item.asked) == 1:
             self._ask_second(number, item, now)
         if number not in self._waiting:
-            # The second one is this host, and has decided at once.
+            # The second coordinator is this host, and has decided at once.
             return
         if len(item.refusals) < len(item.asked):
             return
@@ -405,36 +424,36 @@
         request = self._make_request(link, wants_reply)
         link.sent_at = now
         if wants_reply:
-            link.awaited = request.number
+            link.awaited_number = request.number
             if link.unanswered_at is None:
                 link.unanswered_at = now
         for number in link.wanted:
-            request.wanted[number] = self._state_wanted(
+            request.wanted[number] = self._make_wanted(
                 self._waiting[number], now
             )
         for number, start in self._held.items():
             if self._find_subset(start) == link.subset:
                 request.held[number] = messages.digest_start(start)
-        request.seen.extend(link.seen)
-        link.seen.clear()
-        self._pass_request(link.target, request, now)
+        request.seen.extend(link.unsent)
+        link.unsent.clear()
+        self._send_request(link.target, request, now)
 
-    def _say_goodbye(self, link: _Link, now: float) -> None:
-        # Names no place: the coordinator may give all of them to others.
+    def _release_all(self, link: _Link, now: float) -> None:
+        # Names no place, so the coordinator may grant all of them to others.
         request = self._make_request(link, wants_reply=False)
-        self._pass_request(link.target, request, now)
+        self._send_request(link.target, request, now)
 
     def _make_request(
         self, link: _Link, wants_reply: bool
     ) -> placemessages.PlaceRequest:
-        self._message += 1
+        self._message_count += 1
         return placemessages.PlaceRequest(
             host=self._host,
             address=self._address,
             process=self.process,
-            number=self._message,
+            number=self._message_count,
             service=link.subset.service,
-            place=link.subset.place,
+            place=link.subset.number,
             total=link.subset.total,
             wanted={},
             held={},
@@ -442,27 +461,27 @@
             wants_reply=wants_reply,
         )
 
-    def _pass_request(
+    def _send_request(
         self,
         target: ids.Host,
         request: placemessages.PlaceRequest,
         now: float,
     ) -> None:
         if target == self._host:
-            self.take(request, now)
+            self.handle_request(request, now)
             return
         address = self._hosts.find_address(target)
         if address is not None:
             self._hosts.send(request, address)
 
-    def _state_wanted(
-        self, item: _Waiting, now: float
+    def _make_wanted(
+        self, item: _WaitingRequest, now: float
     ) -> placemessages.Wanted:
         ticket = item.ticket
         closed = [
             entry.start
             for entry in self._runners.list_open(ticket.service)
-            if self._health.is_closed(entry.start, now)
+            if self._health.is_unreachable(entry.start, now)
         ]
         excluded = {
             messages.digest_start(start) for start in (*ticket.tried, *closed)
@@ -475,21 +494,21 @@
             ends_in=ticket.ends_at - now,
             prompt_tokens=ticket.prompt_tokens,
             events=ticket.events,
-            last_part=ticket.last_part[: placemessages.PART_LENGTH],
+            last_part=ticket.last_part[: placemessages.MAX_PART_CHARS],
             coordinators=len(item.asked),
             excluded=sorted(excluded | item.unknown),
         )
 
-    # Who is asked.
+    # Subsets and their coordinators.
 
-    def _open(self, subset: subsets.Subset, now: float) -> _Link:
+    def _get_link(self, subset: subsets.Subset, now: float) -> _Link:
         link = self._links.get(subset)
         if link is None:
             link = _Link(subset, self._choose_target(subset, now))
             self._links[subset] = link
         return link
 
-    def _retarget(self, link: _Link, now: float) -> None:
+    def _switch_target(self, link: _Link, now: float) -> None:
         link.target = self._choose_target(link.subset, now)
         link.unanswered_at = None
         self._send(link, now)
@@ -498,14 +517,14 @@
         return self._candidates.choose(subset.find_name(), now)
 
     def _list_subsets(self, service: ids.Pool) -> list[subsets.Subset]:
-        self._divide()
+        self._update_subsets()
         return self._subsets.get(service, [])
 
     def _find_subset(self, start: ids.RunnerStart) -> subsets.Subset | None:
-        self._divide()
+        self._update_subsets()
         return self._subset_of.get(start)
 
-    def _divide(self) -> None:
+    def _update_subsets(self) -> None:
         if self._changes == self._runners.changes:
             return
         self._changes = self._runners.changes
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/hosts/sharedallowances.py
@@ -1,15 +1,16 @@
-"""Allowances that one host keeps for all, in a large system.
-
-Up to some twenty hosts tell each other what they hand out, and each keeps a
-copy of every allowance (``allowances``). Hundreds of hosts hear of each other
-seconds later, and with that the sum over all of them is wrong both ways: hosts
-refuse organisations that ask for half of what they may, and hand out more than
-there is. So one host, chosen by the organisation's name (``candidates``),
-hands out for all, and the others ask it.
-
-When it does not answer, the next one in the order is asked. That one has been
-told what was handed out, so the allowance is not handed out again. A host that
-reaches none goes by its own copy and its group's part.
+"""Allowances that one host grants for all, in a large system.
+
+Up to some twenty hosts report to each other the units that they grant, and
+each keeps a copy of every allowance (``allowances``). Among hundreds of hosts
+the reports arrive seconds later, and the sum over all hosts is wrong both
+ways: hosts refuse organisations that ask for half of their allowance, and
+grant more than there is. So one host, the allowance's coordinator, is chosen
+by the organisation's name (``candidates``). It grants the units for all hosts,
+and the others ask it.
+
+When it does not reply, the next host in the order is asked. That host has been
+told which units were granted, so they are not granted again. A host that
+reaches no coordinator goes by its own copy and its group's share.
 """
 
 import collections
@@ -28,167 +29,177 @@
 from apricotlandingd.gateway.hosts import candidates
 from apricotlandingd.gateway.hosts import messages
 
-__all__ = ['Question', 'SharedAllowances']
+__all__ = ['SharedAllowances', 'UnitRequest']
 
-# Answers that are remembered for requests that are repeated.
-KEPT_ANSWERS = 4096
-# Hosts that keep what was handed out, with the one that is asked first.
-KEEPERS = 3
-# Seconds between two messages to the others of these.
-NEWS_INTERVAL = 0.2
-# Seconds that stand for the answer to a question whose units were returned.
-RETURNED_WAIT = 1.0
+# Answers that are remembered, so that a repeated request gets the same one.
+MAX_REMEMBERED_ANSWERS = 4096
+# Hosts that keep the granted units, including the one that is asked first.
+USAGE_REPLICAS = 3
+# Seconds between two updates to the others of these.
+USAGE_UPDATE_INTERVAL_S = 0.2
+# Wait that is remembered as the answer to a request whose units were returned.
+RETURNED_WAIT_S = 1.0
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class Question:
-    """Units that are asked for."""
+class UnitRequest:
+    """A request of this host for units."""
 
     organisation: catalogue.Organisation
     cost: float
     number: int = 0
     target: ids.Host = ids.Host('')
-    # When this host was asked first, and when last.
+    # When the target was asked first, and when last.
     asked_at: float | None = None
     sent_at: float = 0.0
-    # Hosts in a row that did not answer.
-    silent: int = 0
-    # Seconds until there are enough; None if they were handed out.
+    # Consecutive hosts that did not reply.
+    silent_hosts: int = 0
+    # Seconds until there are enough; None if they were granted.
     wait_s: float | None = None
-    # This host has answered by its own copy.
-    is_own: bool = False
+    # Granted by this host, as the coordinator or by its own copy.
+    is_granted_locally: bool = False
     answered: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
 @ty.final
 class SharedAllowances:
-    """Asks for units, and hands out those that this host keeps for all."""
+    """Requests units, and grants those that this host coordinates."""
 
     def __init__(
         self,
         host: ids.Host,
         address: addresses.Address,
         process: ids.Incarnation,
-        own: allowances.Allowances,
+        local: allowances.Allowances,
         slack_units: float,
         hosts: candidates.Hosts,
-        asked: candidates.Candidates,
+        candidate_hosts: candidates.Candidates,
         find_organisation: collections.abc.Callable[
             [ids.Organisation], catalogue.Organisation | None
         ],
         is_stopping: collections.abc.Callable[[], bool],
         now: float,
     ) -> None:
-        """Start without questions.
+        """Start without requests.
 
-        ``own`` holds this host's copies, ``slack_units`` is the operators'
+        ``local`` holds this host's copies, ``slack_units`` is the operators'
         slack, and ``find_organisation`` returns an organisation of the
         configuration in force.
         """
         self._host = host
         self._address = str(address)
         self._incarnation = process
-        # Stands for this process in messages.
+        # Identifies this process in messages.
         self.process = messages.digest_process(process)
-        self._own = own
-        # What this host hands out for all, or would if it were asked.
-        self._kept = quotas.Quotas(slack_units, now)
-        self._told: quotas.Usage = {}
-        self._told_at = now
+        self._local = local
+        # Buckets of what this host grants for all, or would if it were asked.
+        self._shared_buckets = quotas.Quotas(slack_units, now)
+        self._sent_usage: quotas.Usage = {}
+        self._usage_sent_at = now
         self._hosts = hosts
-        self._candidates = asked
+        self._candidates = candidate_hosts
         self._find_organisation = find_organisation
         self._is_stopping = is_stopping
-        self._count = 0
-        self._questions: dict[int, Question] = {}
+        self._request_count = 0
+        self._pending: dict[int, UnitRequest] = {}
         self._answers: collections.OrderedDict[
             tuple[int, int], float | None
         ] = collections.OrderedDict()
 
     def set_slack(self, slack_units: float) -> None:
-        """Take the operators' slack."""
-        self._kept.set_slack(slack_units)
+        """Set the operators' slack."""
+        self._shared_buckets.set_slack(slack_units)
 
     def forget(self, process: ids.Incarnation) -> None:
         """Drop what is kept about a process that has ended."""
-        self._kept.forget(process)
+        self._shared_buckets.forget(process)
 
     # Requests of this host.
 
     def ask(
         self, organisation: catalogue.Organisation, cost: float, now: float
-    ) -> Question:
-        """Ask for units; the answer may be there at once."""
-        question = Question(organisation, cost)
-        if organisation.units_per_s <= 0 or not self._hosts.is_divided():
-            self._decide_alone(question, now)
-            return question
-        self._count += 1
-        question.number = self._count
-        self._questions[question.number] = question
-        self._send(question, now)
-        return question
-
-    def give_back(self, question: Question, now: float) -> None:
+    ) -> UnitRequest:
+        """Request units; the answer may be there at once."""
+        unit_request = UnitRequest(organisation, cost)
+        if (
+            organisation.units_per_s <= 0
+            or not self._hosts.has_multiple_groups()
+        ):
+            self._decide_locally(unit_request, now)
+            return unit_request
+        self._request_count += 1
+        unit_request.number = self._request_count
+        self._pending[unit_request.number] = unit_request
+        self._send(unit_request, now)
+        return unit_request
+
+    def give_back(self, unit_request: UnitRequest, now: float) -> None:
         """Return the units of a request that was not run.
 
-        Also for a question that has no answer yet: it may be handed out all
-        the same.
+        Also of one that has no answer yet: its units may still be granted.
         """
-        is_open = self._questions.pop(question.number, None) is not None
-        if question.is_own and question.target == self._host:
-            self._take_units_back(question.organisation, question.cost, now)
-        elif question.is_own:
-            self._own.give_back(question.organisation, question.cost, now)
-        elif is_open or question.wait_s is None:
-            request = self._make_request(question, is_returned=True)
-            self._pass(request, question.target)
-
-    def take_reply(
+        is_open = self._pending.pop(unit_request.number, None) is not None
+        if (
+            unit_request.is_granted_locally
+            and unit_request.target == self._host
+        ):
+            self._refund(unit_request.organisation, unit_request.cost, now)
+        elif unit_request.is_granted_locally:
+            self._local.give_back(
+                unit_request.organisation, unit_request.cost, now
+            )
+        elif is_open or unit_request.wait_s is None:
+            request = self._make_request(unit_request, is_returned=True)
+            self._send_request(request, unit_request.target)
+
+    def handle_reply(
         self, reply: allowancemessages.AllowanceReply, now: float
     ) -> None:
-        """Take the answer of a host that keeps an allowance."""
+        """Handle the reply of an allowance's coordinator."""
         if reply.process != self.process:
             return
-        self._candidates.note_heard(reply.host)
+        self._candidates.mark_reachable(reply.host)
         if reply.is_stopping:
-            self._candidates.note_stopping(reply.host, now)
-        question = self._questions.pop(reply.number, None)
-        if question is not None:
-            question.wait_s = reply.wait_s or None
-            question.answered.set()
+            self._candidates.mark_stopping(reply.host, now)
+        unit_request = self._pending.pop(reply.number, None)
+        if unit_request is not None:
+            unit_request.wait_s = reply.wait_s or None
+            unit_request.answered.set()
 
     def tick(self, now: float) -> None:
-        """Repeat what has no answer, or ask another host."""
-        for question in list(self._questions.values()):
-            asked_at = question.asked_at or now
-            if now - asked_at > candidates.SILENT_TIME:
-                self._candidates.note_silent(question.target, now)
-                question.silent += 1
-                question.asked_at = None
-                self._send(question, now)
-            elif now - question.sent_at > candidates.RESEND_TIME:
-                self._send(question, now)
-        if self._hosts.is_divided() and now - self._told_at > NEWS_INTERVAL:
-            self._told_at = now
-            self._tell_keepers()
+        """Resend requests without an answer, or ask another host."""
+        for unit_request in list(self._pending.values()):
+            asked_at = unit_request.asked_at or now
+            if now - asked_at > candidates.REPLY_TIMEOUT_S:
+                self._candidates.mark_silent(unit_request.target, now)
+                unit_request.silent_hosts += 1
+                unit_request.asked_at = None
+                self._send(unit_request, now)
+            elif now - unit_request.sent_at > candidates.RESEND_INTERVAL_S:
+                self._send(unit_request, now)
+        if (
+            self._hosts.has_multiple_groups()
+            and now - self._usage_sent_at > USAGE_UPDATE_INTERVAL_S
+        ):
+            self._usage_sent_at = now
+            self._send_usage_update()
 
     # Requests of other hosts.
 
-    def take(
+    def handle_request(
         self, request: allowancemessages.AllowanceRequest, now: float
     ) -> None:
-        """Hand out units to another host, or take some back."""
+        """Grant units to another host, or take some back."""
         organisation = self._find_organisation(request.organisation)
-        if organisation is None or not self._own.knows_hosts(now):
+        if organisation is None or not self._local.knows_hosts(now):
             return
         key = (request.process, request.number)
         if request.is_returned:
-            self._take_back(key, organisation, request.cost, now)
+            self._handle_return(key, organisation, request.cost, now)
             return
         if key not in self._answers:
-            wait = self._hand_out(organisation, request.cost, now)
+            wait = self._grant(organisation, request.cost, now)
             self._remember(key, wait)
         reply = allowancemessages.AllowanceReply(
             host=self._host,
@@ -199,133 +210,147 @@
         )
         self._hosts.send(reply, messages.read_address(request.address))
 
-    def _take_back(
+    def _handle_return(
         self,
         key: tuple[int, int],
         organisation: catalogue.Organisation,
         cost: float,
         now: float,
     ) -> None:
-        # Only what was handed out here; a question that arrives behind its
-        # return gets nothing.
-        if self._answers.get(key, RETURNED_WAIT) is None:
-            self._take_units_back(organisation, cost, now)
-        self._remember(key, RETURNED_WAIT)
-
-    def hear_news(
-        self, news: allowancemessages.KeeperNews, now: float
+        # Only units that were granted here are refunded. A request that
+        # arrives after its return is granted nothing.
+        if self._answers.get(key, RETURNED_WAIT_S) is None:
+            self._refund(organisation, cost, now)
+        self._remember(key, RETURNED_WAIT_S)
+
+    def handle_usage_update(
+        self, usage_update: allowancemessages.UsageUpdate, now: float
     ) -> None:
-        """Take what another host that keeps allowances has handed out."""
-        if not self._kept.has_heard(news.incarnation):
-            self.hear(news.incarnation, news.before, False, now)
-        self.hear(news.incarnation, news.usage, False, now)
+        """Apply the units that another coordinator has granted."""
+        if not self._shared_buckets.has_totals(usage_update.incarnation):
+            self.apply_usage(
+                usage_update.incarnation, usage_update.before, False, now
+            )
+        self.apply_usage(
+            usage_update.incarnation, usage_update.usage, False, now
+        )
 
-    def hear(
+    def apply_usage(
         self,
         process: ids.Incarnation,
         usage: quotas.Usage,
         is_new: bool,
         now: float,
     ) -> None:
-        """Take the totals that a process has handed out, for all or alone.
+        """Apply the totals that a process has granted, for all or locally.
 
-        Those of one that has run for a while and is heard for the first time
-        are of the past.
+        The first totals of a process that did not just start are not charged:
+        they were granted in the past.
         """
         if process == self._incarnation:
             return
-        if is_new or self._kept.has_heard(process):
-            self._kept.hear(process, usage, now, is_new)
+        if is_new or self._shared_buckets.has_totals(process):
+            self._shared_buckets.apply_totals(process, usage, now, is_new)
         else:
-            self._kept.skip(process, usage)
+            self._shared_buckets.set_baseline(process, usage)
 
-    def _hand_out(
+    def _grant(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> float | None:
-        terms = self._own.find_keeper_terms(now)
-        wait = self._kept.find_wait(organisation, cost, terms, now)
+        terms = self._local.find_coordinator_terms(now)
+        wait = self._shared_buckets.find_wait(organisation, cost, terms, now)
         if wait is None:
-            self._kept.charge(organisation, cost)
-            self._own.note_handed_out(organisation, cost, now)
+            self._shared_buckets.charge(organisation, cost)
+            self._local.record_grant(organisation, cost, now)
         return wait
 
-    def _take_units_back(
+    def _refund(
         self, organisation: catalogue.Organisation, cost: float, now: float
     ) -> None:
-        self._kept.charge(organisation, -cost)
-        self._own.give_back(organisation, cost, now)
+        self._shared_buckets.charge(organisation, -cost)
+        self._local.give_back(organisation, cost, now)
 
-    def _tell_keepers(self) -> None:
-        usage = self._own.buckets.usage
-        if usage == self._told:
+    def _send_usage_update(self) -> None:
+        usage = self._local.buckets.usage
+        if usage == self._sent_usage:
             return
         targets = {
             host
             for name, units in usage.items()
-            if units != self._told.get(name)
-            for host in self._candidates.list_first(_name(name), KEEPERS)
+            if units != self._sent_usage.get(name)
+            for host in self._candidates.list_first(
+                _make_allowance_key(name), USAGE_REPLICAS
+            )
             if host != self._host
         }
-        before, self._told = self._told, dict(usage)
-        news = allowancemessages.KeeperNews(
-            self._incarnation, self._told, before
+        before, self._sent_usage = self._sent_usage, dict(usage)
+        usage_update = allowancemessages.UsageUpdate(
+            self._incarnation, self._sent_usage, before
         )
         for host in targets:
             address = self._hosts.find_address(host)
             if address is not None:
-                self._hosts.send(news, address)
+                self._hosts.send(usage_update, address)
 
     def _remember(self, key: tuple[int, int], wait: float | None) -> None:
         self._answers[key] = wait
-        if len(self._answers) > KEPT_ANSWERS:
+        if len(self._answers) > MAX_REMEMBERED_ANSWERS:
             self._answers.popitem(last=False)
 
-    # Asking.
+    # Requests to coordinators.
 
-    def _send(self, question: Question, now: float) -> None:
-        if question.silent >= candidates.MOST_SILENT:
-            self._decide_alone(question, now)
+    def _send(self, unit_request: UnitRequest, now: float) -> None:
+        if unit_request.silent_hosts >= candidates.MAX_SILENT_HOSTS:
+            self._decide_locally(unit_request, now)
             return
-        if question.asked_at is None:
-            question.asked_at = now
-            question.target = self._choose(question.organisation, now)
-        question.sent_at = now
-        if question.target == self._host:
-            wait = self._hand_out(question.organisation, question.cost, now)
-            self._answer(question, wait)
+        if unit_request.asked_at is None:
+            unit_request.asked_at = now
+            unit_request.target = self._choose_coordinator(
+                unit_request.organisation, now
+            )
+        unit_request.sent_at = now
+        if unit_request.target == self._host:
+            wait = self._grant(
+                unit_request.organisation, unit_request.cost, now
+            )
+            self._answer(unit_request, wait)
             return
-        request = self._make_request(question, is_returned=False)
-        self._pass(request, question.target)
+        request = self._make_request(unit_request, is_returned=False)
+        self._send_request(request, unit_request.target)
 
-    def _decide_alone(self, question: Question, now: float) -> None:
-        terms = self._own.find_terms(question.organisation, now)
-        wait = self._own.take(question.organisation, question.cost, terms, now)
-        self._answer(question, wait)
+    def _decide_locally(self, unit_request: UnitRequest, now: float) -> None:
+        terms = self._local.find_terms(unit_request.organisation, now)
+        wait = self._local.grant(
+            unit_request.organisation, unit_request.cost, terms, now
+        )
+        self._answer(unit_request, wait)
 
-    def _answer(self, question: Question, wait: float | None) -> None:
-        self._questions.pop(question.number, None)
-        question.is_own = wait is None
-        question.wait_s = wait
-        question.answered.set()
+    def _answer(self, unit_request: UnitRequest, wait: float | None) -> None:
+        self._pending.pop(unit_request.number, None)
+        unit_request.is_granted_locally = wait is None
+        unit_request.wait_s = wait
+        unit_request.answered.set()
 
-    def _choose(
+    def _choose_coordinator(
         self, organisation: catalogue.Organisation, now: float
     ) -> ids.Host:
-        return self._candidates.choose(_name(organisation.name), now)
+        return self._candidates.choose(
+            _make_allowance_key(organisation.name), now
+        )
 
     def _make_request(
-        self, question: Question, is_returned: bool
+        self, unit_request: UnitRequest, is_returned: bool
     ) -> allowancemessages.AllowanceRequest:
         return allowancemessages.AllowanceRequest(
             address=self._address,
             process=self.process,
-            number=question.number,
-            organisation=question.organisation.name,
-            cost=question.cost,
+            number=unit_request.number,
+            organisation=unit_request.organisation.name,
+            cost=unit_request.cost,
             is_returned=is_returned,
         )
 
-    def _pass(
+    def _send_request(
         self, request: allowancemessages.AllowanceRequest, target: ids.Host
     ) -> None:
         address = self._hosts.find_address(target)
@@ -333,5 +358,5 @@
             self._hosts.send(request, address)
 
 
-def _name(organisation: ids.Organisation) -> str:
+def _make_allowance_key(organisation: ids.Organisation) -> str:
     return f'allowance/{organisation}'
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/process/gateway.py
@@ -1,23 +1,24 @@
-"""The daemon on a platform: builds its parts, ties them, runs the tree.
+"""The gateway process: builds its components and runs them as tasks.
 
     gateway
     ├── callers      HTTP listener, one task a request
-    ├── config       follows the configuration at the store
-    ├── runners      follows the registrations at the store
-    ├── mesh         states of the other hosts
-    ├── records      answers peers that lack records
-    ├── catch-up     takes records from a peer that is ahead
-    ├── join         finds the other hosts
-    ├── pump         decides what waits, by time
+    ├── config       reads the configuration from the store
+    ├── runners      reads the registrations from the store
+    ├── mesh         exchanges states with the other hosts
+    ├── records      serves records to peers that lack them
+    ├── catch-up     fetches records from a peer that is ahead
+    ├── join         publishes this host and finds the others
+    ├── pump         schedules waiting requests at an interval
     ├── tidy         drops connections, runners and peers that are gone
-    ├── restarts     closes connections of runners that started again
-    ├── settings     reads the settings again when they were written
-    └── signals      SIGTERM stops, SIGHUP reads the settings again
-
-Stopping: not ready at once, so that the balancer sends no new connections;
-those that are open are served and told to go elsewhere; the listener closes
-when the balancer must have noticed; the process ends when no connection is
-left, or when its grace is nearly over (``shutdown``).
+    ├── restarts     closes connections of runners that restarted
+    ├── settings     reloads the settings when they were written
+    └── signals      SIGTERM stops, SIGHUP reloads the settings
+
+Shutdown: the host is not ready from the signal on, so the load balancer opens
+no new connections. Open connections are served, and their callers are told to
+reconnect elsewhere. The listener closes once the load balancer must have
+noticed. The process ends when no connection is left, or shortly before its
+grace period is over (``shutdown``).
 """
 
 import collections.abc
@@ -48,45 +49,45 @@
 from apricotlandingd.gateway.hosts import mesh
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.hosts import sharedallowances
-from apricotlandingd.gateway.process import foreigninput
 from apricotlandingd.gateway.process import hoststates
-from apricotlandingd.gateway.process import measures
+from apricotlandingd.gateway.process import inputerrors
 from apricotlandingd.gateway.process import settings
 from apricotlandingd.gateway.process import stalls
+from apricotlandingd.gateway.process import telemetry
 from apricotlandingd.gateway.replication import catchup
 from apricotlandingd.gateway.replication import freshness
 from apricotlandingd.gateway.replication import recordexchange
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.replication import storereader
-from apricotlandingd.gateway.replication import waits
-from apricotlandingd.gateway.requests import habits
+from apricotlandingd.gateway.replication import timing
 from apricotlandingd.gateway.requests import listener
-from apricotlandingd.gateway.requests import parts
+from apricotlandingd.gateway.requests import routestats
 from apricotlandingd.gateway.requests import runnerclients
+from apricotlandingd.gateway.requests import sharedstate
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import latency
 
 __all__ = ['Gateway']
 
-# Seconds between looks at what waits: a refusal is late by at most this.
-PUMP_INTERVAL = 0.02
-# Least seconds between decisions on peers' messages: a place that a peer
-# leaves to a request of this host is taken within this time.
-PEER_PUMP_INTERVAL = 0.005
-# Seconds between looks at connections, runners and peers that are gone.
-TIDY_INTERVAL = 0.5
-# Hosts of a group that follow the store themselves; the others hear from
-# them. More than enough for a store that turns a third of the hosts away, of
-# one group; of several, records also spread from group to group.
-READERS = 8
-GROUP_READERS = 3
-# Groups in which hosts follow the store; the others hear from these.
+# Interval between scheduling passes; refusals are late by at most this.
+PUMP_INTERVAL_S = 0.02
+# Shortest interval between scheduling passes caused by peers' messages: a
+# place that a peer leaves to a request of this host is taken within this time.
+MIN_PEER_PUMP_INTERVAL_S = 0.005
+# Interval between cleanups of connections, runners and peers that are gone.
+CLEANUP_INTERVAL_S = 0.5
+# Hosts of a group that read the store themselves; the others get records from
+# them. In a single group this is more than enough even if the store rejects a
+# third of the hosts; with several groups, records also spread between groups.
+MAX_READERS = 8
+MAX_READERS_PER_GROUP = 3
+# Groups whose hosts read the store; the other groups get records from these.
 READING_GROUPS = 4
-# Seconds between looks at the settings file.
-SETTINGS_INTERVAL = 1.0
-# Seconds between tries to state this host and read the others.
-JOIN_INTERVAL = 1.0
+# Interval between checks of the settings file for changes.
+SETTINGS_INTERVAL_S = 1.0
+# Interval between attempts to publish this host and to read the others.
+JOIN_RETRY_INTERVAL_S = 1.0
 
 
 @ty.final
@@ -96,71 +97,71 @@
     def __init__(
         self,
         config: settings.GatewaySettings,
-        spoken: dialect.Dialect,
+        platform_dialect: dialect.Dialect,
         store: dialect.Store,
         reload: collections.abc.Callable[[], settings.GatewaySettings],
         read_stamp: collections.abc.Callable[[], int],
     ) -> None:
-        """Build all parts and bind all addresses.
+        """Build all components and bind all addresses.
 
         ``reload`` reads the settings again; ``read_stamp`` returns a number
-        that changes when they were written. Raises OSError if an address
+        that changes when they are written. Raises OSError if an address
         cannot be bound.
         """
         self._settings = config
-        self._dialect = spoken
+        self._dialect = platform_dialect
         self._store = store
         self._reload = reload
         self._read_stamp = read_stamp
-        self._spread = random.Random()
+        self._rng = random.Random()
         self._catalogue: catalogue.Catalogue | None = None
         self._is_stopping = False
-        self._stop_asked = anyio.Event()
+        self._stop_requested = anyio.Event()
         self._pumped_at = 0.0
         self._clients = runnerclients.RunnerClients()
         self._peer_socket = asgi.bind_address(config.peers)
         self.incarnation = ids.make_incarnation(
             config.host, str(config.peers), clocks.read_monotonic()
         )
-        self._measures = measures.Measures()
-        self._foreign = foreigninput.ForeignInput(self._measures)
+        self._telemetry = telemetry.MetricRegistry()
+        self._input_errors = inputerrors.InputErrors(self._telemetry)
         self._build_sharing()
         self._build_requests()
 
     def _build_sharing(self) -> None:
         config = self._settings
         self._directory = directory.Directory(config.bounds.drain_s)
-        self._board = records.Board()
-        self._board.add_observer(self._take_record)
-        self._board.on_damage = self._note_damage
+        self._replica = records.Replica()
+        self._replica.add_observer(self._handle_record)
+        self._replica.on_corrupt_record = self._report_corrupt_record
         self._freshness = freshness.Freshness(
-            self._board, _find_bounds(config.bounds)
+            self._replica, _make_topic_bounds(config.bounds)
         )
-        probing = anyio.Lock()
+        probe_lock = anyio.Lock()
         self._readers = [
             storereader.StoreReader(
                 topic,
                 self._store,
-                self._board,
+                self._replica,
                 self._freshness,
                 self._find_readers,
                 self._directory.note_outage,
                 self._directory.note_return,
-                lambda: self._mesh.tell(),
-                probing,
-                self._spread,
+                lambda: self._mesh.request_update(),
+                probe_lock,
+                self._rng,
             )
             for topic in records.TOPICS
         ]
-        self._exchange = recordexchange.RecordExchange(self._board)
+        self._exchange = recordexchange.RecordExchange(self._replica)
         self._catch_up = catchup.CatchUp(
             self._exchange,
             self._list_ahead,
-            self._find_fetch_time,
-            self._spread,
+            self._find_fetch_timeout,
+            self._rng,
         )
         self._exchange.on_unreadable = functools.partial(
-            self._foreign.report, foreigninput.Source.PEER
+            self._input_errors.report, inputerrors.Source.PEER
         )
         state_port = config.state.port
         self._mesh = mesh.Mesh(
@@ -170,20 +171,20 @@
                 addresses.Address(seed.host, state_port)
                 for seed in config.seeds
             ),
-            self._spread,
+            self._rng,
         )
-        self._mesh.on_state = self._take_state
+        self._mesh.on_state = self._handle_state
         self._mesh.on_dropped = self._forget_peer
         self._mesh.on_unreadable = functools.partial(
-            self._foreign.report, foreigninput.Source.DATAGRAM
+            self._input_errors.report, inputerrors.Source.DATAGRAM
         )
 
     def _build_requests(self) -> None:
         config = self._settings
         bounds = config.bounds
         now = clocks.read_monotonic()
-        self._stalls = stalls.StallWatch()
-        self._paces = pace.Paces()
+        self._stalls = stalls.StallDetector()
+        self._latencies = latency.LatencyEstimates()
         self._health = health.Health()
         self._allowances = allowances.Allowances(
             bounds.quota_slack, self._mesh, now
@@ -193,10 +194,10 @@
         )
         self._scheduler = scheduler.Scheduler(
             self._directory,
-            self._paces,
+            self._latencies,
             self._health,
             self._mesh,
-            self._spread,
+            self._rng,
         )
         self._candidates = candidates.Candidates(config.host, self._mesh)
         self._dispatcher = dispatch.Dispatcher(
@@ -207,19 +208,19 @@
             coordinator.Coordinator(
                 config.host,
                 self._directory,
-                self._paces,
+                self._latencies,
                 self._health,
-                self._spread,
+                self._rng,
                 lambda: self._is_stopping,
-                lambda: records.has_all(self._board.positions),
-                self._scheduler.find_hold,
+                lambda: records.has_all_topics(self._replica.positions),
+                self._scheduler.find_hold_time,
             ),
             self._directory,
-            self._paces,
+            self._latencies,
             self._health,
             self._mesh,
             self._candidates,
-            self._spread,
+            self._rng,
         )
         self._shared_allowances = sharedallowances.SharedAllowances(
             config.host,
@@ -233,15 +234,19 @@
             lambda: self._is_stopping,
             now,
         )
-        self._mesh.on_allowance_request = self._shared_allowances.take
-        self._mesh.on_keeper_news = self._shared_allowances.hear_news
-        self._mesh.on_allowance_reply = self._shared_allowances.take_reply
-        self._mesh.on_place_request = self._dispatcher.take
-        self._mesh.on_place_reply = self._dispatcher.take_reply
-        states = hoststates.HostStates(
+        self._mesh.on_allowance_request = (
+            self._shared_allowances.handle_request
+        )
+        self._mesh.on_usage_update = (
+            self._shared_allowances.handle_usage_update
+        )
+        self._mesh.on_allowance_reply = self._shared_allowances.handle_reply
+        self._mesh.on_place_request = self._dispatcher.handle_request
+        self._mesh.on_place_reply = self._dispatcher.handle_reply
+        states = hoststates.HostStateBuilder(
             config,
             self.incarnation,
-            self._board,
+            self._replica,
             self._freshness,
             self._allowances,
             self._scheduler,
@@ -251,31 +256,31 @@
         )
         self._mesh.make_state = states.make_state
         self._mesh.make_change = states.make_change
-        shared = parts.Parts(
-            spoken=self._dialect,
+        shared = sharedstate.SharedState(
+            http_dialect=self._dialect,
             allowances=self._allowances,
             shared_allowances=self._shared_allowances,
             retry_budget=self._retry_budget,
             dispatcher=self._dispatcher,
             directory=self._directory,
-            paces=self._paces,
-            measures=self._measures,
+            latencies=self._latencies,
+            telemetry=self._telemetry,
             find_catalogue=lambda: self._catalogue,
             find_client=self._clients.find,
             count_hosts=self._mesh.count_hosts,
             is_stopping=lambda: self._is_stopping,
-            on_change=self._tell_change,
-            on_garbled=functools.partial(
-                self._foreign.report, foreigninput.Source.ANSWER
+            on_change=self._announce_change,
+            on_malformed_answer=functools.partial(
+                self._input_errors.report, inputerrors.Source.ANSWER
             ),
-            habits=habits.Habits(),
+            routestats=routestats.RouteStats(),
         )
         self._listener = listener.Listener(
             shared,
             config.readiness,
             config.metrics,
             self.is_ready,
-            self._measures,
+            self._telemetry,
         )
         self._server = asgi.Server(
             self._listener,
@@ -283,7 +288,7 @@
             config.readiness,
             config.metrics,
         )
-        self._measures.gauges = {
+        self._telemetry.gauges = {
             'open_requests': lambda: self._listener.open_requests,
             'peers_known': lambda: len(self._mesh.peers),
             'runner_connects_total': self._clients.count_connects,
@@ -294,7 +299,7 @@
     # Running.
 
     async def run(self) -> None:
-        """Run until a graceful stop has ended."""
+        """Run until a graceful shutdown has completed."""
         self._peer_socket.setblocking(False)
         peers = await anyio.abc.SocketListener.from_socket(self._peer_socket)
         async with supervisor.Supervisor('gateway') as tree:
@@ -308,40 +313,40 @@
             tree.start('catch-up', self._catch_up.run)
             tree.start('join', self._join)
             tree.start('pump', self._pump_forever)
-            tree.start('tidy', self._tidy_forever)
+            tree.start('tidy', self._clean_up_forever)
             tree.start('restarts', self._clients.run)
             tree.start('signals', self._watch_signals)
             tree.start('settings', self._watch_settings)
             eliot.log_message('gateway:started', incarnation=self.incarnation)
-            await self._stop_asked.wait()
+            await self._stop_requested.wait()
             await self._drain()
         await self._clients.close()
         eliot.log_message('gateway:stopped')
 
     def is_ready(self) -> bool:
-        """Tell the balancer whether to send callers here."""
+        """Tell whether the load balancer may send callers here."""
         if self._is_stopping or self._catalogue is None:
             return False
         if not self.knows_hosts():
-            # It hands out nothing of any allowance yet.
+            # It may not grant units of any allowance yet.
             return False
-        return records.has_all(self._board.positions)
+        return records.has_all_topics(self._replica.positions)
 
     def knows_hosts(self) -> bool:
         """Tell whether this host knows how many others there are."""
         return self._allowances.knows_hosts(clocks.read_monotonic())
 
     def stop(self) -> None:
-        """Begin a graceful stop, as SIGTERM does."""
-        self._stop_asked.set()
+        """Start a graceful shutdown, as SIGTERM does."""
+        self._stop_requested.set()
 
     def count_peers(self) -> int:
-        """Return the number of other hosts that are known."""
+        """Return the number of known peers."""
         return len(self._mesh.peers)
 
     @property
     def configuration_version(self) -> ids.Version | None:
-        """Return the version in force here; None before the first."""
+        """Return the version in force; None before the first one."""
         return None if self._catalogue is None else self._catalogue.version
 
     def _find_organisation(
@@ -352,49 +357,53 @@
         return self._catalogue.organisations.get(name)
 
     def list_open_runners(self) -> list[ids.Runner]:
-        """Return the runners that take new requests."""
+        """Return the runners that accept new requests."""
         return [
-            ids.find_runner(entry.start)
+            ids.parse_runner(entry.start)
             for entry in self._directory.list_all()
             if not entry.is_draining
         ]
 
     # Records.
 
-    def _take_record(
+    def _handle_record(
         self, topic: dialect.Topic, record: dialect.Record
     ) -> None:
         now = clocks.read_monotonic()
         if topic == dialect.CONFIG:
-            self._take_catalogue(record, now)
+            self._handle_catalogue(record, now)
         else:
-            self._take_runner(record, now)
-        self._scheduler.pump(now)
-        if self._mesh.is_divided():
-            # Few hosts follow the store; the others hear from each other.
-            self._mesh.tell()
-
-    def _note_damage(
-        self, topic: dialect.Topic, damage: dialect.Damage
+            self._handle_runner(record, now)
+        self._scheduler.schedule_all(now)
+        if self._mesh.has_multiple_groups():
+            # Few hosts read the store; the others depend on peers' messages.
+            self._mesh.request_update()
+
+    def _report_corrupt_record(
+        self, topic: dialect.Topic, corrupt_record: dialect.CorruptRecord
     ) -> None:
-        place = '' if damage.offset is None else f' (offset {damage.offset})'
-        self._foreign.report(
-            foreigninput.Source.RECORD,
+        position = (
+            ''
+            if corrupt_record.offset is None
+            else f' (offset {corrupt_record.offset})'
+        )
+        self._input_errors.report(
+            inputerrors.Source.RECORD,
             topic,
-            f'{damage.detail}{place}',
+            f'{corrupt_record.detail}{position}',
             clocks.read_monotonic(),
         )
 
-    def _take_catalogue(self, record: dialect.Record, now: float) -> None:
+    def _handle_catalogue(self, record: dialect.Record, now: float) -> None:
         if record.value is None:
             return
         try:
             found = self._dialect.decode_catalogue(record.value)
         except dialect.Unreadable as error:
-            # The version before stays in force: callers lose less by it than
-            # by none at all.
-            self._foreign.report(
-                foreigninput.Source.CONFIGURATION, record.key, str(error), now
+            # The previous version stays in force: for callers that is better
+            # than no configuration.
+            self._input_errors.report(
+                inputerrors.Source.CONFIGURATION, record.key, str(error), now
             )
             return
         known = self._catalogue
@@ -408,7 +417,7 @@
             offset=record.offset,
         )
 
-    def _take_runner(self, record: dialect.Record, now: float) -> None:
+    def _handle_runner(self, record: dialect.Record, now: float) -> None:
         runner = ids.Runner(record.key)
         birth: int | None = None
         if record.value is None:
@@ -420,21 +429,21 @@
             except dialect.Unreadable as error:
                 self._retract(runner, str(error), now)
                 return
-            birth = ids.read_birth(entry.start)
+            birth = ids.parse_start_time(entry.start)
             state = 'draining' if entry.is_draining else 'open'
             news = self._directory.update(entry)
-            if news is directory.News.START:
-                self._end_earlier(entry.start)
-            elif news is directory.News.OUTDATED:
+            if news is directory.UpdateResult.START:
+                self._end_earlier_starts(entry.start)
+            elif news is directory.UpdateResult.OUTDATED:
                 state = 'outdated'
         self._log_runner(runner, state, birth, record.offset)
 
     def _retract(self, runner: ids.Runner, detail: str, now: float) -> None:
-        # The entry in force is the newest one, and it names no runner to
-        # use. Going on with the one before would send callers to a process
-        # that has been replaced, or has taken its word back.
-        self._foreign.report(
-            foreigninput.Source.REGISTRATION, runner, detail, now
+        # The newest entry counts, and it names no usable runner. With the
+        # previous entry, requests would go to a process that was replaced or
+        # has withdrawn its registration.
+        self._input_errors.report(
+            inputerrors.Source.REGISTRATION, runner, detail, now
         )
         if self._directory.retract(runner, now):
             self._log_runner(runner, 'unreadable')
@@ -454,13 +463,13 @@
             offset=offset,
         )
 
-    def _end_earlier(self, later: ids.RunnerStart) -> None:
-        for start, count in self._clients.end_earlier(later).items():
-            self._scheduler.places.hand_over(start, later, count)
+    def _end_earlier_starts(self, later: ids.RunnerStart) -> None:
+        for start, count in self._clients.retire_earlier(later).items():
+            self._scheduler.held_slots.hand_over(start, later, count)
 
     def _find_readers(self) -> freshness.Readers:
-        # The first few hosts by name that say that they reach the store, and
-        # those that hear too few of these.
+        # Readers are the first hosts by name that report reaching the store. A
+        # host that hears of too few of them reads too.
         own = self._settings.host
         heard = [
             peer for peer in self._mesh.list_heard() if peer.state.reads_store
@@ -473,16 +482,16 @@
         )
 
     def _count_readers(self) -> int:
-        # In this host's group.
+        # The limit for this host's group.
         partition = self._mesh.partition
         if partition.count == 1:
-            return READERS
-        return GROUP_READERS if partition.own < READING_GROUPS else 0
+            return MAX_READERS
+        return MAX_READERS_PER_GROUP if partition.own < READING_GROUPS else 0
 
     def _reads_store(self, now: float) -> bool:
         return all(
-            reader.heard_at is not None
-            and now - reader.heard_at < waits.STORE_REACHED
+            reader.last_answer_at is not None
+            and now - reader.last_answer_at < timing.MAX_STORE_ANSWER_AGE_S
             for reader in self._readers
         )
 
@@ -490,11 +499,13 @@
         return [
             messages.read_address(peer.state.peers_address)
             for peer in self._mesh.list_heard()
-            if records.is_ahead(peer.state.positions, self._board.positions)
+            if records.is_ahead(peer.state.positions, self._replica.positions)
         ]
 
-    def _find_fetch_time(self) -> float:
-        return min(item.fetch_s for item in self._freshness.waits.values())
+    def _find_fetch_timeout(self) -> float:
+        return min(
+            item.fetch_timeout_s for item in self._freshness.timing.values()
+        )
 
     async def _join(self) -> None:
         config = self._settings
@@ -504,41 +515,41 @@
                 break
             except dialect.StoreUnavailable as error:
                 eliot.log_message('gateway:join_failed', detail=str(error))
-            await anyio.sleep(JOIN_INTERVAL)
+            await anyio.sleep(JOIN_RETRY_INTERVAL_S)
         while True:
             try:
                 hosts = await self._store.read_hosts()
                 break
             except dialect.StoreUnavailable as error:
                 eliot.log_message('gateway:join_failed', detail=str(error))
-            await anyio.sleep(JOIN_INTERVAL)
+            await anyio.sleep(JOIN_RETRY_INTERVAL_S)
         for host, address in hosts.items():
             if isinstance(address, dialect.Unreadable):
-                self._foreign.report(
-                    foreigninput.Source.HOST_RECORD,
+                self._input_errors.report(
+                    inputerrors.Source.HOST_RECORD,
                     host,
                     str(address),
                     clocks.read_monotonic(),
                 )
                 continue
-            self._mesh.seek(address)
-        self._allowances.note_listed()
+            self._mesh.probe_address(address)
+        self._allowances.mark_hosts_listed()
 
     # States of hosts.
 
-    def _tell_change(self) -> None:
-        # In a large system coordinators are told, and other hosts go by the
-        # next heartbeat.
-        if not self._mesh.is_divided():
-            self._mesh.tell()
+    def _announce_change(self) -> None:
+        # In a large system, coordinators get messages of their own, and other
+        # hosts learn of changes from the next heartbeat.
+        if not self._mesh.has_multiple_groups():
+            self._mesh.request_update()
 
-    def _take_state(self, state: messages.HostState, now: float) -> None:
-        self._allowances.hear(state, now)
-        self._shared_allowances.hear(
+    def _handle_state(self, state: messages.HostState, now: float) -> None:
+        self._allowances.apply_state(state, now)
+        self._shared_allowances.apply_usage(
             state.incarnation, state.usage, state.hosts == 0, now
         )
         if self._mesh.partition.is_near(state.host):
-            self._freshness.hear(
+            self._freshness.update_near(
                 state.host,
                 state.answer_ages,
                 state.positions,
@@ -546,12 +557,12 @@
                 now,
             )
         else:
-            self._freshness.hear_far(
+            self._freshness.update_far(
                 state.host, state.answer_ages, state.positions, now
             )
-        if records.is_ahead(state.positions, self._board.positions):
-            self._catch_up.note_ahead()
-        if now - self._pumped_at >= PEER_PUMP_INTERVAL:
+        if records.is_ahead(state.positions, self._replica.positions):
+            self._catch_up.notify_ahead()
+        if now - self._pumped_at >= MIN_PEER_PUMP_INTERVAL_S:
             self._pump(now)
 
     def _forget_peer(self, state: messages.HostState) -> None:
@@ -563,10 +574,10 @@
 
     async def _pump_forever(self) -> None:
         while True:
-            due = clocks.read_monotonic() + PUMP_INTERVAL
-            await anyio.sleep(PUMP_INTERVAL)
+            due = clocks.read_monotonic() + PUMP_INTERVAL_S
+            await anyio.sleep(PUMP_INTERVAL_S)
             now = clocks.read_monotonic()
-            if self._stalls.note(now - due, now):
+            if self._stalls.record_delay(now - due, now):
                 eliot.log_message(
                     'gateway:stalled',
                     late_s=round(now - due, 4),
@@ -579,20 +590,20 @@
 
     def _pump(self, now: float) -> None:
         self._pumped_at = now
-        self._scheduler.pump(now)
+        self._scheduler.schedule_all(now)
 
-    async def _tidy_forever(self) -> None:
+    async def _clean_up_forever(self) -> None:
         while True:
-            await anyio.sleep(TIDY_INTERVAL)
+            await anyio.sleep(CLEANUP_INTERVAL_S)
             now = clocks.read_monotonic()
             self._directory.expire(now)
             entries = self._directory.list_all()
             known = {entry.start for entry in entries}
-            self._health.keep_only(known)
-            self._paces.keep_only(known)
+            self._health.retain_only(known)
+            self._latencies.retain_only(known)
             self._scheduler.keep_only(known)
             self._dispatcher.keep_only(known)
-            await self._clients.tidy(entries, now)
+            await self._clients.prune(entries, now)
 
     # Stopping.
 
@@ -607,12 +618,12 @@
                 self.stop()
 
     async def _watch_settings(self) -> None:
-        # The platform writes new settings with a signal or without. They are
-        # read once more in any case: a change between the first reading and
-        # this, whose signal came before it was taken, would be lost.
+        # The platform may write new settings without a signal. The first pass
+        # always reloads them: a change after the initial read, whose signal
+        # came before the handler was installed, would otherwise be lost.
         known = None
         while True:
-            await anyio.sleep(SETTINGS_INTERVAL)
+            await anyio.sleep(SETTINGS_INTERVAL_S)
             stamp = self._read_stamp()
             if stamp == known:
                 continue
@@ -623,10 +634,10 @@
         try:
             found = self._reload()
         except Exception as error:
-            # Half a file, or one that is not for us: the settings in force
-            # stay.
-            self._foreign.report(
-                foreigninput.Source.SETTINGS,
+            # The file is incomplete or invalid: the current settings stay in
+            # force.
+            self._input_errors.report(
+                inputerrors.Source.SETTINGS,
                 'reload',
                 str(error),
                 clocks.read_monotonic(),
@@ -634,18 +645,18 @@
             return
         is_changed = found != self._settings
         for seed in found.seeds:
-            self._mesh.seek(
+            self._mesh.probe_address(
                 addresses.Address(seed.host, self._settings.state.port)
             )
         bounds = found.bounds
         self._directory.set_drain_time(bounds.drain_s)
-        self._freshness.set_bounds(_find_bounds(bounds))
+        self._freshness.set_bounds(_make_topic_bounds(bounds))
         self._allowances.set_slack(bounds.quota_slack)
         self._shared_allowances.set_slack(bounds.quota_slack)
         self._retry_budget.set_bounds(
             bounds.retry_share, bounds.retry_slack, bounds.retry_window_s
         )
-        # Addresses are those that the process is bound to.
+        # The addresses stay as they are, since the process is bound to them.
         self._settings = dataclasses.replace(
             self._settings, seeds=found.seeds, bounds=bounds
         )
@@ -655,16 +666,16 @@
         grace_s = self._settings.bounds.stop_grace_s
         plan = shutdown.make_plan(grace_s, clocks.read_monotonic())
         self._is_stopping = True
-        self._mesh.tell()
+        self._mesh.request_update()
         self._log_stop('gateway:stopping')
         await anyio.sleep(plan.close_at - clocks.read_monotonic())
         self._log_stop('gateway:listener_closing')
-        left_s = plan.give_up_at - clocks.read_monotonic()
-        if not await shutdown.finish(self._server, left_s):
+        left_s = plan.abort_at - clocks.read_monotonic()
+        if not await shutdown.close_listener(self._server, left_s):
             self._log_stop('gateway:grace_over')
             self._listener.end_requests()
-            left_s = plan.end_at - clocks.read_monotonic()
-            await shutdown.finish(self._server, left_s)
+            left_s = plan.exit_at - clocks.read_monotonic()
+            await shutdown.close_listener(self._server, left_s)
         self._log_stop('gateway:drained')
 
     def _log_stop(self, kind: str) -> None:
@@ -672,10 +683,10 @@
             kind,
             open=self._listener.open_requests,
             connections=self._server.count_connections(),
-            unsent_bytes=self._server.count_unsent(),
+            unsent_bytes=self._server.count_unsent_bytes(),
         )
 
 
-def _find_bounds(bounds: settings.Bounds) -> dict[dialect.Topic, float]:
-    # How long each topic's changes may take until this host goes by them.
+def _make_topic_bounds(bounds: settings.Bounds) -> dict[dialect.Topic, float]:
+    # Time within which changes of each topic must take effect on this host.
     return {dialect.CONFIG: bounds.apply_s, dialect.RUNNERS: bounds.drain_s}
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/freshness.py
@@ -1,16 +1,16 @@
-"""How old the newest answer of the store is, as a group of hosts knows it.
-
-An answer, with records or without, proves that its host knows all that the
-store had at that moment. Hosts tell each other the age of their newest answer
-to each topic. A host that has the records of the one that tells may go by
-that answer as by one of its own; one that lacks them may not, and fetches
-them first (``catchup``).
-
-Of several groups, each has a few hosts that read. They tell the newest answer
-of their group to hosts of others, and those that do not read hand it on in
-their own group, and no further. Were ages handed on without end, the time
-that each message takes would be lost each time, and an answer would stay
-young for as long as hosts repeat it to each other.
+"""Age of the store's newest answer, as known to a group of hosts.
+
+An answer, with or without records, proves that its host knew everything that
+the store held at that moment. Hosts tell each other the age of their newest
+answer to each topic. A host that has all records of the reporting peer may
+count that answer as its own; one that lacks some must fetch them first
+(``catchup``).
+
+In a system of several groups, a few hosts of each group read the store. They
+send the age of their group's newest answer to hosts of other groups. Hosts
+that do not read forward such ages within their own group, and no further: each
+message adds a delay that the age does not contain, so an answer that hosts
+repeated to each other without limit would never seem to grow old.
 """
 
 import dataclasses
@@ -19,34 +19,34 @@
 from apricotlanding import ids
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.replication import records
-from apricotlandingd.gateway.replication import waits
+from apricotlandingd.gateway.replication import timing
 
 __all__ = ['Freshness', 'Readers']
 
-# Largest age in a message, in seconds. Older answers say nothing.
-LONGEST_AGE = 60.0
-MS = 1000
+# Largest age in a message. Older answers carry no information.
+MAX_REPORTED_AGE_S = 60.0
+MS_PER_S = 1000
 
 
 @ty.final
 @dataclasses.dataclass(frozen=True, slots=True)
 class Readers:
-    """The hosts that follow the store, as one of them sees it."""
+    """The hosts that read the store, as seen by one host."""
 
     # Without this host.
     others: tuple[ids.Host, ...]
     own: ids.Host
-    # This host is one of them; the rest hear from them.
+    # This host reads too; hosts that do not get records from readers.
     is_reading: bool
 
     @property
     def count(self) -> int:
-        """Return how many there are if this host reads."""
+        """Return the number of readers if this host reads."""
         return len(self.others) + 1
 
     @property
-    def place(self) -> int:
-        """Return this host's place among them, by name."""
+    def index(self) -> int:
+        """Return this host's index among the readers, by name."""
         return sum(host < self.own for host in self.others)
 
 
@@ -55,45 +55,46 @@
 class _Answer:
     # When the store answered, on this host's clock.
     at: float
-    # Next offset that the host knew by it.
+    # Next offset after the records that the answering host knew.
     position: int
-    # The store gave it to this group; others are not handed on.
-    is_of_group: bool
+    # A host of this group got it; answers of others are not forwarded.
+    is_from_group: bool
 
 
 @ty.final
 class Freshness:
-    """The newest answer to each topic: this host's and its peers'."""
+    """Newest answers to each topic, of this host and its peers."""
 
     def __init__(
-        self, board: records.Board, bounds: dict[dialect.Topic, float]
+        self, replica: records.Replica, bounds: dict[dialect.Topic, float]
     ) -> None:
         """Start without any answer.
 
         ``bounds`` are the seconds after which a change must be known.
         """
-        self._board = board
-        self.waits: dict[dialect.Topic, waits.Waits] = {}
+        self._replica = replica
+        self.timing: dict[dialect.Topic, timing.Timing] = {}
         self.set_bounds(bounds)
         self._own: dict[dialect.Topic, float] = {}
-        # Near peers were told of the newest answers.
-        self._is_told = True
+        # Near peers were sent the ages of the newest answers.
+        self._is_announced = True
         # Answers of near peers, and the newest one of far peers.
         self._near: dict[ids.Host, dict[dialect.Topic, _Answer]] = {}
         self._far: dict[dialect.Topic, _Answer] = {}
 
     def set_bounds(self, bounds: dict[dialect.Topic, float]) -> None:
-        """Take the operators' bounds."""
-        self.waits = {
-            topic: waits.derive_waits(bound) for topic, bound in bounds.items()
+        """Replace the operators' bounds."""
+        self.timing = {
+            topic: timing.derive_timing(bound)
+            for topic, bound in bounds.items()
         }
 
-    def note_answer(self, topic: dialect.Topic, at: float) -> None:
-        """Take an answer of the store to this host."""
+    def record_answer(self, topic: dialect.Topic, at: float) -> None:
+        """Record an answer of the store to this host."""
         self._own[topic] = max(at, self._own.get(topic, at))
-        self._is_told = False
+        self._is_announced = False
 
-    def hear(
+    def update_near(
         self,
         host: ids.Host,
         ages_ms: list[int],
@@ -101,87 +102,93 @@
         is_own: bool,
         now: float,
     ) -> None:
-        """Take what a near peer tells, in the order of the topics.
+        """Store the answer ages of a near peer, in the order of the topics.
 
-        ``is_own`` says that the store gave these answers to the peer.
+        ``is_own`` says that the peer itself got these answers.
         """
         if not ages_ms:
             return
         self._near[host] = _make_answers(ages_ms, positions, is_own, now)
 
-    def hear_far(
+    def update_far(
         self,
         host: ids.Host,
         ages_ms: list[int],
         positions: list[int],
         now: float,
     ) -> None:
-        """Take what a far peer tells of its group."""
-        # It may have been near before.
+        """Store the answer ages that a far peer sent for its group."""
+        # The peer may have been near before.
         self.forget(host)
         answers = _make_answers(ages_ms, positions, False, now)
         for topic, answer in answers.items():
-            if answer.position > self._board.positions[topic]:
+            if answer.position > self._replica.positions[topic]:
                 continue
             newest = self._find_newest(topic)
             if newest is not None and answer.at <= newest:
                 continue
             self._far[topic] = answer
-            limits = self.waits[topic]
-            if newest is None or answer.at - newest > limits.hand_on_s:
-                self._is_told = False
+            limits = self.timing[topic]
+            if (
+                newest is None
+                or answer.at - newest > limits.forward_threshold_s
+            ):
+                self._is_announced = False
 
     def forget(self, host: ids.Host) -> None:
-        """Drop what a peer told."""
+        """Drop the answers of a peer."""
         self._near.pop(host, None)
 
-    def count_near(self) -> int:
-        """Return how many hosts are in the group, this one included."""
+    def count_group_hosts(self) -> int:
+        """Return the number of hosts in the group, including this one."""
         return 1 + len(self._near)
 
     def list_near_ages(
-        self, now: float, is_reader: bool, is_whole: bool
+        self, now: float, is_reader: bool, is_full_state: bool
     ) -> list[int]:
-        """Return the ages of answers for near peers.
+        """Return the answer ages to send to near peers.
 
-        Those of this host if it reads the store; else the newest, also of
-        other groups. Between whole messages only new answers are told: peers
-        get up to fifty messages a second from each host, and few of them
-        follow an answer.
+        These are the ages of this host's own answers if it reads the store,
+        and otherwise of the newest ones, including other groups'. Between full
+        states only new answers are sent: each host sends up to fifty messages
+        a second, and few of them follow an answer.
         """
-        if self._is_told and not is_whole:
+        if self._is_announced and not is_full_state:
             return []
-        self._is_told = True
+        self._is_announced = True
         return [
-            _round_age(self._find_told(topic, is_reader), now)
+            _round_age(self._find_reported(topic, is_reader), now)
             for topic in records.TOPICS
         ]
 
     def list_group_ages(self, now: float) -> list[int]:
-        """Return the ages of the group's newest answers, for far peers."""
+        """Return the ages of the group's newest answers for far peers."""
         return [
-            _round_age(self._find_group(topic), now)
+            _round_age(self._find_group_newest(topic), now)
             for topic in records.TOPICS
         ]
 
     def find_due(
         self, topic: dialect.Topic, now: float, readers: Readers
     ) -> float:
-        """Return when it is this host's turn to ask the store anew.
+        """Return when this host may probe the store.
 
-        The host whose own answer is the oldest goes first: after asking, its
-        reads end at another time than those of the others.
+        The host whose own answer is the oldest goes first, because its reads
+        then end at another time than those of the other hosts.
         """
         newest = self._find_newest(topic)
         if newest is None:
             return now
-        limits = self.waits[topic]
-        due = newest + limits.answer_age_s
+        limits = self.timing[topic]
+        due = newest + limits.max_answer_age_s
         if now < due:
             return due
-        return due + self._count_before(topic, readers) * limits.turn_s
+        return (
+            due
+            + self._count_hosts_ahead(topic, readers) * limits.probe_stagger_s
+        )
 
-    def _find_told(
+    def _find_reported(
         self, topic: dialect.Topic, is_reader: bool
     ) -> float | None:
         own = self._own.get(topic)
@@ -191,7 +198,7 @@
         return far.at if own is None else max(own, far.at)
 
     def _find_newest(self, topic: dialect.Topic) -> float | None:
-        known = self._board.positions[topic]
+        known = self._replica.positions[topic]
         found = [
             answers[topic].at
             for answers in self._near.values()
@@ -203,12 +210,12 @@
             found.append(self._far[topic].at)
         return max(found, default=None)
 
-    def _find_group(self, topic: dialect.Topic) -> float | None:
-        known = self._board.positions[topic]
+    def _find_group_newest(self, topic: dialect.Topic) -> float | None:
+        known = self._replica.positions[topic]
         newest = self._own.get(topic)
         for answers in self._near.values():
             answer = answers.get(topic)
-            if answer is None or not answer.is_of_group:
+            if answer is None or not answer.is_from_group:
                 continue
             if answer.position > known:
                 continue
@@ -216,23 +223,25 @@
                 newest = answer.at
         return newest
 
-    def _count_before(self, topic: dialect.Topic, readers: Readers) -> int:
+    def _count_hosts_ahead(
+        self, topic: dialect.Topic, readers: Readers
+    ) -> int:
         if not readers.is_reading:
-            # Those that read go first, whatever this host was answered once.
+            # Readers go first, however recent this host's last answer is.
             return readers.count + sum(
                 host < readers.own for host in self._near
             )
         own = self._own.get(topic, 0.0)
-        turn = self.waits[topic].turn_s
+        stagger_s = self.timing[topic].probe_stagger_s
         count = 0
         for host in readers.others:
             answer = self._near.get(host, {}).get(topic)
             if answer is None:
                 continue
-            # Answers of the same moment are told apart by name: messages
-            # take a few milliseconds, which differ.
-            is_older = answer.at < own - turn
-            is_same = abs(answer.at - own) <= turn
+            # Host names break ties between answers of about the same time,
+            # since message delays differ by a few milliseconds.
+            is_older = answer.at < own - stagger_s
+            is_same = abs(answer.at - own) <= stagger_s
             if is_older or (is_same and host < readers.own):
                 count += 1
         return count
@@ -241,13 +250,15 @@
 def _make_answers(
     ages_ms: list[int],
     positions: list[int],
-    is_of_group: bool,
+    is_from_group: bool,
     now: float,
 ) -> dict[dialect.Topic, _Answer]:
-    # An answer from the future would count for as long as it lies ahead, and
-    # lost reads would not be noticed until then.
+    # Negative ages count as zero: an answer in the future would hide lost
+    # reads until its time had come.
     return {
-        topic: _Answer(now - max(0, age_ms) / MS, position, is_of_group)
+        topic: _Answer(
+            now - max(0, age_ms) / MS_PER_S, position, is_from_group
+        )
         for topic, age_ms, position in zip(
             records.TOPICS, ages_ms, positions, strict=False
         )
@@ -255,6 +266,9 @@
 
 
 def _round_age(at: float | None, now: float) -> int:
-    # Whole milliseconds take three bytes in a message, seconds nine.
-    age = LONGEST_AGE if at is None else min(LONGEST_AGE, now - at)
-    return max(0, round(age * MS))
+    # Integer milliseconds take three bytes in a message; float seconds take
+    # nine.
+    age = (
+        MAX_REPORTED_AGE_S if at is None else min(MAX_REPORTED_AGE_S, now - at)
+    )
+    return max(0, round(age * MS_PER_S))
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/replication/recordexchange.py
@@ -1,11 +1,11 @@
-"""Records between hosts: asking a peer that is ahead, and answering.
+"""Transfer of records between hosts.
 
-One connection, one question, one reply, as length-prefixed msgpack. Used
-when a peer's positions show that it knows more, which is when the store
-turns this host away or is slower than the peer's message.
+Each connection carries one query and one reply, as length-prefixed msgpack. A
+host queries a peer whose positions are ahead, which happens when the store
+rejects this host or is slower than the peer's message.
 
-Anybody can connect and ask, and what listens at a peer's address may be
-another program by now. Bytes that are no question or no reply end that one
+Any program can connect to the server, and another program may listen at a
+peer's address by now. Bytes that are not a valid query or reply end only that
 connection, and are reported.
 """
 
@@ -26,33 +26,33 @@
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.replication import records
 
-__all__ = ['TIMEOUT', 'RecordExchange']
+__all__ = ['EXCHANGE_TIMEOUT_S', 'RecordExchange']
 
-# Longest time for a question and its reply, in seconds; a configuration of
-# several hundred routes is some 100 KB.
-TIMEOUT = 1.5
-# Largest frame between hosts of one system, in bytes.
-FRAME_LIMIT = 4 * 1024 * 1024
+# Timeout of a query and its reply. A configuration of several hundred routes
+# is about 100 KB.
+EXCHANGE_TIMEOUT_S = 1.5
+# Largest reply that is accepted.
+FRAME_LIMIT_BYTES = 4 * 1024 * 1024
 
 
 @ty.final
 class RecordExchange:
-    """Hands records on to peers and takes them from peers."""
+    """Serves records to peers and fetches them from peers."""
 
-    def __init__(self, board: records.Board) -> None:
-        """Serve and fill this board."""
-        self._board = board
-        # Called with the peer's address and the reason for each question or
-        # reply that cannot be used. Filled in by the daemon.
+    def __init__(self, replica: records.Replica) -> None:
+        """Serve records from a replica and apply fetched ones to it."""
+        self._replica = replica
+        # Called with the peer's address, the reason and the time for each
+        # invalid query or reply. Set by the gateway.
         self.on_unreadable: collections.abc.Callable[
             [str, str, float], None
         ] = lambda peer, detail, now: None
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        """Answer one peer's question."""
+        """Answer one peer's query."""
         link = frames.FrameStream(stream)
         try:
-            with anyio.fail_after(TIMEOUT):
+            with anyio.fail_after(EXCHANGE_TIMEOUT_S):
                 query = _check_query(
                     messages.registry.unpack(await link.receive())
                 )
@@ -67,10 +67,10 @@
             await link.close()
 
     async def fetch(self, address: addresses.Address, timeout: float) -> bool:
-        """Take what a peer knows; False if it does not answer in time."""
+        """Apply a peer's records; return False if the fetch fails."""
         try:
             with anyio.fail_after(timeout):
-                page = await self._ask(address)
+                page = await self._query_peer(address)
         except errors.Refused as error:
             self.on_unreadable(
                 str(address), str(error), clocks.read_monotonic()
@@ -84,24 +84,26 @@
         self._apply(page)
         return True
 
-    async def _ask(self, address: addresses.Address) -> messages.RecordPage:
+    async def _query_peer(
+        self, address: addresses.Address
+    ) -> messages.RecordPage:
         async with await anyio.connect_tcp(
             address.host, address.port
         ) as stream:
-            sockets.watch_socket(
+            sockets.enable_keepalive(
                 stream.extra(anyio.abc.SocketAttribute.raw_socket)
             )
             link = frames.FrameStream(stream)
-            link.limit = FRAME_LIMIT
+            link.limit_bytes = FRAME_LIMIT_BYTES
             query = messages.RecordQuery(
-                records.list_positions(self._board.positions)
+                records.list_positions(self._replica.positions)
             )
             await link.send(messages.registry.pack(query))
             return _check_page(messages.registry.unpack(await link.receive()))
 
     def _make_page(self, query: messages.RecordQuery) -> messages.RecordPage:
         batches = [
-            self._board.list_since(topic, offset)
+            self._replica.list_since(topic, offset)
             for topic, offset in zip(
                 records.TOPICS, query.positions, strict=True
             )
@@ -125,25 +127,25 @@
                 dialect.Record(row.key, row.offset, row.value) for row in rows
             )
             batch = dialect.Batch(found, offset)
-            self._board.apply(topic, batch, is_whole=False)
+            self._replica.apply(topic, batch, is_snapshot=False)
 
 
 def _check_query(message: object) -> messages.RecordQuery:
     if not isinstance(message, messages.RecordQuery):
-        raise codec.refuse_frame('no question for records')
+        raise codec.make_frame_error('no question for records')
     _check_topics(len(message.positions))
     return message
 
 
 def _check_page(message: object) -> messages.RecordPage:
     if not isinstance(message, messages.RecordPage):
-        raise codec.refuse_frame('no page of records')
+        raise codec.make_frame_error('no page of records')
     _check_topics(len(message.positions))
     _check_topics(len(message.topics))
     return message
 
 
 def _check_topics(count: int) -> None:
-    wanted = len(records.TOPICS)
-    if count != wanted:
-        raise codec.refuse_frame(f'{count} topics, {wanted} are known')
+    expected = len(records.TOPICS)
+    if count != expected:
+        raise codec.make_frame_error(f'{count} topics, {expected} are known')
--- a/packages/apricotlandingd/src/apricotlandingd/gateway/requests/parts.py
+++ b/packages/apricotlandingd/src/apricotlandingd/gateway/requests/sharedstate.py
@@ -1,6 +1,6 @@
-"""What all requests of a gateway share: decisions, beliefs, and calls back.
+"""What all requests of a gateway share: decisions, estimates, and callbacks.
 
-One value, so that a request is made from it and from what its caller sent.
+A single value, so that a request is made from it and what its caller sent.
 """
 
 import collections.abc
@@ -14,28 +14,28 @@
 from apricotlandingd.gateway.hosts import allowances
 from apricotlandingd.gateway.hosts import dispatch
 from apricotlandingd.gateway.hosts import sharedallowances
-from apricotlandingd.gateway.process import measures
-from apricotlandingd.gateway.requests import habits
+from apricotlandingd.gateway.process import telemetry
+from apricotlandingd.gateway.requests import routestats
 from apricotlandingd.gateway.requests import runnerclient
 from apricotlandingd.gateway.runners import directory
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import latency
 
-__all__ = ['Parts']
+__all__ = ['SharedState']
 
 
 @ty.final
 @dataclasses.dataclass(slots=True)
-class Parts:
+class SharedState:
     """What all requests of a gateway share."""
 
-    spoken: dialect.Dialect
+    http_dialect: dialect.Dialect
     allowances: allowances.Allowances
     shared_allowances: sharedallowances.SharedAllowances
     retry_budget: retrybudget.RetryBudget
     dispatcher: dispatch.Dispatcher
     directory: directory.Directory
-    paces: pace.Paces
-    measures: measures.Measures
+    latencies: latency.LatencyEstimates
+    telemetry: telemetry.MetricRegistry
     find_catalogue: collections.abc.Callable[[], catalogue.Catalogue | None]
     find_client: collections.abc.Callable[
         [dialect.RunnerEntry], runnerclient.RunnerClient
@@ -43,6 +43,8 @@
     count_hosts: collections.abc.Callable[[], int]
     is_stopping: collections.abc.Callable[[], bool]
     on_change: collections.abc.Callable[[], None]
-    # Called with each answer that is none, and the reason.
-    on_garbled: collections.abc.Callable[[ids.Runner, str, float], None]
-    habits: habits.Habits
+    # Called for each malformed answer of a runner, with the reason.
+    on_malformed_answer: collections.abc.Callable[
+        [ids.Runner, str, float], None
+    ]
+    routestats: routestats.RouteStats
--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolclient.py
@@ -1,8 +1,8 @@
-"""Asking a pool's scheduler for a runner: the entry daemon's side.
+"""Client of a pool's scheduler, on the daemon where requests enter.
 
 Every request that waits or runs has a ``Ticket``. Tickets are registered
-with the owner of their pool, and again with each new owner; while there is
-none they simply wait here, until their deadline or until this daemon stops.
+with the owner of their pool, and again with each new owner. While there is no
+owner they wait here, until their deadline or until this daemon stops.
 """
 
 import collections.abc
@@ -21,26 +21,29 @@
 
 __all__ = ['PoolClient', 'Ticket']
 
-# Pushes a message to an incarnation; lost if there is no connection.
+# Sends an incarnation a message without reply; lost without a connection.
 Send = collections.abc.Callable[[ids.Incarnation, object], None]
 # Calls an incarnation; None if it does not answer.
 Call = collections.abc.Callable[
     [ids.Incarnation, object], collections.abc.Awaitable[object]
 ]
 
-# Waits until the log brings a record, at most so many seconds.
+# Waits for the next record of the log, at most so many seconds.
 WaitForChange = collections.abc.Callable[
     [float], collections.abc.Awaitable[None]
 ]
 
-# Longest time between two looks at who owns a pool, in seconds.
-REGISTER_INTERVAL = 0.5
+# Longest interval between two checks of who owns the pools.
+REGISTER_INTERVAL_S = 0.5
 
 
 @ty.final
 @dataclasses.dataclass(slots=True, eq=False)
 class Ticket:
-    """One request at its pool's scheduler."""
+    """A request that waits for a runner of its pool or runs on one.
+
+    The pool's scheduler knows it by ``name``.
+    """
 
     name: str
     pool: ids.Pool
@@ -56,23 +59,23 @@
     # False while it waits for its claim; see ``poolqueue``.
     is_ready: bool = False
     avoid: list[ids.Runner] = dataclasses.field(default_factory=list)
-    # Where it runs now.
+    # Runner on which it runs now.
     runner: ids.Runner | None = None
     # The latest grant and when it expires.
     granted: ids.Runner | None = None
     granted_until: float = 0.0
-    # Set when the scheduler or this daemon has given it up.
+    # Set when the scheduler or this daemon has rejected it.
     problem: errors.Problem | None = None
-    # What to do when the runner that it runs on no longer answers.
-    on_lost: collections.abc.Callable[[], None] = lambda: None
-    news: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    # Called when the runner on which it runs no longer answers.
+    on_runner_lost: collections.abc.Callable[[], None] = lambda: None
+    changed: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
     def wake(self) -> None:
-        """Let the request's task look again."""
-        self.news.set()
+        """Wake the request's task."""
+        self.changed.set()
 
     def describe(self, now: float) -> wire.Registration:
-        """Return what the scheduler has to know."""
+        """Return the registration that the scheduler needs."""
         return wire.Registration(
             ticket=self.name,
             organisation=self.organisation,
@@ -108,7 +111,7 @@
         self._call = call
         self._wait_for_change = wait_for_change
         self._tickets: dict[ids.Pool, dict[str, Ticket]] = {}
-        # Owner's epoch that has all our tickets of a pool, by owner.
+        # Owner and epoch with which all our tickets of a pool are registered.
         self._registered: dict[
             ids.Pool, tuple[ids.Incarnation, ids.Epoch]
         ] = {}
@@ -121,16 +124,19 @@
     ) -> None:
         """Keep all tickets registered with the owners of their pools."""
         async with anyio.create_task_group() as group:
-            busy: set[ids.Pool] = set()
+            registering: set[ids.Pool] = set()
             while True:
                 for pool in list_pools():
-                    if pool in busy or self._is_registered(pool):
+                    if pool in registering or self._is_registered(pool):
                         continue
-                    busy.add(pool)
+                    registering.add(pool)
                     group.start_soon(
-                        supervisor.run_guarded, self._register_all, pool, busy
+                        supervisor.run_guarded,
+                        self._register_all,
+                        pool,
+                        registering,
                     )
-                await self._wait_for_change(REGISTER_INTERVAL)
+                await self._wait_for_change(REGISTER_INTERVAL_S)
 
     def list_tickets(self) -> list[Ticket]:
         """Return all tickets."""
@@ -143,15 +149,15 @@
     def add(self, ticket: Ticket) -> None:
         """Register a ticket; ``wait`` for its grant.
 
-        One that is not ready only takes its place in the queue and is
-        added again when it is.
+        A ticket that is not ready queues without being granted; it is added
+        again when it is ready.
         """
         tickets = self._tickets.setdefault(ticket.pool, {})
         tickets[ticket.name] = ticket
         self._register(ticket)
 
     async def wait(self, ticket: Ticket) -> ids.Runner:
-        """Wait for a runner; raises Refused when it is given up."""
+        """Wait for a runner; raises Refused if it is shed or too late."""
         while True:
             now = clocks.read_monotonic()
             if ticket.problem is not None:
@@ -165,63 +171,67 @@
                     return self._use_grant(ticket)
                 ticket.granted = None
                 self._register(ticket)
-            ticket.news = anyio.Event()
+            ticket.changed = anyio.Event()
             with anyio.move_on_after(ticket.deadline_at - now):
-                await ticket.news.wait()
+                await ticket.changed.wait()
 
-    async def wait_given_up(self, ticket: Ticket) -> None:
+    async def wait_until_shed(self, ticket: Ticket) -> None:
         """Wait until a ticket that is not ready has been shed."""
         while ticket.problem is None:
-            ticket.news = anyio.Event()
-            await ticket.news.wait()
+            ticket.changed = anyio.Event()
+            await ticket.changed.wait()
 
     def release(self, ticket: Ticket, message: wire.Finished) -> None:
-        """Say that the ticket's request has left its runner."""
+        """Report that a ticket's request has finished on its runner."""
         ticket.runner = None
-        self._tell(ticket.pool, message)
+        self._notify_owner(ticket.pool, message)
 
-    def wait_again(self, ticket: Ticket) -> None:
-        """Register a ticket whose runner did not take it."""
+    def requeue(self, ticket: Ticket) -> None:
+        """Register a ticket again after an attempt that failed."""
         self._register(ticket)
 
     def remove(self, ticket: Ticket) -> None:
-        """Forget a ticket."""
+        """Remove a ticket and withdraw it from the scheduler."""
         tickets = self._tickets.get(ticket.pool, {})
         if tickets.pop(ticket.name, None) is not None:
-            self._tell(ticket.pool, wire.Withdraw(ticket.pool, ticket.name))
+            self._notify_owner(
+                ticket.pool, wire.Withdraw(ticket.pool, ticket.name)
+            )
 
-    def forget_connection(self, owner: ids.Incarnation) -> None:
-        """Register again with an owner whose connection was lost.
+    def mark_unregistered(self, owner: ids.Incarnation) -> None:
+        """Have all tickets registered with an owner again.
 
-        What was on its way may not have arrived.
+        Its connection was lost, perhaps with messages that were under way.
         """
-        for pool, place in list(self._registered.items()):
-            if place[0] == owner:
+        for pool, owner_epoch in list(self._registered.items()):
+            if owner_epoch[0] == owner:
                 del self._registered[pool]
 
     # Messages from schedulers.
 
-    def take_grant(self, message: wire.Grant, sender: ids.Incarnation) -> None:
-        """A runner has room for a ticket."""
+    def handle_grant(
+        self, message: wire.Grant, sender: ids.Incarnation
+    ) -> None:
+        """Handle a grant: a runner has room for a ticket."""
         ticket = self._find(message.pool, message.ticket)
         if ticket is None:
             return
         if ticket.runner is not None:
-            # A second grant, from a scheduler that did not know the first.
-            self._tell_started(ticket)
+            # A second grant, by a scheduler that did not know of the first.
+            self._notify_started(ticket)
             return
         ticket.granted = message.runner
         ticket.granted_until = clocks.read_monotonic() + message.expires_s
         ticket.wake()
 
-    def take_shed(self, message: wire.Shed, sender: ids.Incarnation) -> None:
-        """A ticket is given up."""
+    def handle_shed(self, message: wire.Shed, sender: ids.Incarnation) -> None:
+        """Handle a shed ticket."""
         ticket = self._find(message.pool, message.ticket)
         if ticket is None:
             return
         if ticket.runner is not None:
-            # It began on the grant of a scheduler before this one.
-            self._tell_started(ticket)
+            # It was started on the grant of an earlier scheduler.
+            self._notify_started(ticket)
             return
         entry = self._find_owner(message.pool)
         if entry is None or entry.epoch != message.epoch:
@@ -235,18 +245,18 @@
             )
         ticket.wake()
 
-    def take_withdrawn(
+    def handle_withdrawn(
         self, message: wire.Withdrawn, sender: ids.Incarnation
     ) -> None:
-        """A grant is void if it was not used."""
+        """Handle a withdrawn grant, which is void unless it was used."""
         ticket = self._find(message.pool, message.ticket)
         if ticket is None:
             return
         if ticket.runner is not None:
             if message.is_lost and message.runner == ticket.runner:
-                ticket.on_lost()
+                ticket.on_runner_lost()
             else:
-                self._tell_started(ticket)
+                self._notify_started(ticket)
             return
         ticket.granted = None
         self._register(ticket)
@@ -255,12 +265,12 @@
         assert ticket.granted is not None
         ticket.runner = ticket.granted
         ticket.granted = None
-        self._tell_started(ticket)
+        self._notify_started(ticket)
         return ticket.runner
 
-    def _tell_started(self, ticket: Ticket) -> None:
+    def _notify_started(self, ticket: Ticket) -> None:
         assert ticket.runner is not None
-        self._tell(
+        self._notify_owner(
             ticket.pool,
             wire.Started(ticket.pool, ticket.name, ticket.runner),
         )
@@ -271,7 +281,9 @@
             return True
         return self._registered.get(pool) == (entry.owner, entry.epoch)
 
-    async def _register_all(self, pool: ids.Pool, busy: set[ids.Pool]) -> None:
+    async def _register_all(
+        self, pool: ids.Pool, registering: set[ids.Pool]
+    ) -> None:
         try:
             entry = self._find_owner(pool)
             if entry is None:
@@ -287,17 +299,17 @@
             if not isinstance(reply, wire.Ack):
                 return
             self._registered[pool] = (entry.owner, entry.epoch)
-            # What was added while the call was under way.
+            # Tickets that were added during the call.
             for name, ticket in self._tickets.get(pool, {}).items():
                 if name not in tickets:
                     self._register(ticket)
         finally:
-            busy.discard(pool)
+            registering.discard(pool)
 
     def _register(self, ticket: Ticket) -> None:
         entry = self._find_owner(ticket.pool)
         if entry is None or not self._is_registered(ticket.pool):
-            # It goes with all the others, as soon as there is an owner.
+            # ``_register_all`` registers it as soon as there is an owner.
             return
         now = clocks.read_monotonic()
         message = wire.Register(
@@ -305,7 +317,7 @@
         )
         self._send(entry.owner, message)
 
-    def _tell(self, pool: ids.Pool, message: object) -> None:
+    def _notify_owner(self, pool: ids.Pool, message: object) -> None:
         entry = self._find_owner(pool)
         if entry is not None:
             self._send(entry.owner, message)
