--- a/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
+++ b/packages/apricotlandingd/src/apricotlandingd/pools/poolservice.py
@@ -1,15 +1,15 @@
 """Pool schedulers: the owner's side of a pool's queue.
 
-``PoolDesk`` keeps a ``PoolQueue`` for each pool that this daemon owns and is
-the ``owners.Role`` of pools. For each such pool it runs two tasks for every
-runner, which read its load and its cache events, and one that decides
-whenever something has changed.
-
-A scheduler's state is soft: entry daemons register what they have with each
-new owner. Two schedulers at a time can overfill a runner for a moment, which
-is harmless. Shedding is not: two with half the queue each would shed a
-higher tier here and keep a lower one there. So a scheduler sheds only while
-its right is valid and once every live daemon has registered with it.
+``PoolScheduler`` keeps a ``PoolQueue`` for each pool that this daemon owns
+and is the ``owners.Role`` of pools. For each such pool it runs three tasks
+for every runner, which poll its load, poll its cache events and send it
+orders, and one that grants and sheds whenever something has changed.
+
+A scheduler's state is soft: entry daemons register their requests with each
+new owner. Two concurrent schedulers can overfill a runner for a moment, which
+is harmless. Concurrent shedding is not: with half the queue each, one would
+shed a higher tier while the other keeps a lower one. So a scheduler sheds
+only while its lease is valid and once every live daemon has registered.
 """
 
 import collections.abc
@@ -30,50 +30,52 @@
 from apricotlandingd.ownership import owners
 from apricotlandingd.peering import peerlink
 from apricotlandingd.peering import peers
-from apricotlandingd.pools import ordering
+from apricotlandingd.pools import engineorders
 from apricotlandingd.pools import poolqueue
 from apricotlandingd.pools import runnerstate
 
-__all__ = ['PoolDesk']
+__all__ = ['PoolScheduler']
 
-# Longest time between two decisions, in seconds.
-DECIDE_INTERVAL = 0.25
-LOAD_INTERVAL = 0.5
-LOAD_TIMEOUT = 0.75
-# A runner whose load report has failed for so long gets no work. With the
-# interval and the timeout this is noticed within 3 seconds.
-SILENT_LIMIT = 1.75
-EVENT_INTERVAL = 1.0
+# Longest interval between two decisions.
+DECIDE_INTERVAL_S = 0.25
+LOAD_INTERVAL_S = 0.5
+LOAD_TIMEOUT_S = 0.75
+# A runner whose load reports have failed for this long gets no work. With the
+# interval and the timeout this is detected within 3 seconds.
+LOAD_SILENCE_LIMIT_S = 1.75
+EVENT_INTERVAL_S = 1.0
 
 Deliver = collections.abc.Callable[[ids.Incarnation, object], None]
 
 
 @ty.final
-class _Desk:
+class _ServedPool:
     """One pool that this daemon schedules."""
 
-    def __init__(self, pool: bundle.PoolModel, right: leases.Right) -> None:
+    def __init__(self, pool: bundle.PoolModel, lease: leases.Lease) -> None:
         self.queue = poolqueue.PoolQueue(pool)
-        self.right = right
-        # Incarnations that have registered all that they have.
-        self.complete: set[ids.Incarnation] = set()
+        self.lease = lease
+        # Incarnations that have registered all their requests.
+        self.registered: set[ids.Incarnation] = set()
         self.changed = anyio.Event()
         self.scope = anyio.CancelScope()
 
     def wake(self) -> None:
-        """Let the scheduler decide."""
+        """Wake the scheduler's task."""
         self.changed.set()
 
 
 @ty.final
-class PoolDesk:
-    """The owner's side of pools; a role of ``owners``."""
+class PoolScheduler:
+    """Schedules the pools that this daemon owns; a role of ``owners``."""
 
-    def __init__(self, others: peers.Peers, counts: metrics.Metrics) -> None:
+    def __init__(
+        self, peer_set: peers.Peers, counters: metrics.Metrics
+    ) -> None:
         """Start without a pool."""
-        self._peers = others
-        self._metrics = counts
-        self._desks: dict[ids.Pool, _Desk] = {}
+        self._peers = peer_set
+        self._metrics = counters
+        self._served: dict[ids.Pool, _ServedPool] = {}
         self._group: anyio.abc.TaskGroup | None = None
         self.find_bundle: collections.abc.Callable[
             [], bundle.Bundle | None
@@ -90,25 +92,25 @@
     # The role.
 
     def begin(
-        self, shard: ids.Shard, right: leases.Right, start: owners.Start
+        self, shard: ids.Shard, lease: leases.Lease, start: owners.StartContext
     ) -> None:
-        """Open a queue for a pool."""
+        """Create the queue of a pool."""
         config = self.find_bundle()
         assert config is not None
         name = _parse_pool(shard)
         model = config.pools.get(name)
         if model is None:
             return
-        desk = _Desk(model, right)
-        self._desks[name] = desk
+        served = _ServedPool(model, lease)
+        self._served[name] = served
         assert self._group is not None
-        self._group.start_soon(self._run_desk, name, desk)
+        self._group.start_soon(self._run_pool, name, served)
 
     def end(self, shard: ids.Shard) -> None:
-        """Stop deciding for a pool."""
-        desk = self._desks.pop(_parse_pool(shard), None)
-        if desk is not None:
-            desk.scope.cancel()
+        """Stop scheduling a pool."""
+        served = self._served.pop(_parse_pool(shard), None)
+        if served is not None:
+            served.scope.cancel()
 
     async def hand_over(
         self, shard: ids.Shard, successor: peerlink.Connection
@@ -121,106 +123,106 @@
         self, message: wire.Register, sender: ids.Incarnation
     ) -> wire.Ack | wire.Failed:
         """Add all requests of a daemon."""
-        desk = self._desks.get(message.pool)
-        if desk is None or desk.right.epoch != message.epoch:
-            # The daemon may have read in the log that we serve before we
-            # have: it asks again.
+        served = self._served.get(message.pool)
+        if served is None or served.lease.epoch != message.epoch:
+            # The daemon may have read that we serve before we have read
+            # it ourselves; it retries.
             return wire.Failed('', 'not the owner in this epoch')
-        desk.queue.confirm_all(sender)
-        self.take_register(message, sender)
-        desk.complete.add(sender)
+        served.queue.confirm_sheds(sender)
+        self.handle_register(message, sender)
+        served.registered.add(sender)
         return wire.Ack()
 
-    def take_register(
+    def handle_register(
         self, message: wire.Register, sender: ids.Incarnation
     ) -> None:
         """Add requests of a daemon."""
-        desk = self._desks.get(message.pool)
-        if desk is None or desk.right.epoch != message.epoch:
+        served = self._served.get(message.pool)
+        if served is None or served.lease.epoch != message.epoch:
             return
         now = clocks.read_monotonic()
         for entry in message.entries:
-            desk.queue.register(entry, sender, now)
-        desk.wake()
+            served.queue.register(entry, sender, now)
+        served.wake()
 
-    def take_started(
+    def handle_started(
         self, message: wire.Started, sender: ids.Incarnation
     ) -> None:
-        """Note that a grant is used."""
-        desk = self._desks.get(message.pool)
-        if desk is not None:
-            desk.queue.start(message, clocks.read_monotonic())
+        """Record that a grant was used."""
+        served = self._served.get(message.pool)
+        if served is not None:
+            served.queue.start(message, clocks.read_monotonic())
 
-    def take_finished(
+    def handle_finished(
         self, message: wire.Finished, sender: ids.Incarnation
     ) -> None:
-        """Note that a request has left its runner."""
-        desk = self._desks.get(message.pool)
-        if desk is not None:
-            desk.queue.finish(message, clocks.read_monotonic())
-            desk.wake()
+        """Record that a request has finished on its runner."""
+        served = self._served.get(message.pool)
+        if served is not None:
+            served.queue.finish(message, clocks.read_monotonic())
+            served.wake()
 
-    def take_withdraw(
+    def handle_withdraw(
         self, message: wire.Withdraw, sender: ids.Incarnation
     ) -> None:
-        """Forget a request."""
-        desk = self._desks.get(message.pool)
-        if desk is not None:
-            desk.queue.withdraw(message.ticket)
-            desk.wake()
+        """Remove a request."""
+        served = self._served.get(message.pool)
+        if served is not None:
+            served.queue.withdraw(message.ticket)
+            served.wake()
 
     def drop_sender(self, sender: ids.Incarnation) -> None:
-        """Forget the requests of a daemon whose connections are gone."""
-        for desk in self._desks.values():
-            desk.complete.discard(sender)
-            desk.queue.drop_sender(sender)
-            desk.wake()
+        """Remove the requests of a daemon that has disconnected."""
+        for served in self._served.values():
+            served.registered.discard(sender)
+            served.queue.drop_sender(sender)
+            served.wake()
 
     def update_bundle(self, config: bundle.Bundle) -> None:
-        """Follow a new bundle."""
-        for name, desk in self._desks.items():
+        """Apply a new bundle."""
+        for name, served in self._served.items():
             model = config.pools.get(name)
             if model is not None:
-                desk.queue.update_pool(model)
-                desk.wake()
+                served.queue.update_pool(model)
+                served.wake()
 
     def describe(self) -> dict[str, ty.Any]:
         """Return queues and runners for operators."""
         return {
             str(name): {
-                'waiting': desk.queue.count_by_tier(),
+                'waiting': served.queue.count_by_tier(),
                 'runners': {
                     str(runner.name): {
                         'running': runner.count_requests(),
                         'tokens': runner.count_tokens(),
                         'usable': runner.is_usable(clocks.read_monotonic()),
                     }
-                    for runner in desk.queue.runners.values()
+                    for runner in served.queue.runners.values()
                 },
             }
-            for name, desk in self._desks.items()
+            for name, served in self._served.items()
         }
 
-    # Deciding.
+    # Scheduling.
 
-    async def _run_desk(self, name: ids.Pool, desk: _Desk) -> None:
-        with desk.scope:
+    async def _run_pool(self, name: ids.Pool, served: _ServedPool) -> None:
+        with served.scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._follow_runners, desk)
+                group.start_soon(self._monitor_runners, served)
                 while True:
-                    self._decide(name, desk)
-                    desk.changed = anyio.Event()
-                    with anyio.move_on_after(DECIDE_INTERVAL):
-                        await desk.changed.wait()
+                    self._decide(name, served)
+                    served.changed = anyio.Event()
+                    with anyio.move_on_after(DECIDE_INTERVAL_S):
+                        await served.changed.wait()
 
-    def _decide(self, name: ids.Pool, desk: _Desk) -> None:
+    def _decide(self, name: ids.Pool, served: _ServedPool) -> None:
         now = clocks.read_monotonic()
-        self._mark_leaving(name, desk)
-        for expired in desk.queue.expire_grants(now):
-            self._withdraw(name, desk, expired)
-        may_shed = self._may_shed(desk, now)
-        epoch = desk.right.epoch
-        for decision in desk.queue.decide(now, may_shed):
+        self._mark_leaving(name, served)
+        for expired in served.queue.expire_grants(now):
+            self._withdraw(name, served, expired)
+        may_shed = self._may_shed(served, now)
+        epoch = served.lease.epoch
+        for decision in served.queue.decide(now, may_shed):
             ticket = decision.waiting.entry.ticket
             receiver = decision.waiting.sender
             if isinstance(decision, poolqueue.GrantDecision):
@@ -229,7 +231,7 @@
                     epoch,
                     ticket,
                     decision.runner,
-                    poolqueue.GRANT_EXPIRY,
+                    poolqueue.GRANT_TIMEOUT_S,
                 )
             else:
                 self._metrics.count(f'shed.tier{decision.waiting.entry.tier}')
@@ -242,14 +244,14 @@
                 )
             self.deliver(receiver, message)
 
-    def _may_shed(self, desk: _Desk, now: float) -> bool:
-        if not desk.right.is_valid(now):
+    def _may_shed(self, served: _ServedPool, now: float) -> bool:
+        if not served.lease.is_valid(now):
             return False
-        hosts = {ids.parse_host(item) for item in desk.complete}
+        hosts = {ids.parse_host(item) for item in served.registered}
         return self._peers.list_live() <= hosts
 
-    def _mark_leaving(self, name: ids.Pool, desk: _Desk) -> None:
-        for runner in desk.queue.runners.values():
+    def _mark_leaving(self, name: ids.Pool, served: _ServedPool) -> None:
+        for runner in served.queue.runners.values():
             listed = self._peers.listed.get(str(runner.name))
             is_leaving = (
                 listed is not None
@@ -257,49 +259,51 @@
             )
             if is_leaving and not runner.is_leaving:
                 eliot.log_message('runner:leaving', runner=runner.name)
-                for granted in desk.queue.withdraw_grants(runner.name):
-                    self._withdraw(name, desk, granted)
+                for granted in served.queue.withdraw_grants(runner.name):
+                    self._withdraw(name, served, granted)
             runner.is_leaving = is_leaving
 
     def _withdraw(
         self,
         name: ids.Pool,
-        desk: _Desk,
+        served: _ServedPool,
         decision: poolqueue.GrantDecision,
     ) -> None:
         self.deliver(
             decision.waiting.sender,
             wire.Withdrawn(
                 name,
-                desk.right.epoch,
+                served.lease.epoch,
                 decision.waiting.entry.ticket,
                 decision.runner,
             ),
         )
 
-    # Following the runners.
+    # Monitoring the runners.
 
-    async def _follow_runners(self, desk: _Desk) -> None:
-        followed: dict[ids.Runner, anyio.CancelScope] = {}
+    async def _monitor_runners(self, served: _ServedPool) -> None:
+        monitored: dict[ids.Runner, anyio.CancelScope] = {}
         async with anyio.create_task_group() as group:
             while True:
-                present = desk.queue.runners
-                for name in list(followed):
+                present = served.queue.runners
+                for name in list(monitored):
                     if name not in present:
-                        followed.pop(name).cancel()
+                        monitored.pop(name).cancel()
                 for name, runner in present.items():
-                    if name in followed:
+                    if name in monitored:
                         continue
                     if runner.model.kind is bundle.RunnerKind.SERVICE:
                         continue
                     scope = anyio.CancelScope()
-                    followed[name] = scope
-                    group.start_soon(self._follow_runner, desk, runner, scope)
-                await anyio.sleep(LOAD_INTERVAL)
+                    monitored[name] = scope
+                    group.start_soon(
+                        self._monitor_runner, served, runner, scope
+                    )
+                await anyio.sleep(LOAD_INTERVAL_S)
 
-    async def _follow_runner(
+    async def _monitor_runner(
         self,
-        desk: _Desk,
+        served: _ServedPool,
         runner: runnerstate.RunnerState,
         scope: anyio.CancelScope,
     ) -> None:
@@ -307,18 +311,21 @@
         with scope:
             try:
                 async with anyio.create_task_group() as group:
-                    group.start_soon(self._follow_load, desk, runner, client)
-                    group.start_soon(_follow_events, runner, client)
+                    group.start_soon(self._poll_load, served, runner, client)
+                    group.start_soon(_poll_cache_events, runner, client)
                     group.start_soon(
-                        ordering.keep_ordered, runner, desk.right, client
+                        engineorders.reconcile_runner,
+                        runner,
+                        served.lease,
+                        client,
                     )
             finally:
                 with anyio.CancelScope(shield=True):
                     await client.close()
 
-    async def _follow_load(
+    async def _poll_load(
         self,
-        desk: _Desk,
+        served: _ServedPool,
         runner: runnerstate.RunnerState,
         client: webclient.WebClient,
     ) -> None:
@@ -327,7 +334,7 @@
             now = clocks.read_monotonic()
             try:
                 status, report = await client.call_json(
-                    'GET', '/v1/load', read_timeout=LOAD_TIMEOUT
+                    'GET', '/v1/load', read_timeout=LOAD_TIMEOUT_S
                 )
                 if status == 200:
                     answered_at = now
@@ -335,30 +342,32 @@
                         report['queued']
                     )
             except (webclient.WebError, KeyError, TypeError, ValueError):
-                # Its grants go on until it has been silent for a while: one
-                # lost report says nothing.
+                # A single lost report is no failure: it gets work until
+                # ``LOAD_SILENCE_LIMIT_S`` has passed.
                 pass
             silent_s = clocks.read_monotonic() - answered_at
-            is_reporting = silent_s < SILENT_LIMIT
+            is_reporting = silent_s < LOAD_SILENCE_LIMIT_S
             if is_reporting != runner.is_reporting:
                 eliot.log_message(
                     'runner:reporting', runner=runner.name, is_on=is_reporting
                 )
                 runner.is_reporting = is_reporting
                 if not is_reporting:
-                    self._report_lost(desk, runner.name)
-                desk.wake()
-            await anyio.sleep(LOAD_INTERVAL)
-
-    def _report_lost(self, desk: _Desk, runner: ids.Runner) -> None:
-        # Its requests would wait for their deadlines. Those that may run
-        # twice and have shown nothing to their callers go elsewhere.
-        for started in desk.queue.list_started(runner):
+                    self._withdraw_started(served, runner.name)
+                served.wake()
+            await anyio.sleep(LOAD_INTERVAL_S)
+
+    def _withdraw_started(
+        self, served: _ServedPool, runner: ids.Runner
+    ) -> None:
+        # Its requests would otherwise wait until their deadlines. Those that
+        # may run twice and have sent nothing to their callers are retried.
+        for started in served.queue.list_started(runner):
             self.deliver(
                 started.waiting.sender,
                 wire.Withdrawn(
-                    ids.Pool(desk.queue.pool.name),
-                    desk.right.epoch,
+                    ids.Pool(served.queue.pool.name),
+                    served.lease.epoch,
                     started.waiting.entry.ticket,
                     runner,
                     is_lost=True,
@@ -366,7 +375,7 @@
             )
 
 
-async def _follow_events(
+async def _poll_cache_events(
     runner: runnerstate.RunnerState, client: webclient.WebClient
 ) -> None:
     position = 0
@@ -375,16 +384,16 @@
             status, reply = await client.call_json(
                 'GET',
                 f'/v1/cache-events?from={position}',
-                read_timeout=LOAD_TIMEOUT,
+                read_timeout=LOAD_TIMEOUT_S,
             )
             if status == 200:
                 position = int(reply['next'])
                 for event in reply['events']:
                     _apply_event(runner, event)
         except (webclient.WebError, KeyError, TypeError, ValueError):
-            # Late or lost events cost prefix hits and nothing else.
+            # Late or lost events only cost prefix cache hits.
             pass
-        await anyio.sleep(EVENT_INTERVAL)
+        await anyio.sleep(EVENT_INTERVAL_S)
 
 
 def _apply_event(
@@ -392,9 +401,9 @@
 ) -> None:
     block = int(event['block'])
     if event['kind'] == 'stored':
-        runner.remember_blocks([block])
+        runner.add_cached_blocks([block])
     elif event['kind'] == 'evicted':
-        runner.forget_block(block)
+        runner.remove_cached_block(block)
 
 
 def _parse_pool(shard: ids.Shard) -> ids.Pool:
--- a/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/attaching.py
@@ -1,8 +1,9 @@
-"""Reading an answer that another daemon holds.
+"""Reads an answer from the daemon that holds it.
 
-A caller that retries may reach any daemon. The claim owner says who holds
-the key; this daemon copies the answer from there, from its beginning, while
-it still grows. ``serve`` is the holder's side.
+A caller that retries may reach any daemon. The claim owner tells which
+daemon holds the key. This daemon copies the answer from there, from its
+beginning, also while chunks are still being appended. ``serve`` is the
+holder's side.
 """
 
 import collections.abc
@@ -20,17 +21,18 @@
 
 __all__ = ['Attacher']
 
-# Longest wait for the next part of the answer, in seconds; work may wait
-# in its queue for long, so the reader's own deadline usually ends it.
-PART_TIMEOUT = 3600.0
-_RETRY_AFTER = 1.0
-# Code of an end that says: this key is not here and was not run.
-_MISSING = 'missing'
+# Timeout for the next part of the answer. It is long because the request may
+# wait in its queue; usually the reader's own deadline ends the wait earlier.
+PART_TIMEOUT_S = 3600.0
+_RETRY_AFTER_S = 1.0
+# Code of an AttachEnd for a key that the daemon does not hold and did not
+# run.
+_MISSING_CODE = 'missing'
 
 
 @ty.final
 class Attacher:
-    """Both sides of reading another daemon's answer."""
+    """Copies answers from other daemons and serves them to others."""
 
     def __init__(
         self,
@@ -38,34 +40,39 @@
         claim_client: claims.ClaimClient,
         others: peers.Peers,
     ) -> None:
-        """Prepare."""
+        """Create the client and server of answer copies."""
         self._store = store
         self._claims = claim_client
         self._peers = others
 
     async def copy(
-        self, kept: answers.Kept, shard: ids.Shard, reply: wire.ClaimReply
+        self,
+        stored: answers.StoredRequest,
+        shard: ids.Shard,
+        reply: wire.ClaimReply,
     ) -> errors.Problem | None:
-        """Copy the holder's answer; return how it ended."""
+        """Copy the holder's answer; return its problem, None if complete."""
         assert reply.holder is not None
-        message = wire.Attach(kept.organisation, kept.key, shard, reply.ticket)
+        message = wire.Attach(
+            stored.organisation, stored.key, shard, reply.ticket
+        )
         if reply.holder == self._peers.incarnation:
-            # We held it and have dropped it since.
+            # This daemon held the answer and has evicted it since.
             await self._claims.release_missing(message)
             return self._describe_missing(reply)
         connection = self._peers.find(reply.holder)
         if connection is None:
             if self._peers.is_replaced(reply.holder):
-                return self._describe_dead(reply)
+                return self._describe_restarted(reply)
             return self._describe_unreachable()
         try:
-            async for part in connection.iterate(message, PART_TIMEOUT):
+            async for part in connection.iterate(message, PART_TIMEOUT_S):
                 if isinstance(part, wire.Chunk):
-                    kept.answer.add(part.data)
+                    stored.answer.add(part.data)
                 elif isinstance(part, wire.AttachEnd):
-                    kept.answer.runner = part.runner
-                    kept.answer.status = part.status
-                    return self._read_end(part, reply)
+                    stored.answer.runner = part.runner
+                    stored.answer.status = part.status
+                    return self._decode_end(part, reply)
         except peerlink.PeerLost as error:
             eliot.log_message('attach:lost', error=str(error))
         return self._describe_unreachable()
@@ -73,13 +80,13 @@
     async def serve(
         self, message: wire.Attach, sender: ids.Incarnation
     ) -> collections.abc.AsyncIterator[wire.Chunk | wire.AttachEnd]:
-        """Yield the answer that this daemon holds."""
-        kept = self._store.find(message.organisation, message.key)
-        if kept is None or kept.ticket != message.ticket:
+        """Yield the parts of an answer that this daemon holds."""
+        stored = self._store.find(message.organisation, message.key)
+        if stored is None or stored.ticket != message.ticket:
             await self._claims.release_missing(message)
-            yield wire.AttachEnd(_MISSING, '', None, None, 200)
+            yield wire.AttachEnd(_MISSING_CODE, '', None, None, 200)
             return
-        answer = kept.answer
+        answer = stored.answer
         async for data in answer.iterate():
             yield wire.Chunk(data)
         assert answer.end is not None
@@ -96,12 +103,12 @@
             problem.outcome,
         )
 
-    def _read_end(
+    def _decode_end(
         self, end: wire.AttachEnd, reply: wire.ClaimReply
     ) -> errors.Problem | None:
         if not end.code:
             return None
-        if end.code == _MISSING:
+        if end.code == _MISSING_CODE:
             return self._describe_missing(reply)
         kind = errors.Kind[end.code]
         return errors.Problem(
@@ -115,9 +122,9 @@
     def _describe_missing(self, reply: wire.ClaimReply) -> errors.Problem:
         if reply.verdict is wire.ClaimVerdict.FINISHED:
             return errors.make_problem(errors.Kind.ANSWER_GONE)
-        return errors.make_problem(errors.Kind.NO_OWNER, _RETRY_AFTER)
+        return errors.make_problem(errors.Kind.NO_OWNER, _RETRY_AFTER_S)
 
-    def _describe_dead(self, reply: wire.ClaimReply) -> errors.Problem:
+    def _describe_restarted(self, reply: wire.ClaimReply) -> errors.Problem:
         if reply.verdict is wire.ClaimVerdict.FINISHED:
             return errors.make_problem(errors.Kind.ANSWER_GONE)
         return errors.make_problem(
@@ -126,8 +133,8 @@
         )
 
     def _describe_unreachable(self) -> errors.Problem:
-        # Finished or not: the answer may be kept there, and is not lost
-        # because we are cut off from it.
+        # The holder may still have the answer, finished or not; only the
+        # connection to it is lost.
         return errors.make_problem(
-            errors.Kind.HOLDER_UNREACHABLE, claims.RETRY_AFTER
+            errors.Kind.HOLDER_UNREACHABLE, claims.RETRY_AFTER_S
         )
--- a/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/entry.py
@@ -1,9 +1,9 @@
-"""The callers' listener: ``POST /v1/routes/ROUTE``.
+"""The HTTP listener for callers: ``POST /v1/routes/ROUTE``.
 
-One task serves each connection. It checks the request, lets ``runs`` carry
-it, and writes the answer as it grows. An answer of an engine is a stream of
-JSON lines that ends with a line of ours, so that a caller can tell a whole
-answer from one that was cut; docs/CALLERS.md describes it.
+One task serves each connection. It checks the request, passes it to ``runs``
+and streams the answer. The answer of an engine is a stream of JSON lines.
+The daemon adds a last line with the outcome, by which a caller can tell a
+complete answer from a truncated one; see docs/CALLERS.md.
 """
 
 import collections.abc
@@ -26,14 +26,14 @@
 __all__ = ['Entry']
 
 ROUTE_PREFIX = '/v1/routes/'
-# Seconds that a caller may take to send its body.
-BODY_TIMEOUT = 30.0
-# The task that carries a request ends it at its deadline, and knows whether
-# it has run. Seconds that its word may take before the caller's connection,
-# which does not know, says "unknown".
-LAST_MOMENT = 0.25
+# Timeout for receiving the body of a request.
+BODY_TIMEOUT_S = 30.0
+# The task that runs a request ends it at its deadline with the right outcome.
+# The caller's connection cannot tell whether the request has run, so it waits
+# this long after the deadline for that outcome before it answers "unknown".
+FINAL_ANSWER_GRACE_S = 0.25
 _JSON = (b'content-type', b'application/json')
-_LINES = (b'content-type', b'application/x-ndjson')
+_NDJSON = (b'content-type', b'application/x-ndjson')
 
 
 @ty.final
@@ -47,7 +47,7 @@
         tracer: tracing.Tracer,
         open_requests: int,
     ) -> None:
-        """Prepare."""
+        """Create the application; ``open_requests`` is the limit."""
         self._runs = all_runs
         self._store = store
         self._tracer = tracer
@@ -55,9 +55,9 @@
         self.find_bundle: collections.abc.Callable[
             [], bundle.Bundle | None
         ] = lambda: None
-        # What /readyz tells the balancer.
+        # The result of /readyz, for the load balancer.
         self.is_ready: collections.abc.Callable[[], bool] = lambda: False
-        # False once a graceful stop takes nothing new.
+        # False once a graceful stop rejects new requests.
         self.is_admitting = True
 
     async def __call__(
@@ -84,7 +84,7 @@
         self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send
     ) -> None:
         headers = asgi.read_headers(scope)
-        parent = tracing.read_parent(headers)
+        parent = tracing.extract_context(headers)
         with self._tracer.start_as_current_span('caller', parent) as span:
             admitted = await self._admit(scope, headers, receive)
             if isinstance(admitted, errors.Problem):
@@ -102,8 +102,9 @@
     ) -> admission.Request | errors.Problem:
         config = self.find_bundle()
         if config is None:
-            # Nobody here knows the route, nor what became of the key.
-            return errors.weaken(
+            # Without a bundle neither the route nor earlier requests under
+            # the key are known, so the outcome is unknown.
+            return errors.mark_outcome_unknown(
                 errors.make_problem(errors.Kind.NO_BUNDLE, 1.0)
             )
         if scope['method'] != 'POST':
@@ -119,7 +120,7 @@
         if stopping is not None:
             return stopping
         try:
-            with anyio.fail_after(BODY_TIMEOUT):
+            with anyio.fail_after(BODY_TIMEOUT_S):
                 body = await asgi.read_body(receive, head.body_limit)
         except asgi.BodyTooLarge:
             return errors.make_problem(
@@ -127,9 +128,9 @@
             )
         except (asgi.Disconnected, TimeoutError):
             return errors.make_problem(errors.Kind.INCOMPLETE_BODY)
-        # Again: a stop may have begun to wait for open requests while the
-        # body came. This one is not among them: it would run, and be cut by
-        # the end of the process.
+        # Checked again: a graceful stop may have begun to wait for open
+        # requests while the body arrived. This request is not among them,
+        # so the process could exit while it runs.
         stopping = self._check_stopping(head)
         if stopping is not None:
             return stopping
@@ -139,7 +140,9 @@
     def _check_stopping(self, head: admission.Head) -> errors.Problem | None:
         if self.is_admitting:
             return None
-        return _speak_for(head, errors.make_problem(errors.Kind.STOPPING, 0.0))
+        return _weaken_if_at_most_once(
+            head, errors.make_problem(errors.Kind.STOPPING, 0.0)
+        )
 
     async def _serve_request(
         self,
@@ -154,61 +157,64 @@
         if isinstance(found, errors.Problem):
             await _send_problem(send, found, request)
             return
-        kept, run = found
-        answer = kept.answer
+        stored, run = found
+        answer = stored.answer
         answer.readers += 1
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(_watch_caller, receive, group.cancel_scope)
-                left = deadline_at - clocks.read_monotonic()
-                with anyio.move_on_after(left + LAST_MOMENT):
-                    await answer.wait_for_first()
+                remaining_s = deadline_at - clocks.read_monotonic()
+                with anyio.move_on_after(remaining_s + FINAL_ANSWER_GRACE_S):
+                    await answer.wait_for_first_chunk()
                 await _send_answer(send, request, answer)
                 group.cancel_scope.cancel()
         finally:
             answer.readers -= 1
         if run is not None:
-            self._stop_unread(request, run)
+            self._stop_if_unread(request, run)
 
     def _find_or_start(
         self,
         request: admission.Request,
         deadline_at: float,
         span: trace.Span,
-    ) -> tuple[answers.Kept, runs.Run | None] | errors.Problem:
+    ) -> tuple[answers.StoredRequest, runs.Run | None] | errors.Problem:
         head = request.head
-        kept = self._store.find(head.organisation, head.key)
-        if kept is not None:
-            if kept.digest != request.digest:
+        stored = self._store.find(head.organisation, head.key)
+        if stored is not None:
+            if stored.digest != request.digest:
                 return errors.make_problem(errors.Kind.KEY_REUSED)
-            return kept, None
+            return stored, None
         if self._runs.count() >= self._open_requests:
             victim = self._runs.find_lowest_waiting(head.tier)
-            full = errors.make_problem(errors.Kind.MEMORY_FULL, 1.0)
+            full_problem = errors.make_problem(errors.Kind.MEMORY_FULL, 1.0)
             if victim is None:
-                return _speak_for(head, full)
-            # Somebody of a lower tier goes in its place.
-            victim.stop(full, full)
+                return _weaken_if_at_most_once(head, full_problem)
+            # Shed the waiting request of the lowest tier instead.
+            victim.stop(full_problem, full_problem)
         parent = trace.set_span_in_context(span)
         run = self._runs.start(request, deadline_at, parent)
-        return run.kept, run
+        return run.stored, run
 
-    def _stop_unread(self, request: admission.Request, run: runs.Run) -> None:
-        # The caller of an idempotent request that still waits is gone, and
-        # nobody else reads: it would cost a prefill that is thrown away.
-        # At-most-once work goes on, for the caller that comes back.
-        if request.is_at_most_once or run.kept.answer.readers > 0:
+    def _stop_if_unread(
+        self, request: admission.Request, run: runs.Run
+    ) -> None:
+        # The caller of a waiting idempotent request has disconnected and no
+        # other connection reads the answer: running it would waste a
+        # prefill. At-most-once requests go on, because the caller may retry
+        # and read the answer.
+        if request.is_at_most_once or run.stored.answer.readers > 0:
             return
         if run.state is runs.RunState.WAITING:
-            gone = errors.make_problem(errors.Kind.CALLER_GONE)
-            run.stop(gone, gone)
+            gone_problem = errors.make_problem(errors.Kind.CALLER_GONE)
+            run.stop(gone_problem, gone_problem)
 
 
-def _speak_for(
+def _weaken_if_at_most_once(
     head: admission.Head, problem: errors.Problem
 ) -> errors.Problem:
     if head.route.repeat is bundle.Repeat.AT_MOST_ONCE:
-        return errors.weaken(problem)
+        return errors.mark_outcome_unknown(problem)
     return problem
 
 
@@ -226,39 +232,39 @@
     send: asgi.Send, request: admission.Request, answer: answers.Answer
 ) -> None:
     if not answer.chunks:
-        # Nothing before the deadline, or an end without a chunk.
+        # No chunk before the deadline, or an end without a chunk.
         problem = answer.end.problem if answer.end else None
         if problem is None:
             problem = errors.make_problem(errors.Kind.DEADLINE_RUNNING)
         await _send_problem(send, problem, request)
         return
     if request.kind is bundle.RunnerKind.SERVICE:
-        await _send_whole(send, request, answer)
+        await _send_service_answer(send, request, answer)
         return
-    await asgi.start_answer(
-        send, 200, [_LINES, *_name_request(request, answer)]
+    await asgi.start_response(
+        send, 200, [_NDJSON, *_make_request_headers(request, answer)]
     )
     async for part in answer.iterate():
-        await asgi.send_part(send, part)
+        await asgi.send_body_part(send, part)
     assert answer.end is not None
-    last = _describe_end(request, answer.end.problem)
-    await asgi.send_part(send, _encode_line(last), is_last=True)
+    end_line = _make_end_line(request, answer.end.problem)
+    await asgi.send_body_part(send, _encode_line(end_line), is_last=True)
 
 
-async def _send_whole(
+async def _send_service_answer(
     send: asgi.Send, request: admission.Request, answer: answers.Answer
 ) -> None:
     body = b''.join([part async for part in answer.iterate()])
     headers = [
         _JSON,
         (b'content-length', str(len(body)).encode()),
-        *_name_request(request, answer),
+        *_make_request_headers(request, answer),
     ]
-    await asgi.start_answer(send, answer.status, headers)
-    await asgi.send_part(send, body, is_last=True)
+    await asgi.start_response(send, answer.status, headers)
+    await asgi.send_body_part(send, body, is_last=True)
 
 
-def _name_request(
+def _make_request_headers(
     request: admission.Request, answer: answers.Answer
 ) -> asgi.HeaderList:
     found = [(b'apricot-request', request.head.key.encode())]
@@ -267,7 +273,7 @@
     return found
 
 
-def _describe_end(
+def _make_end_line(
     request: admission.Request, problem: errors.Problem | None
 ) -> dict[str, ty.Any]:
     line: dict[str, ty.Any] = {
--- a/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
+++ b/packages/apricotlandingd/src/apricotlandingd/requests/runs.py
@@ -1,16 +1,17 @@
-"""Carries one request from admission to its final answer.
+"""Runs requests from admission to their final answers.
 
-A request is run by a task of its own, apart from its caller's connection: a
-caller that goes away does not cancel work that must not be lost, and one
-that comes back under the same key attaches to it.
+Each request runs in a task of its own, independent of its caller's
+connection: a caller that disconnects does not cancel a request that must not
+be lost, and one that retries with the same key reads the same answer.
 
-The order of steps is what makes the final answer true:
+The order of the steps ensures that the reported outcome is correct:
 
-1. At-most-once work claims its key. Until it is granted nothing is sent.
-2. A runner is asked for. While it waits, the outcome is *not run*.
-3. The state becomes SENT *before* the first byte leaves. From then on the
-   outcome is never *not run* again, unless the runner itself said that it
-   did not take the request.
+1. An at-most-once request claims its key. Nothing is sent before the claim
+   is granted.
+2. The request waits for a runner. While it waits, the outcome is *not run*.
+3. The state becomes SENT *before* the first byte is sent. From then on the
+   outcome is not *not run* again, unless the runner itself reported that it
+   did not accept the request.
 """
 
 import collections.abc
@@ -43,25 +44,25 @@
 __all__ = ['Run', 'RunState', 'Runs']
 
 
-# Retries of this daemon, for each pool: a part of its requests in the last
-# seconds, and a few more so that a daemon with little work may retry at all.
+# Retry budget of this daemon for each pool: a share of its requests in the
+# window, plus a slack so that a daemon with few requests can retry at all.
 RETRY_SHARE = 0.1
-RETRY_SLACK = 20.0
+RETRY_SLACK_REQUESTS = 20.0
 RETRY_WINDOW_S = 10.0
-# A claim that takes longer than this, in seconds, has its request wait in the
-# pool's queue. In calm a claim takes a few milliseconds, and then this saves
-# two messages for each request.
-HOLD_AFTER = 0.1
-# Seconds for which the claim of a request that was shed meanwhile is waited
-# for. Without its word a caller of at-most-once work hears "unknown" of what
-# never ran, and may not send it under another key. A claim takes milliseconds,
-# on a busy host a few tenths of a second; a claim owner that is silent holds
-# the refusal up by no more than this.
-CLAIM_GRACE = 0.25
+# A request whose claim takes longer than this is queued in the pool meanwhile.
+# Without load a claim takes a few milliseconds; the delay then saves two
+# messages for each request.
+ENQUEUE_DELAY_S = 0.1
+# How long to wait for the claim of a request that was shed meanwhile. Without
+# the claim owner's reply, the caller of an at-most-once request gets "unknown"
+# although it never ran, and may not send it under another key. A claim takes
+# milliseconds, on a busy host a few tenths of a second; a claim owner that
+# does not answer delays the refusal by no more than this.
+CLAIM_GRACE_S = 0.25
 
 
 class RunState(enum.Enum):
-    """How far a request has come."""
+    """The progress of a request."""
 
     CLAIMING = 'claiming'
     WAITING = 'waiting'
@@ -71,33 +72,33 @@
 
 @ty.final
 class Run:
-    """One request that this daemon carries."""
+    """A request that this daemon runs."""
 
     def __init__(
         self,
         request: admission.Request,
-        kept: answers.Kept,
+        stored: answers.StoredRequest,
         deadline_at: float,
         parent: context.Context,
     ) -> None:
-        """Begin at the claim."""
+        """Create a run in the state CLAIMING."""
         self.request = request
-        self.kept = kept
+        self.stored = stored
         self.deadline_at = deadline_at
         self.parent = parent
         self.state = RunState.CLAIMING
-        # While this is set no final answer says "not run". An earlier call
-        # under an at-most-once key may have run elsewhere, until the claim
-        # owner was heard; and a call to a runner that failed may have run,
-        # although the request waits again.
+        # While this is set the outcome is not reported as "not run": until
+        # the claim owner has replied, an earlier call under an at-most-once
+        # key may have run elsewhere; and after a failed call to a runner the
+        # request may have run although it is queued again.
         self.may_have_run = request.is_at_most_once
-        # What the work must end with when its scope is cancelled.
+        # The problem to report when the scope is cancelled by ``stop``.
         self.stop_problem: errors.Problem | None = None
         self.scope = anyio.CancelScope()
         self.span: trace.Span = trace.INVALID_SPAN
 
     def stop(self, not_run: errors.Problem, unknown: errors.Problem) -> None:
-        """End the work now, with what is true of it."""
+        """Cancel the request and report the problem for its state."""
         is_sent = self.state is RunState.SENT
         self.stop_problem = unknown if is_sent else not_run
         self.scope.cancel()
@@ -105,7 +106,7 @@
 
 @ty.final
 class Runs:
-    """All requests that this daemon carries."""
+    """All requests that this daemon runs."""
 
     def __init__(
         self,
@@ -118,7 +119,7 @@
         counts: metrics.Metrics,
         tracer: tracing.Tracer,
     ) -> None:
-        """Prepare; ``run`` serves."""
+        """Create the manager; ``run`` serves."""
         self._incarnation = incarnation
         self._store = store
         self._claims = claim_client
@@ -128,10 +129,10 @@
         self._metrics = counts
         self._tracer = tracer
         self._budget = retrybudget.RetryBudget(
-            RETRY_SHARE, RETRY_SLACK, RETRY_WINDOW_S
+            RETRY_SHARE, RETRY_SLACK_REQUESTS, RETRY_WINDOW_S
         )
         self._runs: dict[str, Run] = {}
-        self._number = 0
+        self._ticket_number = 0
         self._group: anyio.abc.TaskGroup | None = None
         self.find_bundle: collections.abc.Callable[
             [], bundle.Bundle | None
@@ -139,7 +140,7 @@
         self.idle = anyio.Event()
 
     async def run(self) -> None:
-        """Carry requests until cancelled."""
+        """Run requests until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
             await anyio.sleep_forever()
@@ -158,27 +159,27 @@
         deadline_at: float,
         parent: context.Context,
     ) -> Run:
-        """Begin to carry a request."""
-        self._number += 1
+        """Start the task that runs a request."""
+        self._ticket_number += 1
         head = request.head
         shard = request.shard if request.is_at_most_once else None
-        kept = answers.Kept(
+        stored = answers.StoredRequest(
             organisation=head.organisation,
             key=head.key,
             digest=request.digest,
-            ticket=f'{self._incarnation}/{self._number}',
+            ticket=f'{self._incarnation}/{self._ticket_number}',
             shard=shard,
             answer=answers.Answer(),
         )
-        run = Run(request, kept, deadline_at, parent)
-        self._store.add(kept)
-        self._runs[kept.ticket] = run
+        run = Run(request, stored, deadline_at, parent)
+        self._store.add(stored)
+        self._runs[stored.ticket] = run
         assert self._group is not None
-        self._group.start_soon(self._carry, run)
+        self._group.start_soon(self._handle_request, run)
         return run
 
     def stop_all(self) -> None:
-        """End every open request with its honest final answer."""
+        """Cancel every open request with the outcome for its state."""
         for run in self.list_runs():
             run.stop(
                 errors.make_problem(errors.Kind.STOPPING, 0.0),
@@ -186,7 +187,10 @@
             )
 
     def find_lowest_waiting(self, above: ids.Tier) -> Run | None:
-        """Return the newest of the lowest tier that waits, if lower."""
+        """Return the newest waiting request of the lowest tier.
+
+        Returns None if no waiting request has a lower tier than ``above``.
+        """
         lowest: Run | None = None
         for run in self._runs.values():
             if run.state is not RunState.WAITING:
@@ -204,9 +208,9 @@
             self.idle = anyio.Event()
             await self.idle.wait()
 
-    # One request.
+    # Handling of one request.
 
-    async def _carry(self, run: Run) -> None:
+    async def _handle_request(self, run: Run) -> None:
         head = run.request.head
         action = eliot.start_action(
             action_type='request',
@@ -219,25 +223,25 @@
         problem: errors.Problem | None
         try:
             with action.context():
-                problem = await self._run_to_end(run)
+                problem = await self._run_until_end(run)
         except Exception as error:
             eliot.write_traceback()
-            problem = self._describe_fault(run, error)
+            problem = self._describe_internal_error(run, error)
         if problem is not None and run.may_have_run:
-            problem = errors.weaken(problem)
+            problem = errors.mark_outcome_unknown(problem)
         self._finish(run, problem)
-        span.set_attribute('outcome', _name_outcome(problem))
+        span.set_attribute('outcome', _get_outcome_value(problem))
         span.end()
         with action.context():
             eliot.log_message(
                 'request:end',
-                outcome=_name_outcome(problem),
+                outcome=_get_outcome_value(problem),
                 code=problem.code if problem else None,
-                runner=run.kept.answer.runner,
+                runner=run.stored.answer.runner,
             )
         action.finish()
 
-    async def _run_to_end(self, run: Run) -> errors.Problem | None:
+    async def _run_until_end(self, run: Run) -> errors.Problem | None:
         problem: errors.Problem | None = None
         timeout = run.deadline_at - clocks.read_monotonic()
         with run.scope, anyio.move_on_after(timeout) as limit:
@@ -263,11 +267,11 @@
         try:
             if request.is_at_most_once:
                 with self._start_span('claim', run):
-                    holder = await self._claim_in_line(run, ticket)
-                if holder is not None:
+                    holder_reply = await self._claim_while_queued(run, ticket)
+                if holder_reply is not None:
                     self._pools.remove(ticket)
-                    return await self._copy_answer(run, holder)
-            run.kept.is_claimed = True
+                    return await self._copy_answer(run, holder_reply)
+            run.stored.is_claimed = True
             self._metrics.count(f'admitted.{request.head.tier_name}')
             ticket.is_ready = True
             self._pools.add(ticket)
@@ -275,48 +279,52 @@
         finally:
             self._pools.remove(ticket)
 
-    async def _claim_in_line(
+    async def _claim_while_queued(
         self, run: Run, ticket: poolclient.Ticket
     ) -> wire.ClaimReply | None:
-        # Claims the key and, if that takes long, waits in the pool's queue
-        # meanwhile, where the request can be shed.
+        # Claims the key. If that takes long, the request is queued in the
+        # pool meanwhile, where it can be shed.
         refusal: errors.Refused | None = None
-        holder: wire.ClaimReply | None = None
+        holder_reply: wire.ClaimReply | None = None
         async with anyio.create_task_group() as group:
-            group.start_soon(self._keep_place, ticket, group.cancel_scope)
+            group.start_soon(
+                self._enqueue_after_delay, ticket, group.cancel_scope
+            )
             try:
-                holder = await self._claim(run)
+                holder_reply = await self._claim(run)
             except errors.Refused as error:
                 refusal = error
             group.cancel_scope.cancel()
         if refusal is not None:
             raise refusal
-        if holder is None and ticket.problem is not None:
+        if holder_reply is None and ticket.problem is not None:
             raise errors.Refused(ticket.problem)
-        return holder
+        return holder_reply
 
-    async def _keep_place(
+    async def _enqueue_after_delay(
         self, ticket: poolclient.Ticket, scope: anyio.CancelScope
     ) -> None:
-        await anyio.sleep(HOLD_AFTER)
+        await anyio.sleep(ENQUEUE_DELAY_S)
         self._pools.add(ticket)
-        await self._pools.wait_given_up(ticket)
-        # Confirmed now, whatever the claim says: it will not run, and until
-        # then the scheduler may shed nothing of a higher tier.
+        await self._pools.wait_until_shed(ticket)
+        # Confirm the shedding at once, whatever the claim's result: the
+        # request will not run, and until the confirmation the scheduler may
+        # shed nothing of a higher tier.
         self._pools.remove(ticket)
-        await anyio.sleep(CLAIM_GRACE)
+        await anyio.sleep(CLAIM_GRACE_S)
         scope.cancel()
 
     async def _claim(self, run: Run) -> wire.ClaimReply | None:
-        # Returns the reply of a holder to attach to; None if granted.
+        # Returns None if the claim is granted, else the reply that names the
+        # holder.
         request = run.request
-        assert run.kept.shard is not None
+        assert run.stored.shard is not None
         message = wire.ClaimRequest(
-            run.kept.shard,
+            run.stored.shard,
             request.head.organisation,
             request.head.key,
             request.digest,
-            run.kept.ticket,
+            run.stored.ticket,
         )
         reply = await self._claims.claim(message, run.deadline_at)
         run.may_have_run = reply.verdict is wire.ClaimVerdict.CLOCK_OFF
@@ -332,16 +340,16 @@
     async def _copy_answer(
         self, run: Run, reply: wire.ClaimReply
     ) -> errors.Problem | None:
-        assert run.kept.shard is not None
-        # The work is the holder's: were it counted as sent, our own stop
-        # would call it unknown, which is true in any case.
+        assert run.stored.shard is not None
+        # The request runs at the holder. In the state SENT a stop of this
+        # daemon reports "unknown", which is correct in any case.
         run.state = RunState.SENT
-        return await self._attacher.copy(run.kept, run.kept.shard, reply)
+        return await self._attacher.copy(run.stored, run.stored.shard, reply)
 
     def _make_ticket(self, run: Run) -> poolclient.Ticket:
         request = run.request
         return poolclient.Ticket(
-            name=run.kept.ticket,
+            name=run.stored.ticket,
             pool=ids.Pool(request.head.route.pool),
             organisation=request.head.organisation,
             tier=request.head.tier,
@@ -356,7 +364,7 @@
     async def _dispatch(
         self, run: Run, ticket: poolclient.Ticket
     ) -> errors.Problem | None:
-        self._budget.note_request(ticket.pool, clocks.read_monotonic())
+        self._budget.record_request(ticket.pool, clocks.read_monotonic())
         while True:
             run.state = RunState.WAITING
             with self._start_span('schedule', run):
@@ -373,14 +381,14 @@
                 detail=attempt.detail,
             )
             now = clocks.read_monotonic()
-            if not self._may_try_again(run, attempt, ticket.pool, now):
+            if not self._may_retry(run, attempt, ticket.pool, now):
                 return errors.make_problem(
                     errors.Kind.RUNNER_LOST,
                     detail=f'{runner}: {attempt.detail}',
                 )
             self._metrics.count('retried')
             ticket.avoid = [*ticket.avoid, runner]
-            self._pools.wait_again(ticket)
+            self._pools.requeue(ticket)
 
     async def _call_runner(
         self, run: Run, ticket: poolclient.Ticket, runner: ids.Runner
@@ -388,22 +396,24 @@
         config = self.find_bundle()
         model = None if config is None else _find_runner(config, runner)
         if model is None:
-            # A newer bundle has dropped it since the grant.
+            # A newer bundle has removed the runner since the grant.
             attempt = relay.Attempt(relay.AttemptEnd.NOT_TAKEN, 'removed')
             self._report_attempt(ticket, attempt)
             return attempt
         name = f'{run.request.head.key}.{secrets.token_hex(4)}'
-        answer = run.kept.answer
+        answer = run.stored.answer
         attempt = relay.Attempt()
         is_over = False
         started_at = clocks.read_monotonic()
         with self._start_span('runner', run) as span:
             span.set_attribute('runner', runner)
-            headers = tracing.write_parent(trace.set_span_in_context(span))
+            headers = tracing.inject_context(trace.set_span_in_context(span))
             run.state = RunState.SENT
             answer.runner = runner
             scope = anyio.CancelScope()
-            ticket.on_lost = functools.partial(_move_on, run, scope)
+            ticket.on_runner_lost = functools.partial(
+                _cancel_if_repeatable, run, scope
+            )
             try:
                 with scope:
                     attempt = await self._relay.run(
@@ -416,10 +426,10 @@
                 is_over = True
             finally:
                 if not is_over:
-                    await self._abandon(name, model)
+                    await self._cancel_on_engine(name, model)
                 if attempt.end is relay.AttemptEnd.FAILED:
                     run.may_have_run = True
-                    # As far as we know: the engine may not have begun.
+                    # An upper bound: the engine may not have begun.
                     self._metrics.count(
                         'prefill.wasted', run.request.prompt_tokens
                     )
@@ -428,9 +438,12 @@
             run.state = RunState.WAITING
         return attempt
 
-    async def _abandon(self, name: str, model: bundle.RunnerModel) -> None:
-        # The deadline or a stop has cancelled us. An engine that is not
-        # told would go on computing an answer that nobody reads.
+    async def _cancel_on_engine(
+        self, name: str, model: bundle.RunnerModel
+    ) -> None:
+        # The deadline or a stop has cancelled this request. Without a cancel
+        # request the engine would go on computing an answer that nobody
+        # reads.
         if model.kind is not bundle.RunnerKind.ENGINE:
             return
         with anyio.move_on_after(1.0, shield=True):
@@ -441,8 +454,8 @@
     ) -> None:
         now = clocks.read_monotonic()
         first_s = None
-        if attempt.first_at is not None:
-            first_s = attempt.first_at - attempt.started_at
+        if attempt.first_byte_at is not None:
+            first_s = attempt.first_byte_at - attempt.started_at
         self._pools.release(
             ticket,
             wire.Finished(
@@ -455,60 +468,62 @@
             ),
         )
 
-    def _may_try_again(
+    def _may_retry(
         self, run: Run, attempt: relay.Attempt, pool: ids.Pool, now: float
     ) -> bool:
         if attempt.end is relay.AttemptEnd.NOT_TAKEN:
             return True
-        if run.request.is_at_most_once or run.kept.answer.chunks:
+        if run.request.is_at_most_once or run.stored.answer.chunks:
             return False
         return self._budget.take(pool, 1, now)
 
-    # The end.
+    # Completion.
 
     def _finish(self, run: Run, problem: errors.Problem | None) -> None:
-        kept = run.kept
+        stored = run.stored
         run.state = RunState.ENDED
-        kept.answer.finish(problem)
-        outcome = _name_outcome(problem)
+        stored.answer.finish(problem)
+        outcome = _get_outcome_value(problem)
         self._metrics.count(f'{outcome}.{run.request.head.tier_name}')
-        self._settle(kept, problem)
-        del self._runs[kept.ticket]
+        self._settle(stored, problem)
+        del self._runs[stored.ticket]
         if not self._runs:
             self.idle.set()
 
     def _settle(
-        self, kept: answers.Kept, problem: errors.Problem | None
+        self, stored: answers.StoredRequest, problem: errors.Problem | None
     ) -> None:
-        if kept.shard is None:
-            kept.is_settled = True
+        if stored.shard is None:
+            stored.is_settled = True
             if problem is None:
-                self._store.close(kept)
+                self._store.close(stored)
             else:
-                self._store.drop(kept)
+                self._store.drop(stored)
             return
-        if problem is not None and not kept.is_claimed:
-            # Refused by the claim owner, or copied from the holder. If the
-            # owner granted it after we had given up, it is released.
-            self._claims.end(kept, wire.ClaimState.RELEASED)
-            self._store.drop(kept)
+        if problem is not None and not stored.is_claimed:
+            # Refused by the claim owner, or copied from the holder. A claim
+            # that the owner granted after the request had ended is released.
+            self._claims.report_outcome(stored, wire.ClaimState.RELEASED)
+            self._store.drop(stored)
             return
-        if problem is None and not kept.is_claimed:
-            # A copy: the holder keeps the original.
-            kept.is_settled = True
-            self._store.drop(kept)
+        if problem is None and not stored.is_claimed:
+            # The answer is a copy; the holder stores the original.
+            stored.is_settled = True
+            self._store.drop(stored)
             return
-        self._store.close(kept)
+        self._store.close(stored)
         if problem is None:
-            self._claims.end(kept, wire.ClaimState.FINISHED)
+            self._claims.report_outcome(stored, wire.ClaimState.FINISHED)
         elif problem.outcome is errors.Outcome.NOT_RUN:
-            self._claims.end(kept, wire.ClaimState.RELEASED)
+            self._claims.report_outcome(stored, wire.ClaimState.RELEASED)
         else:
-            self._claims.end(kept, wire.ClaimState.UNKNOWN)
+            self._claims.report_outcome(stored, wire.ClaimState.UNKNOWN)
 
-    def _describe_fault(self, run: Run, error: Exception) -> errors.Problem:
-        # A fault of ours, not of the caller's. Whatever it was, nothing
-        # stronger may be said than how far the request had come.
+    def _describe_internal_error(
+        self, run: Run, error: Exception
+    ) -> errors.Problem:
+        # An internal error, not the caller's. The outcome depends only on
+        # the state that the request had reached.
         if run.state is RunState.SENT:
             return errors.make_problem(
                 errors.Kind.OUTCOME_UNKNOWN, detail=repr(error)
@@ -518,18 +533,19 @@
     def _start_span(
         self, name: str, run: Run
     ) -> ty.ContextManager[trace.Span]:
-        where = trace.set_span_in_context(run.span)
-        return self._tracer.start_as_current_span(name, where)
+        parent_context = trace.set_span_in_context(run.span)
+        return self._tracer.start_as_current_span(name, parent_context)
 
 
-def _move_on(run: Run, scope: anyio.CancelScope) -> None:
-    # Called when the runner has gone silent. What must not run twice stays:
-    # the runner may only be cut off from the scheduler.
-    if not run.request.is_at_most_once and not run.kept.answer.chunks:
+def _cancel_if_repeatable(run: Run, scope: anyio.CancelScope) -> None:
+    # Called when the runner no longer answers the scheduler. At-most-once
+    # requests are not cancelled: the runner may be well and only its
+    # connection to the scheduler be lost.
+    if not run.request.is_at_most_once and not run.stored.answer.chunks:
         scope.cancel()
 
 
-def _name_outcome(problem: errors.Problem | None) -> str:
+def _get_outcome_value(problem: errors.Problem | None) -> str:
     if problem is None:
         return errors.Outcome.COMPLETE.value
     return problem.outcome.value
@@ -560,7 +576,7 @@
     if verdict is wire.ClaimVerdict.CLOCK_OFF:
         return errors.make_problem(
             errors.Kind.CLOCK_OFF,
-            claims.RETRY_AFTER,
+            claims.RETRY_AFTER_S,
             host='the claim owner',
         )
     return errors.make_problem(
--- a/packages/apricotstandins/src/apricotstandins/tcprelay.py
+++ b/packages/apricotstandins/src/apricotstandins/tcprelay.py
@@ -1,11 +1,12 @@
-"""A TCP relay that can cut and slow down connections, for failure tests.
+"""TCP relay that can cut and slow down connections, for failure tests.
 
 One process relays any number of routes, each from a listening address to a
 target. ``POST /standin/routes`` sets the faults of some of them. A route that
-is cut keeps its connections and what was sent: after the cut everything
-arrives, late, as it does when a network heals. A route that is silent takes
-connections and bytes and passes nothing on; a connection that met this stays
-silent for good, while new ones work after it.
+is cut keeps its connections and buffers the data: when the cut is healed, all
+data arrives late, as after a network partition. A route that is silent
+accepts connections and data and forwards nothing. A connection on which data
+arrives during that time stays silent until it is closed; new connections work
+when the fault is over.
 """
 
 import dataclasses
@@ -22,49 +23,59 @@
 
 __all__ = ['Relay', 'parse_route']
 
-_PART = 65_536
-# Closing with this option resets a connection: on, and zero seconds.
-_RESET = struct.pack('ii', 1, 0)
+_CHUNK_BYTES = 65_536
+# Value of SO_LINGER (on, zero seconds) that makes close() send a reset.
+_RESET_LINGER = struct.pack('ii', 1, 0)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Route:
-    """One relayed address."""
+    """A listening address, its target and its faults."""
 
     name: str
     listen: addresses.Address
     target: addresses.Address
-    # What goes wrong now, by direction.
+    # Faults in effect; a cut is set for each direction.
     is_cut_forward: bool = False
     is_cut_back: bool = False
     is_silent: bool = False
-    # Added to each part, in seconds.
+    # Added to each chunk, in seconds.
     delay_s: float = 0.0
-    healed: anyio.Event = dataclasses.field(default_factory=anyio.Event)
-    # Set when all connections of now are reset.
-    ended: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    faults_changed: anyio.Event = dataclasses.field(
+        default_factory=anyio.Event
+    )
+    # Set to reset all current connections.
+    reset_requested: anyio.Event = dataclasses.field(
+        default_factory=anyio.Event
+    )
 
-    def change(self, faults: dict[str, ty.Any]) -> None:
+    def set_faults(self, faults: dict[str, ty.Any]) -> None:
         self.is_cut_forward = faults.get('cut_forward', False)
         self.is_cut_back = faults.get('cut_back', False)
         self.is_silent = faults.get('silent', False)
         self.delay_s = faults.get('delay_s', 0.0)
-        healed, self.healed = self.healed, anyio.Event()
-        healed.set()
+        faults_changed, self.faults_changed = (
+            self.faults_changed,
+            anyio.Event(),
+        )
+        faults_changed.set()
 
     def reset(self) -> None:
-        """Reset all connections."""
-        ended, self.ended = self.ended, anyio.Event()
-        ended.set()
-
-    async def pass_cut(self, is_forward: bool) -> None:
+        """Reset all current connections."""
+        reset_requested, self.reset_requested = (
+            self.reset_requested,
+            anyio.Event(),
+        )
+        reset_requested.set()
+
+    async def wait_until_healed(self, is_forward: bool) -> None:
         """Wait while this direction is cut."""
         while self.is_cut_forward if is_forward else self.is_cut_back:
-            await self.healed.wait()
+            await self.faults_changed.wait()
 
 
 def parse_route(text: str) -> Route:
-    """Return the route in ``NAME=LISTEN=TARGET``."""
+    """Parse a route of the form ``NAME=LISTEN=TARGET``."""
     name, listen, target = text.split('=')
     return Route(
         name,
@@ -75,10 +86,10 @@
 
 @ty.final
 class Relay:
-    """All routes of one process, and their control as ASGI."""
+    """All routes of one process, and the ASGI application for faults."""
 
     def __init__(self, routes: list[Route]) -> None:
-        """Prepare; ``run`` listens."""
+        """Create the relay; ``run`` opens the listeners."""
         self._routes = {route.name: route for route in routes}
 
     async def run(self) -> None:
@@ -96,42 +107,42 @@
         """Set the faults of the routes that the body names."""
         body = await asgi.read_body(receive, 1024 * 1024)
         for name, faults in json.loads(body or b'{}').items():
-            self._routes[name].change(faults)
+            self._routes[name].set_faults(faults)
         await asgi.send_json(send, 200, sorted(self._routes))
 
     def _make_handler(self, route: Route) -> ty.Any:
-        async def handle(near: anyio.abc.SocketStream) -> None:
-            async with near:
-                await route.pass_cut(is_forward=True)
+        async def handle(client: anyio.abc.SocketStream) -> None:
+            async with client:
+                await route.wait_until_healed(is_forward=True)
                 try:
-                    far = await anyio.connect_tcp(
+                    server = await anyio.connect_tcp(
                         route.target.host, route.target.port
                     )
                 except OSError:
                     return
-                muted = anyio.Event()
-                async with far, anyio.create_task_group() as group:
+                silenced = anyio.Event()
+                async with server, anyio.create_task_group() as group:
                     group.start_soon(
-                        _pump, route, near, far, True, muted, group
+                        _pump, route, client, server, True, silenced, group
                     )
                     group.start_soon(
-                        _pump, route, far, near, False, muted, group
+                        _pump, route, server, client, False, silenced, group
                     )
-                    group.start_soon(_wait_reset, route, near, far, group)
+                    group.start_soon(_wait_reset, route, client, server, group)
 
         return handle
 
 
 async def _wait_reset(
     route: Route,
-    near: anyio.abc.SocketStream,
-    far: anyio.abc.SocketStream,
+    client: anyio.abc.SocketStream,
+    server: anyio.abc.SocketStream,
     group: anyio.abc.TaskGroup,
 ) -> None:
-    await route.ended.wait()
-    for stream in (near, far):
+    await route.reset_requested.wait()
+    for stream in (client, server):
         raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_LINGER)
     group.cancel_scope.cancel()
 
 
@@ -140,20 +151,21 @@
     source: anyio.abc.ByteStream,
     sink: anyio.abc.ByteStream,
     is_forward: bool,
-    muted: anyio.Event,
+    silenced: anyio.Event,
     group: anyio.abc.TaskGroup,
 ) -> None:
     try:
         while True:
-            part = await source.receive(_PART)
+            chunk = await source.receive(_CHUNK_BYTES)
             if route.is_silent:
-                # What follows would otherwise look like the rest of it.
-                muted.set()
-            if muted.is_set():
+                # Later data would otherwise look like the rest of an
+                # incomplete message.
+                silenced.set()
+            if silenced.is_set():
                 continue
             if route.delay_s > 0.0:
                 await anyio.sleep(route.delay_s)
-            await route.pass_cut(is_forward)
-            await sink.send(part)
+            await route.wait_until_healed(is_forward)
+            await sink.send(chunk)
     except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
         group.cancel_scope.cancel()
--- a/tests/manyhosts.py
+++ b/tests/allowancesimulation.py
@@ -1,8 +1,8 @@
-"""Plays what many hosts hand out of one allowance, without a network.
+"""Simulates many hosts that grant units of one allowance, without a network.
 
-Each host has its real mesh and allowances; messages, losses of time between
-them and the list of hosts at the store are played in simulated time, so the
-outcome depends on the seed alone.
+Each host has its real mesh and allowances. Messages, their latency and the
+store's list of hosts are simulated, in simulated time, so the outcome depends
+on the seed alone.
 """
 
 import collections.abc
@@ -22,23 +22,23 @@
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.hosts import sharedallowances
 
-__all__ = ['Load', 'Play']
+__all__ = ['Load', 'Simulation']
 
-# Seconds: all hosts start within the first; a host has read the list of those
-# that were there, at the earliest and the latest, after the next two; a
-# message is on its way for up to the last.
-START_SPREAD = 0.3
-LIST_TIMES = (0.05, 0.4)
-LONGEST_WAY = 0.02
-# Part of the messages to near hosts that are whole states.
-WHOLE_PART = 0.1
-# Seconds between two looks of a host at its questions.
-TICK = 0.02
+# Seconds within which all hosts start; the earliest and the latest time after
+# its start at which a host has read the list of hosts; and the maximum latency
+# of a message.
+START_WINDOW_S = 0.3
+LIST_READ_RANGE_S = (0.05, 0.4)
+MAX_LATENCY_S = 0.02
+# Share of the messages to near hosts that are whole states.
+WHOLE_STATE_SHARE = 0.1
+# Seconds between two checks of a host's pending requests.
+TICK_INTERVAL_S = 0.02
 
 
 @dataclasses.dataclass
 class Load:
-    """What one organisation may have, and what it asks for."""
+    """One organisation's allowance, and the units that it asks for."""
 
     organisation: catalogue.Organisation
     # The operators' slack, units.
@@ -47,8 +47,8 @@
     interval_s: float
     # Draws the units of one request.
     draw_cost: collections.abc.Callable[[random.Random], float]
-    # When the first request comes, and how long the play lasts; seconds.
-    begins_at: float = 0.0
+    # When the first request comes, and the end of the simulation; seconds.
+    starts_at: float = 0.0
     seconds: float = 12.0
     # Hosts that are killed, and when.
     killed: tuple[str, ...] = ()
@@ -56,8 +56,8 @@
 
 
 @dataclasses.dataclass
-class Reached:
-    """The other hosts, as one host's mesh knows and the play reaches them."""
+class ReachableHosts:
+    """The other hosts of one host's mesh, reached by the simulation."""
 
     others: mesh.Mesh
     send: collections.abc.Callable[[object, addresses.Address], None]
@@ -66,8 +66,8 @@
     def changes(self) -> int:
         return self.others.changes
 
-    def is_divided(self) -> bool:
-        return self.others.is_divided()
+    def has_multiple_groups(self) -> bool:
+        return self.others.has_multiple_groups()
 
     def list_coordinators(self) -> list[ids.Host]:
         return self.others.list_coordinators()
@@ -78,25 +78,25 @@
 
 @dataclasses.dataclass
 class Host:
-    """One host: its mesh and its buckets, without the tasks around them."""
+    """One host: its mesh and its buckets, without their tasks."""
 
     name: ids.Host
     address: addresses.Address
     others: mesh.Mesh
-    shared: allowances.Allowances
+    local_allowances: allowances.Allowances
     process: ids.Incarnation
-    keeper: sharedallowances.SharedAllowances
+    shared_allowances: sharedallowances.SharedAllowances
     number: int = 0
-    # Far hosts that have not had their turn.
-    turn: list[ids.Host] = dataclasses.field(default_factory=list)
+    # Far hosts that have not been sent a state in this round.
+    round_hosts: list[ids.Host] = dataclasses.field(default_factory=list)
 
     def make_state(self, now: float, scope: mesh.Scope) -> messages.HostState:
         self.number += 1
-        asked = self.shared.buckets.list_asked(now)
+        asked = self.local_allowances.buckets.list_asked(now)
         group_used = quotas.Usage()
         if scope is mesh.Scope.FAR:
-            group_used = self.shared.list_used(now)
-        known = list(self.others.peers.values())[-mesh.HINTS :]
+            group_used = self.local_allowances.list_used(now)
+        known = list(self.others.peers.values())[-mesh.HINTS_PER_MESSAGE :]
         hints = {peer.state.host: peer.state.state_address for peer in known}
         return messages.HostState(
             host=self.name,
@@ -108,14 +108,14 @@
             reads_store=True,
             positions=[1, 1],
             running={},
-            usage=dict(self.shared.buckets.usage),
+            usage=dict(self.local_allowances.buckets.usage),
             ranks={},
             hints=hints,
             asked=asked,
-            group_asked=self.shared.sum_group_asked(asked),
+            group_asked=self.local_allowances.sum_group_asked(asked),
             group_used=group_used,
-            hosts=self.shared.count_hosts(now),
-            levels=self.shared.list_levels(now),
+            hosts=self.local_allowances.count_hosts(now),
+            levels=self.local_allowances.list_levels(now),
         )
 
     def make_change(self) -> messages.HostChange:
@@ -127,38 +127,40 @@
             reads_store=True,
             positions=[1, 1],
             running={},
-            usage=dict(self.shared.buckets.usage),
+            usage=dict(self.local_allowances.buckets.usage),
             ranks={},
             answer_ages=[],
         )
 
     def choose_far(self) -> list[addresses.Address]:
         peers = self.others.peers
-        if not self.turn:
-            self.turn = [name for name in peers if not peers[name].is_near]
-        if not self.turn or self.turn[-1] not in peers:
+        if not self.round_hosts:
+            self.round_hosts = [
+                name for name in peers if not peers[name].is_near
+            ]
+        if not self.round_hosts or self.round_hosts[-1] not in peers:
             return []
-        return [peers[self.turn.pop()].address]
+        return [peers[self.round_hosts.pop()].address]
 
-    def take(self, message: object, now: float) -> None:
+    def handle_message(self, message: object, now: float) -> None:
         if isinstance(message, allowancemessages.AllowanceRequest):
-            self.keeper.take(message, now)
+            self.shared_allowances.handle_request(message, now)
         elif isinstance(message, allowancemessages.AllowanceReply):
-            self.keeper.take_reply(message, now)
-        elif isinstance(message, allowancemessages.KeeperNews):
-            self.keeper.hear_news(message, now)
+            self.shared_allowances.handle_reply(message, now)
+        elif isinstance(message, allowancemessages.UsageUpdate):
+            self.shared_allowances.handle_usage_update(message, now)
         if isinstance(message, messages.HostChange):
-            self.others.take_change(message, now)
+            self.others.handle_change(message, now)
         elif isinstance(message, messages.HostState):
-            self.others.take(message, now)
+            self.others.handle_state(message, now)
 
 
-class Play:
-    """Hosts that start together; events in the order of their time."""
+class Simulation:
+    """Hosts that start together, and events in the order of their time."""
 
     def __init__(self, load: Load, count: int, seed: int) -> None:
         self.load = load
-        self.spread = random.Random(seed)
+        self.rng = random.Random(seed)
         self.count = count
         self.hosts: dict[addresses.Address, Host] = {}
         # When each request of the organisation ran, and its units.
@@ -173,18 +175,18 @@
             for place in range(count)
         ]
         for address in self._addresses:
-            self.plan(
-                self.spread.uniform(0, START_SPREAD), 'start', address, None
+            self.add_event(
+                self.rng.uniform(0, START_WINDOW_S), 'start', address, None
             )
 
-    def plan(
+    def add_event(
         self, at: float, kind: str, address: addresses.Address, item: object
     ) -> None:
         heapq.heappush(
             self._events, (at, next(self._order), kind, address, item)
         )
 
-    def play(self) -> None:
+    def simulate(self) -> None:
         while self._events[0][0] < self.load.seconds:
             now, _, kind, address, item = heapq.heappop(self._events)
             self.now = now
@@ -195,64 +197,66 @@
             if host is None or self.is_killed(host):
                 continue
             if kind == 'state':
-                host.take(item, now)
+                host.handle_message(item, now)
             elif kind == 'ask':
                 self.ask(host, now)
             elif kind == 'look':
-                self.look(host, item, now)
+                self.poll_answer(host, item, now)
             elif kind == 'tick':
-                host.keeper.tick(now)
-                self.plan(now + TICK, 'tick', address, None)
+                host.shared_allowances.tick(now)
+                self.add_event(now + TICK_INTERVAL_S, 'tick', address, None)
             elif kind == 'list':
                 for known in self.hosts:
-                    host.others.seek(known)
-                host.shared.note_listed()
+                    host.others.probe_address(known)
+                host.local_allowances.mark_hosts_listed()
             else:
-                self.tell(host, kind, now)
+                self.send_state(host, kind, now)
 
     def start(self, address: addresses.Address, now: float) -> None:
         others = mesh.Mesh(
             ids.Host(f'host-{address.port}'),
             address,
             tuple(self._addresses[:3]),
-            self.spread,
+            self.rng,
         )
-        shared = allowances.Allowances(self.load.slack, others, now)
+        local_allowances = allowances.Allowances(self.load.slack, others, now)
         name = ids.Host(f'host-{address.port}')
         process = ids.make_incarnation(name, str(address), now)
-        reached = Reached(
+        reachable = ReachableHosts(
             others,
             lambda message, target: self.send(message, [target], self.now),
         )
-        keeper = sharedallowances.SharedAllowances(
+        shared_allowances = sharedallowances.SharedAllowances(
             name,
             address,
             process,
-            shared,
+            local_allowances,
             self.load.slack,
-            reached,
-            candidates.Candidates(name, reached),
+            reachable,
+            candidates.Candidates(name, reachable),
             self.find_organisation,
             lambda: False,
             now,
         )
 
-        def take_state(state: messages.HostState, now: float) -> None:
-            shared.hear(state, now)
+        def handle_state(state: messages.HostState, now: float) -> None:
+            local_allowances.apply_state(state, now)
             is_new = state.hosts == 0
-            keeper.hear(state.incarnation, state.usage, is_new, now)
+            shared_allowances.apply_usage(
+                state.incarnation, state.usage, is_new, now
+            )
 
-        others.on_state = take_state
+        others.on_state = handle_state
         self.hosts[address] = Host(
-            name, address, others, shared, process, keeper
+            name, address, others, local_allowances, process, shared_allowances
         )
-        self.plan(
-            now + self.spread.uniform(*LIST_TIMES), 'list', address, None
+        self.add_event(
+            now + self.rng.uniform(*LIST_READ_RANGE_S), 'list', address, None
         )
         for kind in ('near', 'far', 'search'):
-            self.plan(now, kind, address, None)
-        self.plan(now, 'tick', address, None)
-        self.plan(self.find_next(now), 'ask', address, None)
+            self.add_event(now, kind, address, None)
+        self.add_event(now, 'tick', address, None)
+        self.add_event(self.draw_next_time(now), 'ask', address, None)
 
     def find_organisation(
         self, name: ids.Organisation
@@ -264,51 +268,51 @@
         load = self.load
         return host.name in load.killed and self.now >= load.killed_at
 
-    def find_next(self, now: float) -> float:
-        pause = self.spread.expovariate(1 / self.load.interval_s)
-        return max(now, self.load.begins_at) + pause
+    def draw_next_time(self, now: float) -> float:
+        pause = self.rng.expovariate(1 / self.load.interval_s)
+        return max(now, self.load.starts_at) + pause
 
     def ask(self, host: Host, now: float) -> None:
         organisation = self.load.organisation
-        cost = self.load.draw_cost(self.spread)
-        question = host.keeper.ask(organisation, cost, now)
-        self.look(host, question, now)
-        self.plan(self.find_next(now), 'ask', host.address, None)
-
-    def look(self, host: Host, item: object, now: float) -> None:
-        """Look for the answer a little later, as a waiting task does."""
-        assert isinstance(item, sharedallowances.Question)
+        cost = self.load.draw_cost(self.rng)
+        unit_request = host.shared_allowances.ask(organisation, cost, now)
+        self.poll_answer(host, unit_request, now)
+        self.add_event(self.draw_next_time(now), 'ask', host.address, None)
+
+    def poll_answer(self, host: Host, item: object, now: float) -> None:
+        """Poll for the answer, in place of a waiting task."""
+        assert isinstance(item, sharedallowances.UnitRequest)
         if not item.answered.is_set():
-            self.plan(now + 0.001, 'look', host.address, item)
+            self.add_event(now + 0.001, 'look', host.address, item)
             return
         if item.wait_s is None:
             self.runs.append((now, item.cost))
         else:
             self.refused += 1
 
-    def tell(self, host: Host, kind: str, now: float) -> None:
+    def send_state(self, host: Host, kind: str, now: float) -> None:
         peers = list(host.others.peers.values())
         near = [peer.address for peer in peers if peer.is_near]
         if kind == 'near':
-            pause = max(0.01, mesh.INTERVAL_A_SQUARE * len(near) ** 2)
+            pause = max(0.01, mesh.SQUARED_PEERS_INTERVAL_S * len(near) ** 2)
             change: object = host.make_change()
-            if self.spread.random() < WHOLE_PART:
+            if self.rng.random() < WHOLE_STATE_SHARE:
                 change = host.make_state(now, mesh.Scope.WHOLE)
             self.send(change, near, now)
         elif kind == 'far':
-            pause = mesh.FAR_INTERVAL
+            pause = mesh.FAR_INTERVAL_S
             state = host.make_state(now, mesh.Scope.FAR)
             self.send(state, host.choose_far(), now)
         else:
-            pause = mesh.SEARCH_INTERVAL
+            pause = mesh.PROBE_INTERVAL_S
             state = host.make_state(now, mesh.Scope.SOUGHT)
             sought = [
                 item
                 for item in self._addresses
-                if item in host.others.list_sought()
+                if item in host.others.list_probed()
             ]
             self.send(state, sought, now)
-        self.plan(now + pause, kind, host.address, None)
+        self.add_event(now + pause, kind, host.address, None)
 
     def send(
         self,
@@ -317,11 +321,11 @@
         now: float,
     ) -> None:
         for target in targets:
-            way = self.spread.uniform(0.0005, LONGEST_WAY)
-            self.plan(now + way, 'state', target, state)
+            latency = self.rng.uniform(0.0005, MAX_LATENCY_S)
+            self.add_event(now + latency, 'state', target, state)
 
-    def find_most(self, window_s: float) -> float:
-        """Return the most units that ran within a window."""
+    def find_max_units(self, window_s: float) -> float:
+        """Return the maximum of units that ran within a window."""
         most = total = 0.0
         first = 0
         for at, cost in self.runs:
--- a/tests/faultmatrix.py
+++ b/tests/faultmatrix.py
@@ -1,15 +1,16 @@
-"""The fault matrix: every fault at every step of a request.
-
-A *row* is one fault; it runs its cells one after the other on one system of
-real processes, which has to recover in between. In each cell a caller posts
-one at-most-once request and behaves as callers should: it tries again under
-the same key, through another daemon, until it is told how the request ended.
-The fault strikes at the cell's step and is healed a little later.
-
-``EXPECTED`` states beforehand which final words are right. Whatever they
-are, in every cell: the key has run at most once; nobody was told "not run"
-of a key that had run; a complete answer was whole and its own; the last word
-came before the deadline; and no daemon's bundle version fell.
+"""Fault matrix: every fault at every step of a request.
+
+A *row* is one fault. Its cells run one after the other on one system of real
+processes, which has to recover in between. In each cell a caller posts one
+at-most-once request and behaves as callers should: it retries with the same
+key through another daemon until it receives the final outcome. The fault is
+injected at the cell's step and healed a little later.
+
+``EXPECTED_OUTCOMES`` lists the final outcomes that are correct. In addition,
+in every cell: the key was executed at most once; no caller was told "not run"
+about a key that had been executed; a complete answer was complete and
+belonged to its request; the final outcome arrived before the deadline; and no
+daemon's bundle version decreased.
 """
 
 import collections.abc
@@ -27,137 +28,137 @@
 from apricotstandins import processes
 import systems
 
-TOKENS = 30
-# Seconds in which the caller must have its last word.
-DEADLINE = 25.0
-# How long a fault lasts, in seconds: longer than a lease.
-DURATION = 2.5
-# How long a caller asks again when it is told "unknown" and when to come.
-PATIENCE = 12.0
-# Longer than the time after a takeover in which fresh keys may be unknown.
-SETTLE = 1.0
+OUTPUT_TOKENS = 30
+# The caller must have the final outcome within this time.
+DEADLINE_S = 25.0
+# Longer than a lease.
+FAULT_DURATION_S = 2.5
+# How long a caller retries after "unknown" with a retry-after header.
+UNKNOWN_RETRY_WINDOW_S = 12.0
+# Longer than the time after a takeover in which new keys may be unknown.
+SETTLE_DELAY_S = 1.0
 # Makes a decode step last about a tenth of a second.
-SLOW = 20.0
-# Seconds that a slow service takes for a call; over before a fault is healed.
-SLOW_CALL = 2.0
+SLOW_FACTOR = 20.0
+# Duration of a call to a slow service; it ends before the fault is healed.
+SLOW_CALL_S = 2.0
 
 COMPLETE = frozenset({'complete'})
 UNKNOWN = frozenset({'unknown'})
-EITHER = COMPLETE | UNKNOWN
+COMPLETE_OR_UNKNOWN = COMPLETE | UNKNOWN
 
-Act = collections.abc.Callable[['Cell'], None]
+CellAction = collections.abc.Callable[['Cell'], None]
 
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    strike: Act
-    heal: Act
+    inject: CellAction
+    heal: CellAction
 
 
 faults: dict[str, Fault] = {}
-steps: dict[str, Act] = {}
+steps: dict[str, CellAction] = {}
 
 
 def fault(
-    name: str, heal: Act | None = None
-) -> collections.abc.Callable[[Act], Act]:
-    def file_fault(strike: Act) -> Act:
-        faults[name] = Fault(strike, heal or (lambda cell: None))
-        return strike
+    name: str, heal: CellAction | None = None
+) -> collections.abc.Callable[[CellAction], CellAction]:
+    def register_fault(inject: CellAction) -> CellAction:
+        faults[name] = Fault(inject, heal or (lambda cell: None))
+        return inject
 
-    return file_fault
+    return register_fault
 
 
-def step(name: str) -> collections.abc.Callable[[Act], Act]:
-    def file_step(act: Act) -> Act:
-        steps[name] = act
-        return act
+def step(name: str) -> collections.abc.Callable[[CellAction], CellAction]:
+    def register_step(action: CellAction) -> CellAction:
+        steps[name] = action
+        return action
 
-    return file_step
+    return register_step
 
 
 @dataclasses.dataclass(frozen=True)
-class Work:
-    """A kind of at-most-once request and its back ends."""
+class Workload:
+    """A kind of at-most-once request, and the faults of its back ends."""
 
     route: str
     kind: str
     body: dict[str, ty.Any]
-    # Faults of a back end that works slowly, of one that takes requests and
-    # does nothing, and of one that is well.
-    slow: dict[str, ty.Any]
-    frozen: dict[str, ty.Any]
-    calm: dict[str, ty.Any]
-    # What the straggler does, and the connection that breaks.
-    straggler: dict[str, ty.Any]
-    cut: dict[str, ty.Any]
+    # Faults of a back end that is slow, of one that accepts requests but does
+    # not process them, and of one without faults.
+    slow_faults: dict[str, ty.Any]
+    frozen_faults: dict[str, ty.Any]
+    no_faults: dict[str, ty.Any]
+    # Faults of a straggler and of one that closes the connection.
+    straggler_faults: dict[str, ty.Any]
+    cut_faults: dict[str, ty.Any]
 
     def list_plans(
         self, system: deployment.Deployment
     ) -> list[deployment.RunnerPlan]:
         return [plan for plan in system.runners if plan.kind == self.kind]
 
-    def is_whole(self, reply: callers.Reply, key: str) -> bool:
+    def is_complete_answer(self, reply: callers.Reply, key: str) -> bool:
         if self.kind == 'engine':
-            return reply.is_whole(key, TOKENS)
+            return reply.is_complete_answer(key, OUTPUT_TOKENS)
         lines = reply.read_lines()
         return reply.outcome == 'complete' and lines[0].get('key') == key
 
 
-MODEL_WORK: ty.Final = Work(
+MODEL_WORKLOAD: ty.Final = Workload(
     route='rebuild',
     kind='engine',
-    body={'prompt': systems.make_prompt(64), 'max_tokens': TOKENS},
-    slow={'straggle': SLOW},
-    frozen={'is_frozen': True},
-    calm={'straggle': 1.0, 'is_frozen': False},
-    straggler={'straggle': 2 * SLOW},
-    cut={'cut_streams': 1, 'cut_after': 3},
+    body={'prompt': systems.make_prompt(64), 'max_tokens': OUTPUT_TOKENS},
+    slow_faults={'straggle': SLOW_FACTOR},
+    frozen_faults={'is_frozen': True},
+    no_faults={'straggle': 1.0, 'is_frozen': False},
+    straggler_faults={'straggle': 2 * SLOW_FACTOR},
+    cut_faults={'cut_streams': 1, 'cut_after': 3},
 )
-SERVICE_WORK: ty.Final = Work(
+SERVICE_WORKLOAD: ty.Final = Workload(
     route='manifest',
     kind='service',
     body={'site': 7, 'crates': 12},
-    slow={'delay_s': SLOW_CALL},
-    frozen={'is_frozen': True},
-    calm={'delay_s': 0.0, 'is_frozen': False, 'cut_answers': 0},
-    straggler={'delay_s': 2 * SLOW_CALL},
-    cut={'cut_answers': 1},
+    slow_faults={'delay_s': SLOW_CALL_S},
+    frozen_faults={'is_frozen': True},
+    no_faults={'delay_s': 0.0, 'is_frozen': False, 'cut_answers': 0},
+    straggler_faults={'delay_s': 2 * SLOW_CALL_S},
+    cut_faults={'cut_answers': 1},
 )
 
 
 class Caller(threading.Thread):
-    """Posts one request until it knows how it ended."""
+    """Posts one request until it receives the final outcome."""
 
     def __init__(
-        self, system: deployment.Deployment, work: Work, key: str
+        self, system: deployment.Deployment, workload: Workload, key: str
     ) -> None:
         super().__init__(daemon=True)
         self.system = system
-        self.work = work
+        self.workload = workload
         self.key = key
         self.hosts: list[str] = []
         self.replies: list[callers.Reply] = []
-        # What a reply said that the back ends' witnesses contradict.
-        self.untrue: list[str] = []
+        # Replies that contradict the back ends' execution counts.
+        self.contradictions: list[str] = []
         self.total_s = 0.0
 
     def run(self) -> None:
         started = time.monotonic()
         first: float | None = None
         turn = 0
-        while time.monotonic() < started + DEADLINE:
+        while time.monotonic() < started + DEADLINE_S:
             host = self.hosts[turn % len(self.hosts)]
             turn += 1
-            reply = self.post(host, started + DEADLINE - time.monotonic())
+            reply = self.post(host, started + DEADLINE_S - time.monotonic())
             self.replies.append(reply)
-            if reply.outcome in EITHER:
+            if reply.outcome in COMPLETE_OR_UNKNOWN:
                 if 'retry-after' not in reply.headers:
                     break
-                # Its holder may come back, or an owner be found; after a
-                # while the caller takes "unknown" for its answer.
+                # The request's holder may return, or a new owner may take
+                # over; after a while the caller accepts "unknown".
                 first = first or time.monotonic()
-                if time.monotonic() > first + PATIENCE:
+                if time.monotonic() > first + UNKNOWN_RETRY_WINDOW_S:
                     break
             if reply.outcome == 'not-run':
                 self._check_not_run(reply)
@@ -167,22 +168,22 @@
     def post(self, host: str, seconds: float) -> callers.Reply:
         return callers.post_request(
             self.system.daemons[host].callers,
-            self.work.route,
+            self.workload.route,
             systems.FESTIN,
-            self.work.body,
+            self.workload.body,
             self.key,
             deadline_ms=max(int(seconds * 1000), 1),
             timeout=seconds + 1.0,
         )
 
-    def find_last(self) -> callers.Reply:
-        # A connection that broke says nothing.
+    def find_last_reply(self) -> callers.Reply:
+        # A reply that was cut off has no outcome.
         for reply in reversed(self.replies):
             if reply.outcome != 'cut':
                 return reply
         return self.replies[-1]
 
-    def list_words(self) -> list[str]:
+    def list_outcomes(self) -> list[str]:
         return [
             f'{reply.outcome}/{reply.code or reply.error[:60]}'
             for reply in self.replies
@@ -191,7 +192,9 @@
     def _check_not_run(self, reply: callers.Reply) -> None:
         count = count_executions(self.system, self.key)
         if count > 0:
-            self.untrue.append(f'not-run ({reply.code}) after {count} runs')
+            self.contradictions.append(
+                f'not-run ({reply.code}) after {count} runs'
+            )
 
 
 class Cell:
@@ -200,74 +203,74 @@
     def __init__(
         self,
         system: deployment.Deployment,
-        work: Work,
+        workload: Workload,
         name: str,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self.system = system
-        self.work = work
+        self.workload = workload
         self.fault = faults[name]
-        self.draw = draw
+        self.rng = rng
         self.hosts = list(system.daemons)
-        self.entry = draw.choice(self.hosts)
-        time.sleep(SETTLE)
+        self.entry = rng.choice(self.hosts)
+        time.sleep(SETTLE_DELAY_S)
         self.key, self.owner = self._choose_key()
-        self.caller = Caller(system, work, self.key)
+        self.caller = Caller(system, workload, self.key)
         others = [host for host in self.hosts if host != self.entry]
-        draw.shuffle(others)
+        rng.shuffle(others)
         self.others = others
         self.caller.hosts = [self.entry, *others]
-        self.is_struck = False
+        self.is_injected = False
 
-    def strike(self) -> None:
-        self.fault.strike(self)
-        self.is_struck = True
+    def inject(self) -> None:
+        self.fault.inject(self)
+        self.is_injected = True
 
     def run(self, name: str) -> None:
-        """Run the step, let the fault last, heal, and wait for the end."""
+        """Run the step, heal the fault later, and wait for the caller."""
         try:
             steps[name](self)
-            time.sleep(DURATION)
+            time.sleep(FAULT_DURATION_S)
         finally:
             self.fault.heal(self)
-            self.calm()
-        self.caller.join(2 * DEADLINE)
+            self.clear_faults()
+        self.caller.join(2 * DEADLINE_S)
         if self.caller.is_alive():
             raise AssertionError('the caller has no last word')
         if name == 'drain':
             self.system.find_process(self.entry).wait()
-        self.restart_dead()
+        self.restart_stopped_daemons()
         self.system.wait_ready()
 
-    def calm(self) -> None:
-        for plan in self.work.list_plans(self.system):
-            self.system.set_faults(plan.name, **self.work.calm)
+    def clear_faults(self) -> None:
+        for plan in self.workload.list_plans(self.system):
+            self.system.set_faults(plan.name, **self.workload.no_faults)
 
-    def restart_dead(self) -> None:
-        for host, place in self.system.daemons.items():
+    def restart_stopped_daemons(self) -> None:
+        for host, entry_host in self.system.daemons.items():
             if not self.system.find_process(host).is_running():
                 self.system.start_daemon(host)
-                self.system.wait_for_http(place.callers, '/healthz')
+                self.system.wait_for_http(entry_host.callers, '/healthz')
 
     def slow_runners(self) -> None:
-        for plan in self.work.list_plans(self.system):
-            self.system.set_faults(plan.name, **self.work.slow)
+        for plan in self.workload.list_plans(self.system):
+            self.system.set_faults(plan.name, **self.workload.slow_faults)
 
     def freeze_runners(self) -> None:
-        for plan in self.work.list_plans(self.system):
-            self.system.set_faults(plan.name, **self.work.frozen)
+        for plan in self.workload.list_plans(self.system):
+            self.system.set_faults(plan.name, **self.workload.frozen_faults)
 
-    def thaw_runners(self) -> None:
-        for plan in self.work.list_plans(self.system):
+    def unfreeze_runners(self) -> None:
+        for plan in self.workload.list_plans(self.system):
             address = self.system.runner_addresses[plan.name]
             probe = callers.call_http(address, 'GET', '/standin/witness')
-            # One that the fault has killed is restarted without faults.
+            # One that the fault has killed restarts without faults.
             if probe.status == 200:
                 self.system.set_faults(plan.name, is_frozen=False)
 
-    def hold_grants(self, is_held: bool) -> None:
-        state = 'leaving' if is_held else 'live'
-        for plan in self.work.list_plans(self.system):
+    def block_grants(self, is_blocked: bool) -> None:
+        state = 'leaving' if is_blocked else 'live'
+        for plan in self.workload.list_plans(self.system):
             self.system.set_host_state(plan.name, state)
 
     def wait_started(self) -> None:
@@ -302,16 +305,16 @@
                 == self.entry
                 for number in range(shards)
             ):
-                # It has come to own them all: enter elsewhere.
+                # The entry daemon owns all claim shards: use another one.
                 self.entry = next(
                     host for host in self.hosts if host != self.entry
                 )
 
 
 def count_executions(system: deployment.Deployment, key: str) -> int:
-    """Return how often a key has run; back ends that are away count 0.
+    """Return the executions of a key; unreachable back ends count as 0.
 
-    The engines' count is taken before they do any work for the key.
+    Engines increment the count before they process the key.
     """
     total = 0
     for plan in system.runners:
@@ -329,100 +332,101 @@
 
 
 @step('before-claim')
-def strike_before_claim(cell: Cell) -> None:
-    cell.strike()
+def inject_before_claim(cell: Cell) -> None:
+    cell.inject()
     cell.caller.start()
 
 
 @step('before-grant')
-def strike_before_grant(cell: Cell) -> None:
-    cell.hold_grants(True)
+def inject_before_grant(cell: Cell) -> None:
+    cell.block_grants(True)
     time.sleep(1.2)
     cell.caller.start()
     cell.wait_open()
-    cell.strike()
-    cell.hold_grants(False)
+    cell.inject()
+    cell.block_grants(False)
 
 
 @step('before-first-byte')
-def strike_before_first_byte(cell: Cell) -> None:
+def inject_before_first_byte(cell: Cell) -> None:
     cell.freeze_runners()
     cell.caller.start()
     processes.wait_until(lambda: _is_accepted(cell), 'the engine has it')
-    cell.strike()
-    cell.thaw_runners()
+    cell.inject()
+    cell.unfreeze_runners()
 
 
 @step('mid-stream')
-def strike_mid_stream(cell: Cell) -> None:
+def inject_mid_stream(cell: Cell) -> None:
     cell.slow_runners()
     cell.caller.start()
     cell.wait_started()
-    cell.strike()
+    cell.inject()
 
 
 @step('after-end')
-def strike_after_end(cell: Cell) -> None:
-    # The caller goes away while it waits and comes back elsewhere.
+def inject_after_end(cell: Cell) -> None:
+    # The caller disconnects while it waits and retries at another daemon.
     address = cell.system.daemons[cell.entry].callers
     cell.freeze_runners()
     callers.post_request(
         address,
-        cell.work.route,
+        cell.workload.route,
         systems.FESTIN,
-        cell.work.body,
+        cell.workload.body,
         cell.key,
-        deadline_ms=int(DEADLINE * 1000),
+        deadline_ms=int(DEADLINE_S * 1000),
         timeout=0.5,
     )
-    cell.thaw_runners()
+    cell.unfreeze_runners()
     cell.wait_started()
     processes.wait_until(
         lambda: cell.system.read_status(cell.entry).get('open_requests') == 0,
         'the request has ended',
     )
-    cell.strike()
+    cell.inject()
     cell.caller.hosts = cell.others
     cell.caller.start()
 
 
 @step('takeover')
-def strike_in_takeover(cell: Cell) -> None:
+def inject_in_takeover(cell: Cell) -> None:
     cell.system.find_process(cell.owner).kill()
     cell.caller.start()
     time.sleep(0.5)
-    cell.strike()
+    cell.inject()
 
 
 @step('drain')
-def strike_in_drain(cell: Cell) -> None:
+def inject_in_drain(cell: Cell) -> None:
     cell.slow_runners()
     cell.caller.start()
     cell.wait_started()
     cell.system.find_process(cell.entry).send(signal.SIGTERM)
     time.sleep(0.2)
-    cell.strike()
+    cell.inject()
 
 
 @step('roll-out')
-def strike_in_roll_out(cell: Cell) -> None:
+def inject_in_roll_out(cell: Cell) -> None:
     cell.slow_runners()
     cell.caller.start()
     cell.wait_started()
     submitter = threading.Thread(target=_submit_next, args=[cell])
     submitter.start()
-    cell.strike()
+    cell.inject()
     submitter.join()
 
 
 def _is_accepted(cell: Cell) -> bool:
     return any(
-        _has_accepted(cell, plan) for plan in cell.work.list_plans(cell.system)
+        _has_accepted(cell, plan)
+        for plan in cell.workload.list_plans(cell.system)
     )
 
 
 def _has_accepted(cell: Cell, plan: deployment.RunnerPlan) -> bool:
-    # A service executes a call as soon as it has it.
+    # A service executes a call as soon as it receives it.
     witness = cell.system.read_witness(plan.name)
     found = witness.get('accepted', witness['executions'])
     return cell.key in found
@@ -440,9 +444,9 @@
 
 
 def resume_all(cell: Cell) -> None:
-    for place in cell.system.daemons.values():
-        if place.process is not None:
-            place.process.resume()
+    for entry_host in cell.system.daemons.values():
+        if entry_host.process is not None:
+            entry_host.process.resume()
 
 
 def heal_links(cell: Cell) -> None:
@@ -477,7 +481,7 @@
 
 @fault('kill-entry-and-owner')
 def kill_entry_and_owner(cell: Cell) -> None:
-    # Whoever knew of the grant is gone.
+    # No daemon that knew of the grant is left.
     cell.system.find_process(cell.entry).kill()
     cell.system.find_process(cell.owner).kill()
 
@@ -514,7 +518,7 @@
 
 @fault('slow-links', heal_links)
 def slow_links(cell: Cell) -> None:
-    cell.system.set_links(
+    cell.system.set_link_faults(
         **{
             name: {'delay_s': 0.1}
             for name in cell.system.relays
@@ -530,7 +534,7 @@
 
 @fault('log-out-kill-owner', heal_log)
 def stop_log_and_kill_owner(cell: Cell) -> None:
-    # Nobody can take over until the log is back.
+    # No daemon can take over until the log is available.
     cell.system.set_faults('log', is_out=True)
     cell.system.find_process(cell.owner).kill()
 
@@ -556,18 +560,18 @@
 
 @fault('hosts-stale', heal_lists)
 def delay_lists(cell: Cell) -> None:
-    cell.system.set_host_lag(2 * DURATION)
+    cell.system.set_host_lag(2 * FAULT_DURATION_S)
 
 
 @fault('straggler')
 def slow_down_engine(cell: Cell) -> None:
-    plan = cell.work.list_plans(cell.system)[0]
-    cell.system.set_faults(plan.name, **cell.work.straggler)
+    plan = cell.workload.list_plans(cell.system)[0]
+    cell.system.set_faults(plan.name, **cell.workload.straggler_faults)
 
 
 @fault('kill-runner', restart_runners)
 def kill_runner(cell: Cell) -> None:
-    for plan in cell.work.list_plans(cell.system):
+    for plan in cell.workload.list_plans(cell.system):
         if _has_accepted(cell, plan):
             break
     found = [
@@ -580,13 +584,13 @@
 
 @fault('cut-stream')
 def cut_stream(cell: Cell) -> None:
-    for plan in cell.work.list_plans(cell.system):
-        cell.system.set_faults(plan.name, **cell.work.cut)
+    for plan in cell.workload.list_plans(cell.system):
+        cell.system.set_faults(plan.name, **cell.workload.cut_faults)
 
 
 @fault('retry-elsewhere')
 def retry_elsewhere(cell: Cell) -> None:
-    second = Caller(cell.system, cell.work, cell.key)
+    second = Caller(cell.system, cell.workload, cell.key)
     second.hosts = list(reversed(cell.others))
     second.start()
 
@@ -607,62 +611,62 @@
         thread.start()
 
 
-# What the last word may be. A request whose holder dies is unknown: nobody
-# else knows how far it had come. One whose key was issued before a takeover
-# may be unknown, if nobody reports it.
-EXPECTED: ty.Final[dict[tuple[str, str], frozenset[str]]] = {
+# Correct final outcomes, if not only "complete". A request whose holder is
+# killed is unknown: no other daemon knows its progress. A request whose key
+# was issued before a takeover may be unknown if no daemon reports it.
+EXPECTED_OUTCOMES: ty.Final[dict[tuple[str, str], frozenset[str]]] = {
     ('kill-entry', 'before-grant'): UNKNOWN,
     ('kill-entry', 'before-first-byte'): UNKNOWN,
     ('kill-entry', 'mid-stream'): UNKNOWN,
     ('kill-entry', 'after-end'): UNKNOWN,
     ('kill-entry', 'drain'): UNKNOWN,
     ('kill-entry', 'roll-out'): UNKNOWN,
-    ('kill-entry', 'takeover'): EITHER,
-    ('kill-entry-and-owner', 'before-claim'): EITHER,
+    ('kill-entry', 'takeover'): COMPLETE_OR_UNKNOWN,
+    ('kill-entry-and-owner', 'before-claim'): COMPLETE_OR_UNKNOWN,
     ('kill-entry-and-owner', 'before-grant'): UNKNOWN,
     ('kill-entry-and-owner', 'before-first-byte'): UNKNOWN,
     ('kill-entry-and-owner', 'mid-stream'): UNKNOWN,
     ('kill-entry-and-owner', 'after-end'): UNKNOWN,
     ('kill-entry-and-owner', 'drain'): UNKNOWN,
     ('kill-entry-and-owner', 'roll-out'): UNKNOWN,
-    ('kill-owner', 'before-claim'): EITHER,
-    ('log-out-kill-owner', 'before-claim'): EITHER,
-    ('freeze-owner', 'before-claim'): EITHER,
-    ('cut-owner', 'before-claim'): EITHER,
-    ('cut-entry', 'before-claim'): EITHER,
-    ('cut-entry-one-way', 'before-claim'): EITHER,
-    ('cut-entry', 'after-end'): EITHER,
-    ('cut-entry-one-way', 'after-end'): EITHER,
-    ('freeze-entry', 'after-end'): EITHER,
-    ('freeze-entry', 'before-claim'): EITHER,
-    ('freeze-entry', 'drain'): EITHER,
-    # The engine forgets what it ran.
-    ('kill-runner', 'before-first-byte'): EITHER,
-    ('kill-runner', 'mid-stream'): EITHER,
-    ('kill-runner', 'drain'): EITHER,
-    ('kill-runner', 'roll-out'): EITHER,
+    ('kill-owner', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('log-out-kill-owner', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('freeze-owner', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('cut-owner', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('cut-entry', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('cut-entry-one-way', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('cut-entry', 'after-end'): COMPLETE_OR_UNKNOWN,
+    ('cut-entry-one-way', 'after-end'): COMPLETE_OR_UNKNOWN,
+    ('freeze-entry', 'after-end'): COMPLETE_OR_UNKNOWN,
+    ('freeze-entry', 'before-claim'): COMPLETE_OR_UNKNOWN,
+    ('freeze-entry', 'drain'): COMPLETE_OR_UNKNOWN,
+    # A restarted engine has lost its record of executions.
+    ('kill-runner', 'before-first-byte'): COMPLETE_OR_UNKNOWN,
+    ('kill-runner', 'mid-stream'): COMPLETE_OR_UNKNOWN,
+    ('kill-runner', 'drain'): COMPLETE_OR_UNKNOWN,
+    ('kill-runner', 'roll-out'): COMPLETE_OR_UNKNOWN,
 }
 
 
-def find_expected(
-    fault_name: str, step_name: str, work: Work = MODEL_WORK
+def find_expected_outcomes(
+    fault_name: str, step_name: str, workload: Workload = MODEL_WORKLOAD
 ) -> frozenset[str]:
     if step_name == 'takeover':
-        return EITHER
-    if work is SERVICE_WORK and fault_name == 'cut-stream':
-        # A service's answer cannot be resumed, and its call not repeated.
+        return COMPLETE_OR_UNKNOWN
+    if workload is SERVICE_WORKLOAD and fault_name == 'cut-stream':
+        # A service's answer cannot be resumed, nor its call be retried.
         return COMPLETE if step_name == 'after-end' else UNKNOWN
-    return EXPECTED.get((fault_name, step_name), COMPLETE)
+    return EXPECTED_OUTCOMES.get((fault_name, step_name), COMPLETE)
 
 
 class VersionWatch(threading.Thread):
-    """Looks for a daemon whose bundle version falls."""
+    """Detects daemons whose bundle version decreases."""
 
     def __init__(self, system: deployment.Deployment) -> None:
         super().__init__(daemon=True)
         self.system = system
         self.highest: dict[str, int] = {}
-        self.fallen: list[str] = []
+        self.version_drops: list[str] = []
         self.is_over = threading.Event()
 
     def run(self) -> None:
@@ -674,60 +678,64 @@
                 name = status['incarnation']
                 version = status['bundle']
                 if version < self.highest.get(name, 0):
-                    self.fallen.append(f'{name} fell to {version}')
+                    self.version_drops.append(f'{name} fell to {version}')
                 self.highest[name] = version
 
 
 def run_cell(
     system: deployment.Deployment,
-    work: Work,
+    workload: Workload,
     fault_name: str,
     step_name: str,
     seed: int,
 ) -> list[str]:
-    """Run one cell; return what was wrong."""
-    draw = random.Random(f'{seed}{step_name}')
-    cell = Cell(system, work, fault_name, draw)
+    """Run one cell; return its failures."""
+    rng = random.Random(f'{seed}{step_name}')
+    cell = Cell(system, workload, fault_name, rng)
     caller = cell.caller
     try:
         cell.run(step_name)
     except AssertionError as error:
-        return [f'{error} (seed {seed}, was told {caller.list_words()})']
-    wrong = list(caller.untrue)
-    last = caller.find_last()
-    if last.outcome not in find_expected(fault_name, step_name, work):
-        wrong.append(f'last word {last.outcome} {last.code}')
-    if caller.total_s > DEADLINE + 2.0:
-        wrong.append(f'last word after {caller.total_s:.1f} s')
-    if last.outcome == 'complete' and not work.is_whole(last, cell.key):
-        wrong.append('the answer is not whole or not its own')
+        return [f'{error} (seed {seed}, was told {caller.list_outcomes()})']
+    failures = list(caller.contradictions)
+    last = caller.find_last_reply()
+    if last.outcome not in find_expected_outcomes(
+        fault_name, step_name, workload
+    ):
+        failures.append(f'last word {last.outcome} {last.code}')
+    if caller.total_s > DEADLINE_S + 2.0:
+        failures.append(f'last word after {caller.total_s:.1f} s')
+    if last.outcome == 'complete' and not workload.is_complete_answer(
+        last, cell.key
+    ):
+        failures.append('the answer is not whole or not its own')
     count = count_executions(system, cell.key)
     if count > 1:
-        wrong.append(f'ran {count} times')
+        failures.append(f'ran {count} times')
     if last.outcome == 'not-run' and count > 0:
-        wrong.append('told not-run, and ran')
+        failures.append('told not-run, and ran')
     if last.outcome == 'complete' and count == 0:
         if fault_name != 'kill-runner':
-            wrong.append('told complete, and did not run')
-    words = caller.list_words()
-    return [f'{text} (seed {seed}, was told {words})' for text in wrong]
+            failures.append('told complete, and did not run')
+    outcomes = caller.list_outcomes()
+    return [f'{text} (seed {seed}, was told {outcomes})' for text in failures]
 
 
 def run_row(
     system: deployment.Deployment,
-    work: Work,
+    workload: Workload,
     fault_name: str,
     step_names: collections.abc.Iterable[str],
     seed: int,
 ) -> dict[str, list[str]]:
-    """Run a fault at many steps; return what was wrong, by step."""
+    """Run a fault at several steps; return the failures by step."""
     watch = VersionWatch(system)
     watch.start()
     results: dict[str, list[str]] = {}
     for name in step_names:
-        results[name] = run_cell(system, work, fault_name, name, seed)
+        results[name] = run_cell(system, workload, fault_name, name, seed)
     watch.is_over.set()
     watch.join()
-    if watch.fallen:
-        results['versions'] = watch.fallen
+    if watch.version_drops:
+        results['versions'] = watch.version_drops
     return results
--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -1,9 +1,9 @@
-"""Generated input: values of a wrong shape, and how many of them are tried.
+"""Strategies for malformed input, and the number of examples per test.
 
-Most faults lie close to good input: one field of another type, one byte that
-is another one. So good values are spoiled in a few places, besides plain
-random ones. Without ``APRICOT_EXAMPLES`` a test tries the same examples in
-each run, so that its verdict changes only with the code.
+Most faults are triggered by input that is almost valid: one field of another
+type, or one changed byte. So besides random values, valid values are corrupted
+in a few places. Without ``APRICOT_EXAMPLES`` a test uses the same examples in
+each run, so that its result changes only with the code.
 """
 
 import copy
@@ -17,19 +17,19 @@
 
 __all__ = [
     'JSON',
-    'give_examples',
+    'configure_examples',
+    'corrupt',
+    'corrupt_bytes',
+    'encode_json',
+    'generate_corrupted',
     'list_seeds',
-    'spoil',
-    'spoil_bytes',
-    'write_json',
-    'write_spoiled',
 ]
 
-VARIABLE = 'APRICOT_EXAMPLES'
-# Examples of each test that are tried without the variable; half a second.
+EXAMPLES_VARIABLE = 'APRICOT_EXAMPLES'
+# Examples per test if the variable is not set; they take half a second.
 EXAMPLES = 150
-# Examples of the other tests that take about as long as a play of whole hosts.
-EXAMPLES_A_SEED = 500
+# Examples that take about as long as one seed of a test with whole hosts.
+EXAMPLES_PER_SEED = 500
 T = ty.TypeVar('T')
 
 _SCALARS = strategies.one_of(
@@ -41,7 +41,7 @@
     ),
     strategies.floats(),
     strategies.sampled_from([1e308, -1e308, 1e16, 0.1, -0.0]),
-    # With halves of characters, which JSON can hold and UTF-8 cannot.
+    # With lone surrogates, which JSON can represent and UTF-8 cannot.
     strategies.text(strategies.characters(exclude_categories=()), max_size=20),
     strategies.sampled_from(
         [
@@ -68,7 +68,7 @@
     ),
     max_leaves=8,
 )
-_DEEP = strategies.sampled_from(
+_PATHOLOGICAL = strategies.sampled_from(
     [
         b'[' * 100_000,
         b'{"a":' * 50_000,
@@ -82,13 +82,13 @@
 )
 
 
-def give_examples() -> ty.Callable[[T], T]:
-    """Return the decorator that says how many examples a test tries."""
-    is_fresh = VARIABLE in os.environ
+def configure_examples() -> ty.Callable[[T], T]:
+    """Return the decorator with the Hypothesis settings of a test."""
+    is_fresh = EXAMPLES_VARIABLE in os.environ
     return ty.cast(
         ty.Callable[[T], T],
         hypothesis.settings(
-            max_examples=int(os.environ.get(VARIABLE, EXAMPLES)),
+            max_examples=int(os.environ.get(EXAMPLES_VARIABLE, EXAMPLES)),
             derandomize=not is_fresh,
             deadline=None,
             database=None,
@@ -98,30 +98,30 @@
 
 
 def list_seeds() -> list[int]:
-    """Return the seeds of tests that play whole hosts.
+    """Return the seeds for tests that simulate whole hosts.
 
-    One that is always the same, or as many fresh ones as fit the time that
-    the examples of the other tests take.
+    Without the variable, this is one fixed seed; otherwise as many random ones
+    as fit the time that the examples of the other tests take.
     """
-    if VARIABLE not in os.environ:
+    if EXAMPLES_VARIABLE not in os.environ:
         return [1]
-    count = max(1, int(os.environ[VARIABLE]) // EXAMPLES_A_SEED)
+    count = max(1, int(os.environ[EXAMPLES_VARIABLE]) // EXAMPLES_PER_SEED)
     return [int.from_bytes(os.urandom(4), 'big') for _ in range(count)]
 
 
 @strategies.composite
-def spoil(draw: strategies.DrawFn, good: ty.Any) -> ty.Any:
-    """Return a good value with a few places spoiled."""
+def corrupt(draw: strategies.DrawFn, good: ty.Any) -> ty.Any:
+    """Return a valid value that is corrupted in a few places."""
     value = copy.deepcopy(good)
     for _ in range(draw(strategies.integers(1, 3))):
-        value = _spoil_once(draw, value)
+        value = _corrupt_once(draw, value)
     return value
 
 
-def _spoil_once(draw: strategies.DrawFn, value: ty.Any) -> ty.Any:
+def _corrupt_once(draw: strategies.DrawFn, value: ty.Any) -> ty.Any:
     if not isinstance(value, (dict, list)) or not value:
         return draw(JSON)
-    # Mostly further in: there are far more places there.
+    # Mostly descend, as most of the value is nested.
     if draw(strategies.integers(0, 9)) == 0:
         return draw(JSON)
     keys = list(value) if isinstance(value, dict) else range(len(value))
@@ -129,13 +129,13 @@
     if draw(strategies.integers(0, 4)) == 0:
         del value[key]
     else:
-        value[key] = _spoil_once(draw, value[key])
+        value[key] = _corrupt_once(draw, value[key])
     return value
 
 
 @strategies.composite
-def spoil_bytes(draw: strategies.DrawFn, good: bytes) -> bytes:
-    """Return good data that was cut, changed or added to."""
+def corrupt_bytes(draw: strategies.DrawFn, good: bytes) -> bytes:
+    """Return valid data that is truncated, changed or extended."""
     data = good
     for _ in range(draw(strategies.integers(1, 4))):
         place = draw(strategies.integers(0, len(data)))
@@ -151,7 +151,7 @@
         elif kind == 2:
             data = data[:place] + draw(strategies.binary(max_size=8))
         elif kind == 3:
-            # A length or an offset that leaps.
+            # A wrong length or offset.
             number = draw(
                 strategies.sampled_from([0, 1, 2**16, 2**31, 2**32 - 1])
             )
@@ -163,17 +163,17 @@
     return data
 
 
-def write_spoiled(good: ty.Any) -> strategies.SearchStrategy[bytes]:
-    """Return texts that are nearly the JSON of a good value, or far off."""
+def generate_corrupted(good: ty.Any) -> strategies.SearchStrategy[bytes]:
+    """Return a strategy for corrupted JSON of a value and random data."""
     return strategies.one_of(
-        spoil(good).map(write_json),
-        spoil_bytes(write_json(good)),
-        JSON.map(write_json),
+        corrupt(good).map(encode_json),
+        corrupt_bytes(encode_json(good)),
+        JSON.map(encode_json),
         strategies.binary(max_size=200),
-        _DEEP,
+        _PATHOLOGICAL,
     )
 
 
-def write_json(value: ty.Any) -> bytes:
-    """Return a value as JSON; a whole number may be as long as it likes."""
+def encode_json(value: ty.Any) -> bytes:
+    """Return a value as JSON, with integers of any length."""
     return json.dumps(value).encode()
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -1,4 +1,4 @@
-"""Parts that the tests of the gateway's decisions are made of."""
+"""Factories for the tests of the gateway's decisions."""
 
 import dataclasses
 import typing as ty
@@ -6,16 +6,16 @@
 from apricotlanding import addresses
 from apricotlanding import ids
 from apricotlandingd.gateway import catalogue
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
 
 __all__ = [
     'POOL',
     'make_entry',
     'make_organisation',
+    'make_queued_request',
     'make_start',
-    'make_ticket',
     'take_units',
 ]
 
@@ -23,7 +23,7 @@
 
 
 def make_start(name: str, birth: int | None = None) -> ids.RunnerStart:
-    """Return a start of a runner; without a birth, the only one."""
+    """Return a start of a runner; without ``birth``, its only one."""
     return ids.make_runner_start(ids.Runner(name), birth)
 
 
@@ -33,7 +33,7 @@
     is_draining: bool = False,
     birth: int | None = None,
 ) -> dialect.RunnerEntry:
-    """Return a runner of the pool."""
+    """Return the entry of a runner of the pool."""
     return dialect.RunnerEntry(
         start=make_start(name, birth),
         service=POOL,
@@ -45,7 +45,7 @@
 
 
 def make_organisation(units: float) -> catalogue.Organisation:
-    """Return an organisation with so many units a second, and at once."""
+    """Return an organisation with ``units`` as its rate and its burst."""
     return catalogue.Organisation(
         name=ids.Organisation('festin'),
         keys=frozenset(),
@@ -57,9 +57,11 @@
     )
 
 
-def make_ticket(attempt: str, now: float, **changes: ty.Any) -> waiting.Ticket:
-    """Return a request of the pool's most urgent tier, on time for 1 s."""
-    ticket = waiting.Ticket(
+def make_queued_request(
+    attempt: str, now: float, **changes: ty.Any
+) -> queueing.QueuedRequest:
+    """Return a request of the highest tier that is on time for 1 s."""
+    request = queueing.QueuedRequest(
         attempt=attempt,
         service=POOL,
         tier=ids.Tier(0),
@@ -72,7 +74,7 @@
         events=10,
         last_part='',
     )
-    return dataclasses.replace(ticket, **changes)
+    return dataclasses.replace(request, **changes)
 
 
 def take_units(
@@ -81,11 +83,11 @@
     cost: float,
     silent_share: float,
     now: float,
-    group_part: float = 1.0,
+    group_share: float = 1.0,
 ) -> float | None:
-    """Hand out units, or return seconds until there are enough."""
-    terms = quotas.Terms(silent_share, group_part)
-    wait = buckets.find_wait(organisation, cost, terms, now)
+    """Hand out units, or return seconds until enough are available."""
+    share = quotas.AllowanceShare(silent_share, group_share)
+    wait = buckets.find_wait(organisation, cost, share, now)
     if wait is None:
         buckets.charge(organisation, cost)
     return wait
--- a/tests/ownershipmodel.py
+++ b/tests/ownershipmodel.py
@@ -1,11 +1,12 @@
-"""A world of a few daemons, one shard and a log, in which time is a number.
+"""Simulation of a few daemons, one shard and a log, with simulated time.
 
-The rules under test are the real ones: ``LogFollower.take_batch``,
-``ShardView``, ``PromiseBook``, ``Right``, ``find_serve_time`` and
-``ClaimTable``. The world only decides what happens when: which appends land,
-late or never; who reads how far; which messages arrive, and when.
+The rules under test are the real ones: ``LogFollower.apply_batch``,
+``ShardView``, ``PromiseTable``, ``Lease``, ``find_serve_time`` and
+``ClaimTable``. The simulation only decides the order of events: which appends
+are committed, late or never; who reads how far; which messages arrive, and
+when.
 
-After every step ``check`` looks for two owners with a valid right at the
+After every step ``check`` looks for two owners with a valid lease at the
 same time, and for a key with two grants that were not released.
 """
 
@@ -25,16 +26,16 @@
 
 SHARD = ids.Shard('claims/0')
 ORGANISATION = ids.Organisation('festin')
-LEASE = 1.0
-OUTAGE_LIMIT = 10.0
-SKEW = 0.25
-LIMITS = bundle.Limits(clock_skew_s=SKEW)
+LEASE_S = 1.0
+OUTAGE_LIMIT_S = 10.0
+CLOCK_SKEW_S = 0.25
+LIMITS = bundle.Limits(clock_skew_s=CLOCK_SKEW_S)
 # Wall clock time at monotonic time 0.
-EPOCH_WALL = 1_700_000_000.0
+WALL_START_S = 1_700_000_000.0
 
 
 class Violation(AssertionError):
-    """A promise of the system is broken."""
+    """A guarantee of the system is broken."""
 
 
 @dataclasses.dataclass(eq=False)
@@ -44,18 +45,18 @@
 
 
 @dataclasses.dataclass(eq=False)
-class Letter:
-    """A promise on its way: asked for, or given as well."""
+class PromiseCall:
+    """A request for a promise in flight, or its reply."""
 
     owner: 'Node'
-    giver: 'Node'
+    promiser: 'Node'
     request: wire.PromiseRequest
     sent_at: float
     given: wire.Promise | None = None
 
 
 @dataclasses.dataclass(eq=False)
-class Granted:
+class GrantedClaim:
     key: ids.Key
     node: 'Node'
     ticket: str
@@ -73,32 +74,32 @@
         )
         self.view = shardview.ShardView()
         self.follower.add_observer(self.view)
-        self.book = leases.PromiseBook()
-        self.right: leases.Right | None = None
+        self.promises = leases.PromiseTable()
+        self.lease: leases.Lease | None = None
         self.table: claimtable.ClaimTable | None = None
         self.is_serving = False
         self.ended_at = 0.0
         self.wall_offset = wall_offset
         self.sequence = 0
         self.is_dead = False
-        # Number of an append in doubt, by what it was.
-        self.doubts: dict[str, int] = {}
+        # Sequence number of an unconfirmed append, by kind.
+        self.unconfirmed_appends: dict[str, int] = {}
         self.sent_at: dict[int, float] = {}
         self.pending_successor: ids.Incarnation | None = None
 
     def wall(self, now: float) -> float:
-        return EPOCH_WALL + now + self.wall_offset
+        return WALL_START_S + now + self.wall_offset
 
 
-class World:
-    """Everything that a step may touch."""
+class Simulation:
+    """State that a step may change."""
 
     def __init__(self, hosts: int = 3, skews: ty.Sequence[float] = ()) -> None:
         self.now = 0.0
         self.log: list[tuple[ids.Offset, bytes]] = []
-        self.flying: list[Append] = []
-        self.letters: list[Letter] = []
-        self.granted: list[Granted] = []
+        self.in_flight: list[Append] = []
+        self.calls: list[PromiseCall] = []
+        self.granted: list[GrantedClaim] = []
         self.tickets = 0
         self.runs = 0
         offsets = [*skews, *[0.0] * hosts]
@@ -109,140 +110,151 @@
 
     # The log.
 
-    def send(self, node: Node, body: object, doubt: str = '') -> Append:
+    def send(self, node: Node, body: object, append_kind: str = '') -> Append:
         node.sequence += 1
         node.sent_at[node.sequence] = self.now
-        if doubt:
-            node.doubts[doubt] = node.sequence
+        if append_kind:
+            node.unconfirmed_appends[append_kind] = node.sequence
         envelope = records.Envelope(node.incarnation, node.sequence, body)
         append = Append(envelope, self.now)
-        self.flying.append(append)
+        self.in_flight.append(append)
         return append
 
-    def land(self, append: Append) -> None:
-        self.flying.remove(append)
+    def commit(self, append: Append) -> None:
+        self.in_flight.remove(append)
         offset = ids.Offset(len(self.log))
         self.log.append((offset, append.envelope.encode()))
 
     def read(self, node: Node, count: int = 1_000_000) -> None:
-        """Let a node read some records and act as ``Owners`` would."""
+        """Let a node read records and act as ``OwnershipManager`` would."""
         for offset, data in self.log[node.follower.next :][:count]:
             batch = platformlog.LogBatch(
                 ids.Offset(0), ids.Offset(offset + 1), False, [(offset, data)]
             )
-            node.follower.take_batch(batch, self.now)
+            node.follower.apply_batch(batch, self.now)
             envelope = records.decode_envelope(data)
             if envelope.sender == node.incarnation:
                 self._read_back(node, envelope.sequence)
-            self._look(node)
+            self._update_ownership(node)
 
     def _read_back(self, node: Node, sequence: int) -> None:
         node.follower.confirmed_at = node.sent_at[sequence]
-        for doubt, number in list(node.doubts.items()):
+        for append_kind, number in list(node.unconfirmed_appends.items()):
             if number <= sequence:
-                del node.doubts[doubt]
-        if 'name' not in node.doubts and node.right is not None:
+                del node.unconfirmed_appends[append_kind]
+        if 'name' not in node.unconfirmed_appends and node.lease is not None:
             entry = node.view.get(SHARD)
             if entry is not None and entry.owner == node.incarnation:
-                node.right.require_only(entry.successor)
+                node.lease.remove_other_promisers(entry.successor)
 
-    def _look(self, node: Node) -> None:
+    def _update_ownership(self, node: Node) -> None:
         entry = node.view.get(SHARD)
-        assert entry is not None or not self.log or node.right is None
+        assert entry is not None or not self.log or node.lease is None
         if entry is None:
             return
         is_mine = entry.owner == node.incarnation and not entry.is_released
-        if node.right is not None:
-            if is_mine and entry.epoch == node.right.epoch:
+        if node.lease is not None:
+            if is_mine and entry.epoch == node.lease.epoch:
                 if entry.is_serving and not node.is_serving:
-                    self._begin(node, node.right)
+                    self._begin(node, node.lease)
                 return
             was_serving = node.is_serving
-            epoch = node.right.epoch
-            node.right = None
+            epoch = node.lease.epoch
+            node.lease = None
             node.table = None
             node.is_serving = False
             if was_serving and entry.owner != node.incarnation:
                 self.send(node, records.Release(SHARD, epoch))
         if is_mine:
-            node.right = leases.Right(
+            node.lease = leases.Lease(
                 entry.epoch, entry.lease_s, entry.outage_limit_s
             )
             if entry.successor is not None:
-                node.right.require(entry.successor, self.now)
+                node.lease.add_promiser(entry.successor, self.now)
 
-    def _begin(self, node: Node, right: leases.Right) -> None:
+    def _begin(self, node: Node, lease: leases.Lease) -> None:
         node.is_serving = True
-        line = None
-        if right.epoch > 1:
+        cutoff_at = None
+        if lease.epoch > 1:
             ended = node.wall(self.now) - (self.now - node.ended_at)
-            line = ended + 2 * SKEW
-        node.table = claimtable.ClaimTable(right.epoch, LIMITS, line)
+            cutoff_at = ended + 2 * CLOCK_SKEW_S
+        node.table = claimtable.ClaimTable(lease.epoch, LIMITS, cutoff_at)
 
     # What a daemon may do at any time.
 
     def take(self, node: Node, successor: Node | None) -> Append | None:
         entry = node.view.get(SHARD)
-        if 'take' in node.doubts or node.right is not None:
+        if 'take' in node.unconfirmed_appends or node.lease is not None:
             return None
         epoch = ids.Epoch(1 if entry is None else entry.epoch + 1)
         name = None if successor is None else successor.incarnation
-        take = records.Take(SHARD, epoch, name, LEASE, OUTAGE_LIMIT)
+        take = records.Take(SHARD, epoch, name, LEASE_S, OUTAGE_LIMIT_S)
         return self.send(node, take, 'take')
 
     def serve(self, node: Node) -> Append | None:
         entry = node.view.get(SHARD)
-        if node.right is None or entry is None or node.is_serving:
+        if node.lease is None or entry is None or node.is_serving:
             return None
-        at = leases.find_serve_time(SHARD, entry, node.incarnation, node.book)
+        at = leases.find_serve_time(
+            SHARD, entry, node.incarnation, node.promises
+        )
         if self.now < at:
             return None
         node.ended_at = at
-        return self.send(node, records.Serving(SHARD, node.right.epoch))
+        return self.send(node, records.Serving(SHARD, node.lease.epoch))
 
-    def name(self, node: Node, successor: Node | None) -> Append | None:
-        if node.right is None or not node.is_serving:
+    def name_successor(
+        self, node: Node, successor: Node | None
+    ) -> Append | None:
+        if node.lease is None or not node.is_serving:
             return None
-        if 'name' in node.doubts:
+        if 'name' in node.unconfirmed_appends:
             return None
         name = None if successor is None else successor.incarnation
         if name is not None:
-            node.right.require(name, self.now)
-        change = records.NameSuccessor(SHARD, node.right.epoch, name)
+            node.lease.add_promiser(name, self.now)
+        change = records.NameSuccessor(SHARD, node.lease.epoch, name)
         return self.send(node, change, 'name')
 
-    def ask(self, owner: Node, giver: Node) -> Letter | None:
-        if owner.right is None or owner is giver:
+    def request_promise(
+        self, owner: Node, promiser: Node
+    ) -> PromiseCall | None:
+        if owner.lease is None or owner is promiser:
             return None
-        place = (SHARD, owner.right.epoch)
-        letter = Letter(
-            owner, giver, wire.PromiseRequest([place], LEASE), self.now
+        shard_epoch = (SHARD, owner.lease.epoch)
+        call = PromiseCall(
+            owner,
+            promiser,
+            wire.PromiseRequest([shard_epoch], LEASE_S),
+            self.now,
         )
-        self.letters.append(letter)
-        return letter
-
-    def carry(self, letter: Letter) -> None:
-        """Bring a letter to its next reader."""
-        giver = letter.giver
-        if letter.given is None:
-            if giver.is_dead:
-                self.letters.remove(letter)
+        self.calls.append(call)
+        return call
+
+    def deliver(self, call: PromiseCall) -> None:
+        """Deliver the request of a call, or its reply."""
+        promiser = call.promiser
+        if call.given is None:
+            if promiser.is_dead:
+                self.calls.remove(call)
                 return
-            given = giver.book.give(letter.request, giver.view, self.now)
-            confirmed = giver.follower.confirmed_at
+            given = promiser.promises.give(
+                call.request, promiser.view, self.now
+            )
+            confirmed = promiser.follower.confirmed_at
             age = None if confirmed is None else self.now - confirmed
-            letter.given = wire.Promise(given, age)
+            call.given = wire.Promise(given, age)
             return
-        self.letters.remove(letter)
-        right = letter.owner.right
-        for _, epoch in letter.given.shards:
-            if right is None or right.epoch != epoch:
+        self.calls.remove(call)
+        lease = call.owner.lease
+        for _, epoch in call.given.shards:
+            if lease is None or lease.epoch != epoch:
                 continue
-            right.note_promise(
-                giver.incarnation,
-                letter.sent_at,
-                LEASE,
-                letter.given.confirmed_age_s,
+            lease.record_promise(
+                promiser.incarnation,
+                call.sent_at,
+                LEASE_S,
+                call.given.confirmed_age_s,
             )
 
     def claim(
@@ -257,14 +269,14 @@
         )
         wall = owner.wall(self.now)
         reply = owner.table.decide(request, asker.incarnation, wall)
-        if isinstance(reply, claimtable.Pause):
+        if isinstance(reply, claimtable.Deferral):
             return None
         if reply.verdict is wire.ClaimVerdict.GRANTED:
-            self.granted.append(Granted(key, asker, request.ticket))
+            self.granted.append(GrantedClaim(key, asker, request.ticket))
         return reply.verdict
 
     def report(self, owner: Node, sender: Node) -> None:
-        """Let a daemon tell a new owner what it holds."""
+        """Let a daemon report its claims to a new owner."""
         if owner.table is None or sender.is_dead:
             return
         held = [
@@ -286,8 +298,8 @@
             owner.wall(self.now),
         )
 
-    def release(self, item: Granted) -> wire.ClaimEnd:
-        """Let a holder give up a key that it did not run."""
+    def release(self, item: GrantedClaim) -> wire.ClaimEnd:
+        """Let a holder release a key that it did not run."""
         item.is_released = True
         return wire.ClaimEnd(
             SHARD,
@@ -300,61 +312,65 @@
     def restart(self, node: Node) -> Node:
         """Kill a daemon and start another on its host."""
         node.is_dead = True
-        node.right = None
+        node.lease = None
         node.table = None
         fresh = Node(node.host, self._count_run(), node.wall_offset)
         self.nodes[self.nodes.index(node)] = fresh
         return fresh
 
     def has_right(self, node: Node) -> bool:
-        if node.right is None or not node.is_serving:
+        if node.lease is None or not node.is_serving:
             return False
         if node.follower.confirmed_at is not None:
-            node.right.note_confirmed(node.follower.confirmed_at)
-        return node.right.is_valid(self.now)
+            node.lease.record_confirmation(node.follower.confirmed_at)
+        return node.lease.is_valid(self.now)
 
     def check(self) -> None:
-        """Raise Violation if a promise is broken."""
+        """Raise Violation if a guarantee is broken."""
         valid = [node for node in self.nodes if self.has_right(node)]
         if len(valid) > 1:
             names = [node.incarnation for node in valid]
-            raise Violation(f'two rights at {self.now}: {names}')
+            raise Violation(f'two valid leases at {self.now}: {names}')
         open_keys = [item.key for item in self.granted if not item.is_released]
         if len(set(open_keys)) < len(open_keys):
             raise Violation(f'a key was granted twice: {open_keys}')
 
     def make_key(self, ahead_s: float = 0.0) -> ids.Key:
         """Issue a key by a caller whose clock is off."""
-        return ids.Key(callers.make_key(EPOCH_WALL + self.now + ahead_s))
+        return ids.Key(callers.make_key(WALL_START_S + self.now + ahead_s))
 
     def _count_run(self) -> int:
         self.runs += 1
         return self.runs
 
 
-def start_serving(world: World, owner: Node, successor: Node | None) -> None:
-    """Bring an owner to serve, with everybody having read the log."""
-    append = world.take(owner, successor)
+def start_serving(
+    simulation: Simulation, owner: Node, successor: Node | None
+) -> None:
+    """Let an owner serve, after all nodes have read the log."""
+    append = simulation.take(owner, successor)
     assert append is not None
-    settle(world, append)
-    append = world.serve(owner)
+    settle(simulation, append)
+    append = simulation.serve(owner)
     assert append is not None
-    settle(world, append)
+    settle(simulation, append)
     if successor is not None:
-        exchange(world, owner, successor)
+        exchange_promise(simulation, owner, successor)
 
 
-def settle(world: World, append: Append) -> None:
-    """Land a record and let everybody read it."""
-    world.land(append)
-    for node in world.nodes:
-        world.read(node)
+def settle(simulation: Simulation, append: Append) -> None:
+    """Commit a record and let all nodes read it."""
+    simulation.commit(append)
+    for node in simulation.nodes:
+        simulation.read(node)
 
 
-def exchange(world: World, owner: Node, giver: Node) -> None:
-    """Ask for a promise and get it, all at once."""
-    letter = world.ask(owner, giver)
-    if letter is not None:
-        world.carry(letter)
-        if letter in world.letters:
-            world.carry(letter)
+def exchange_promise(
+    simulation: Simulation, owner: Node, promiser: Node
+) -> None:
+    """Request a promise and receive it at once."""
+    call = simulation.request_promise(owner, promiser)
+    if call is not None:
+        simulation.deliver(call)
+        if call in simulation.calls:
+            simulation.deliver(call)
--- a/tests/placesplay.py
+++ b/tests/placesimulation.py
@@ -1,8 +1,8 @@
-"""Plays how many hosts share the places of their runners, without a network.
+"""Simulates many hosts that share the places of runners, without a network.
 
-Each host has its real dispatcher, coordinator and scheduler; runners, callers
-and the ways of messages are played in simulated time, so the outcome depends
-on the seed alone.
+Each host has its real dispatcher, coordinator and scheduler. Runners, callers
+and the network are simulated, in simulated time, so the outcome depends on the
+seed alone.
 """
 
 import collections
@@ -15,8 +15,8 @@
 
 from apricotlanding import addresses
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import scheduler
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway.hosts import candidates
 from apricotlandingd.gateway.hosts import coordinator
 from apricotlandingd.gateway.hosts import dispatch
@@ -25,50 +25,50 @@
 from apricotlandingd.gateway.hosts import placemessages
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import gatewayparts
 
-__all__ = ['Load', 'Outcome', 'Play']
+__all__ = ['Load', 'Outcome', 'Simulation']
 
 # Seconds between two ticks of a host.
-TICK = 0.02
-# Seconds that a message is on its way, at least and at most.
-WAYS = (0.0005, 0.004)
-# Groups that schedulers on their own share places with; only their share of
-# each runner counts here.
+TICK_INTERVAL_S = 0.02
+# Minimum and maximum latency of a message, seconds.
+LATENCY_RANGE_S = (0.0005, 0.004)
+# Hosts in a group; a host that schedules locally uses its group's share of
+# each runner.
 PARTITION_HOSTS = 12
 
 
 @dataclasses.dataclass
 class Load:
-    """What callers ask for, and who serves them."""
+    """The requests of callers, and the hosts and runners that serve them."""
 
     hosts: int = 40
     runners: int = 20
     slots: int = 7
-    # Part of what the runners can do.
-    part: float = 0.8
-    # Seconds for which a request holds its place at a fast and a slow runner,
-    # and each how manieth runner is slow.
-    fast_hold: float = 0.6
-    slow_hold: float = 1.8
-    slow_step: int = 3
+    # Share of the runners' capacity that callers ask for.
+    utilisation: float = 0.8
+    # Mean seconds for which a request holds its place at a fast and at a slow
+    # runner; of so many runners, one is slow.
+    fast_hold_s: float = 0.6
+    slow_hold_s: float = 1.8
+    slow_every: int = 3
     # Seconds that callers wait for a place.
-    patience: float = 0.6
+    max_wait_s: float = 0.6
     seconds: float = 20.0
-    # Part of the messages that are lost.
-    loss: float = 0.0
+    # Share of the messages that are lost.
+    loss_share: float = 0.0
     # Tiers of requests, drawn with equal chance.
     tiers: int = 1
-    # The first hosts get so many times the callers of the others.
+    # The first hosts get this many times the callers of the others.
     busy_hosts: int = 0
-    busy_part: float = 4.0
+    busy_weight: float = 4.0
 
 
 @dataclasses.dataclass
 class Outcome:
-    """What callers got, and what it took."""
+    """Counts of the answers to callers, and of the messages sent."""
 
     asked: int = 0
     refused: collections.Counter[int] = dataclasses.field(
@@ -78,29 +78,29 @@
         default_factory=collections.Counter
     )
     waited_s: float = 0.0
-    longest_s: float = 0.0
+    max_waited_s: float = 0.0
     # Requests that queued at a runner.
     queued: int = 0
-    # Requests that were sent to a runner that had crashed.
-    missed: int = 0
+    # Requests that were sent to a crashed runner.
+    failed_connections: int = 0
     messages: int = 0
 
-    def find_refused(self) -> float:
-        """Return the refused part of what was asked."""
+    def find_refused_share(self) -> float:
+        """Return the share of requests that were refused."""
         return sum(self.refused.values()) / max(1, self.asked)
 
-    def find_queued(self) -> float:
-        """Return the part of the granted that queued at a runner."""
+    def find_queued_share(self) -> float:
+        """Return the share of granted requests that queued at a runner."""
         return self.queued / max(1, sum(self.granted.values()))
 
-    def find_wait(self) -> float:
-        """Return the mean seconds until a place."""
+    def find_mean_wait(self) -> float:
+        """Return the mean seconds until a place was granted."""
         return self.waited_s / max(1, sum(self.granted.values()))
 
 
 @ty.final
-class _Alone:
-    """The other hosts, as one that shares no places hears them."""
+class _NoPeers:
+    """The peers of a host that shares no places: none are heard."""
 
     def __init__(self, count: int) -> None:
         self.partition = groups.Partition(count)
@@ -108,7 +108,7 @@
     def count_running(self, runner: ids.RunnerStart) -> int:
         return 0
 
-    def list_waiting(self, service: ids.Pool) -> list[waiting.Rank]:
+    def list_waiting(self, service: ids.Pool) -> list[queueing.Rank]:
         return []
 
     def find_silent_share(self) -> float:
@@ -116,62 +116,62 @@
 
 
 @ty.final
-class _Known:
-    """The hosts that one host knows."""
+class _KnownHosts:
+    """The hosts as one host knows them."""
 
-    def __init__(self, play: 'Play', host: ids.Host) -> None:
-        self._play = play
+    def __init__(self, simulation: 'Simulation', host: ids.Host) -> None:
+        self._simulation = simulation
         self._host = host
         self.changes = 0
 
-    def is_divided(self) -> bool:
+    def has_multiple_groups(self) -> bool:
         return True
 
     def list_coordinators(self) -> list[ids.Host]:
-        return list(self._play.hosts)
+        return list(self._simulation.hosts)
 
     def find_address(self, host: ids.Host) -> addresses.Address | None:
-        known = self._play.hosts.get(host)
+        known = self._simulation.hosts.get(host)
         return None if known is None else known.address
 
     def send(self, message: object, address: addresses.Address) -> None:
-        self._play.send(self._host, message, address)
+        self._simulation.send(self._host, message, address)
 
 
 @dataclasses.dataclass
 class Host:
-    """One host, without the tasks around its parts."""
+    """One host, without its tasks."""
 
     name: ids.Host
     address: addresses.Address
     dispatcher: dispatch.Dispatcher
     own: coordinator.Coordinator
-    # What it decides by when it reaches no coordinator.
+    # Its scheduler when it reaches no coordinator.
     local: scheduler.Scheduler
     is_up: bool = True
-    # Hosts that it cannot reach, nor they it.
-    cut_from: set[ids.Host] = dataclasses.field(default_factory=set)
+    # Hosts that it cannot exchange messages with.
+    unreachable: set[ids.Host] = dataclasses.field(default_factory=set)
 
 
 @dataclasses.dataclass
 class Runner:
-    """One runner: takes requests in order of arrival."""
+    """One runner: runs requests in order of arrival."""
 
     hold: float
-    # Takes no connection.
+    # Accepts no connection.
     is_lost: bool = False
     running: int = 0
-    queue: collections.deque[tuple[Host, waiting.Grant, float]] = (
+    queue: collections.deque[tuple[Host, queueing.Grant, float]] = (
         dataclasses.field(default_factory=collections.deque)
     )
 
 
-class Play:
-    """Hosts before runners; events in the order of their time."""
+class Simulation:
+    """Hosts and their runners, and events in the order of their time."""
 
     def __init__(self, load: Load, seed: int) -> None:
         self.load = load
-        self.spread = random.Random(seed)
+        self.rng = random.Random(seed)
         self.outcome = Outcome()
         self.now = 0.0
         self._events: list[
@@ -183,8 +183,8 @@
         for number in range(load.runners):
             entry = gatewayparts.make_entry(f'i-{number}', load.slots)
             self.known.update(entry)
-            is_slow = number % load.slow_step == 0
-            hold = load.slow_hold if is_slow else load.fast_hold
+            is_slow = number % load.slow_every == 0
+            hold = load.slow_hold_s if is_slow else load.fast_hold_s
             self.runners[entry.start] = Runner(hold)
         self.hosts: dict[ids.Host, Host] = {}
         for number in range(load.hosts):
@@ -193,28 +193,28 @@
         capacity = sum(
             load.slots / runner.hold for runner in self.runners.values()
         )
-        self.interval = 1 / (load.part * capacity)
-        self.plan(0.0, self.come)
+        self.interval = 1 / (load.utilisation * capacity)
+        self.add_event(0.0, self.add_request)
         for host in self.hosts.values():
-            self.plan_tick(host, self.spread.uniform(0, TICK))
+            self.plan_tick(host, self.rng.uniform(0, TICK_INTERVAL_S))
 
     def make_host(self, number: int) -> Host:
         name = ids.Host(f'host-{number}')
         address = addresses.Address('127.0.0.1', 1000 + number)
         process = ids.Incarnation(f'{name}/1')
-        paces, fitness = pace.Paces(), health.Health()
-        local = self.make_scheduler(paces, fitness)
+        latencies, fitness = latency.LatencyEstimates(), health.Health()
+        local = self.make_scheduler(latencies, fitness)
         own = coordinator.Coordinator(
             name,
             self.known,
-            paces,
+            latencies,
             fitness,
-            self.spread,
+            self.rng,
             lambda: False,
             lambda: True,
-            local.find_hold,
+            local.find_hold_time,
         )
-        hosts = _Known(self, name)
+        hosts = _KnownHosts(self, name)
         found = dispatch.Dispatcher(
             name,
             address,
@@ -222,40 +222,40 @@
             local,
             own,
             self.known,
-            paces,
+            latencies,
             fitness,
             hosts,
             candidates.Candidates(name, hosts),
-            self.spread,
+            self.rng,
         )
         return Host(name, address, found, own, local)
 
     def make_scheduler(
         self,
-        paces: pace.Paces | None = None,
+        latencies: latency.LatencyEstimates | None = None,
         fitness: health.Health | None = None,
     ) -> scheduler.Scheduler:
-        """Return what a host decides by that reaches no coordinator."""
+        """Return the scheduler of a host that reaches no coordinator."""
         count = max(1, round(self.load.hosts / PARTITION_HOSTS))
         return scheduler.Scheduler(
             self.known,
-            paces or pace.Paces(),
+            latencies or latency.LatencyEstimates(),
             fitness or health.Health(),
-            _Alone(count),
-            self.spread,
+            _NoPeers(count),
+            self.rng,
         )
 
     # Events.
 
-    def plan(
+    def add_event(
         self, after: float, event: collections.abc.Callable[[], None]
     ) -> None:
         heapq.heappush(
             self._events, (self.now + after, next(self._order), event)
         )
 
-    def play(self) -> Outcome:
-        """Play to the end; return what callers got."""
+    def simulate(self) -> Outcome:
+        """Run to the end; return the outcome."""
         while self._events and self._events[0][0] < self.load.seconds:
             self.now, _, event = heapq.heappop(self._events)
             event()
@@ -265,85 +265,89 @@
         def tick() -> None:
             if host.is_up:
                 host.dispatcher.tick(self.now)
-            self.plan_tick(host, TICK)
+            self.plan_tick(host, TICK_INTERVAL_S)
 
-        self.plan(after, tick)
+        self.add_event(after, tick)
 
     def send(
         self, sender: ids.Host, message: object, address: addresses.Address
     ) -> None:
         self.outcome.messages += 1
-        # As on the wire: what is changed later must not change it.
+        # Encoded as on the wire, so that later changes do not affect it.
         data = messages.registry.encode(message)
         target = self._by_address[address]
-        if self.spread.random() < self.load.loss:
+        if self.rng.random() < self.load.loss_share:
             return
-        if sender in target.cut_from:
+        if sender in target.unreachable:
             return
 
-        def arrive() -> None:
+        def deliver() -> None:
             if not target.is_up:
                 return
             found = messages.registry.decode(data)
             if isinstance(found, placemessages.PlaceRequest):
-                target.dispatcher.take(found, self.now)
+                target.dispatcher.handle_request(found, self.now)
             else:
-                target.dispatcher.take_reply(found, self.now)
+                target.dispatcher.handle_reply(found, self.now)
 
-        self.plan(self.spread.uniform(*WAYS), arrive)
+        self.add_event(self.rng.uniform(*LATENCY_RANGE_S), deliver)
 
     # Callers.
 
-    def come(self) -> None:
-        self.plan(self.spread.expovariate(1 / self.interval), self.come)
+    def add_request(self) -> None:
+        self.add_event(
+            self.rng.expovariate(1 / self.interval), self.add_request
+        )
         host = self.choose_host()
         self.outcome.asked += 1
-        tier = self.spread.randrange(self.load.tiers)
-        ticket = gatewayparts.make_ticket(
+        tier = self.rng.randrange(self.load.tiers)
+        ticket = gatewayparts.make_queued_request(
             f'a{self.outcome.asked}',
             self.now,
             tier=ids.Tier(tier),
-            on_time_by=self.now + self.load.patience,
-            useful_until=self.now + self.load.patience,
+            on_time_by=self.now + self.load.max_wait_s,
+            useful_until=self.now + self.load.max_wait_s,
             prompt_tokens=0,
         )
         host.dispatcher.enter(ticket, self.now)
-        self.watch(host, ticket)
+        self.poll_decision(host, ticket)
 
     def choose_host(self) -> Host:
         up = [host for host in self.hosts.values() if host.is_up]
         load = self.load
         weights = [
-            load.busy_part if number < load.busy_hosts else 1.0
+            load.busy_weight if number < load.busy_hosts else 1.0
             for number in range(len(up))
         ]
-        return self.spread.choices(up, weights)[0]
+        return self.rng.choices(up, weights)[0]
 
-    def watch(self, host: Host, ticket: waiting.Ticket) -> None:
-        """Look for the decision a little later, as a waiting task does."""
+    def poll_decision(
+        self, host: Host, ticket: queueing.QueuedRequest
+    ) -> None:
+        """Poll for the decision, in place of a waiting task."""
         if ticket.decision is None and host.is_up:
-            self.plan(0.001, lambda: self.watch(host, ticket))
+            self.add_event(0.001, lambda: self.poll_decision(host, ticket))
             return
         host.dispatcher.leave(ticket, self.now)
         decision = ticket.decision
         tier = int(ticket.tier)
-        if isinstance(decision, waiting.Grant):
+        if isinstance(decision, queueing.Grant):
             self.outcome.granted[tier] += 1
             waited = self.now - ticket.arrived_at
             self.outcome.waited_s += waited
-            self.outcome.longest_s = max(self.outcome.longest_s, waited)
-            self.arrive(host, decision, ticket)
+            self.outcome.max_waited_s = max(self.outcome.max_waited_s, waited)
+            self.deliver(host, decision, ticket)
         else:
             self.outcome.refused[tier] += 1
 
     # Runners.
 
-    def arrive(
-        self, host: Host, grant: waiting.Grant, ticket: waiting.Ticket
+    def deliver(
+        self, host: Host, grant: queueing.Grant, ticket: queueing.QueuedRequest
     ) -> None:
         runner = self.runners[grant.runner]
         if runner.is_lost:
-            self.miss(host, grant, ticket)
+            self.retry_elsewhere(host, grant, ticket)
             return
         if runner.running >= self.load.slots:
             self.outcome.queued += 1
@@ -351,15 +355,15 @@
             return
         self.run(runner, host, grant, self.now)
 
-    def miss(
-        self, host: Host, grant: waiting.Grant, ticket: waiting.Ticket
+    def retry_elsewhere(
+        self, host: Host, grant: queueing.Grant, ticket: queueing.QueuedRequest
     ) -> None:
-        """Ask for another runner than the one that takes no connection."""
-        self.outcome.missed += 1
+        """Ask for another runner, after one that accepts no connection."""
+        self.outcome.failed_connections += 1
         seen = observations.Observation(observations.Kind.UNREACHABLE)
         host.dispatcher.note(gatewayparts.POOL, grant.runner, seen, self.now)
         host.dispatcher.release(gatewayparts.POOL, grant, self.now)
-        again = gatewayparts.make_ticket(
+        again = gatewayparts.make_queued_request(
             ticket.attempt,
             ticket.arrived_at,
             tier=ticket.tier,
@@ -369,17 +373,17 @@
             tried={*ticket.tried, grant.runner},
         )
         host.dispatcher.enter(again, self.now)
-        self.watch(host, again)
+        self.poll_decision(host, again)
 
     def run(
         self,
         runner: Runner,
         host: Host,
-        grant: waiting.Grant,
+        grant: queueing.Grant,
         sent_at: float,
     ) -> None:
         runner.running += 1
-        hold = runner.hold * self.spread.uniform(0.5, 1.5)
+        hold = runner.hold * self.rng.uniform(0.5, 1.5)
 
         def end() -> None:
             runner.running -= 1
@@ -399,4 +403,4 @@
                 )
             host.dispatcher.release(gatewayparts.POOL, grant, self.now)
 
-        self.plan(hold, end)
+        self.add_event(hold, end)
--- a/tests/run_matrix.py
+++ b/tests/run_matrix.py
@@ -1,4 +1,4 @@
-"""Runs both fault matrices whole and writes a table of each.
+"""Runs all rows of both fault matrices and writes a table of each.
 
 python tests/run_matrix.py --seed 1 --side-by-side 5 --output DIRECTORY
 """
@@ -17,18 +17,18 @@
 import test_tier_matrix
 import tiermatrix
 
-# What was wrong, by fault and step.
+# Failures by fault and step.
 Results = dict[str, matrixrows.Row]
-# Says what a cell that passed has shown, by fault and step.
+# Returns the text of a cell that passed, by fault and step.
 Describe = collections.abc.Callable[[str, str], str]
 
 
-def write_table(
+def format_table(
     results: Results,
     names: collections.abc.Collection[str],
     describe: Describe,
 ) -> str:
-    """Return the results as a Markdown table, with failures below."""
+    """Return the results as a Markdown table, followed by the failures."""
     lines = [
         '| fault | ' + ' | '.join(names) + ' |',
         '| --- ' * (len(names) + 1) + '|',
@@ -38,11 +38,11 @@
     for fault, row in results.items():
         cells = []
         for name in names:
-            wrong = row.get(name, ['not run'])
-            failed += bool(wrong)
-            cells.append('FAILED' if wrong else describe(fault, name))
-            details += [f'- {fault}, {name}: {text}' for text in wrong]
-        # What was wrong in the row as a whole.
+            failures = row.get(name, ['not run'])
+            failed += bool(failures)
+            cells.append('FAILED' if failures else describe(fault, name))
+            details += [f'- {fault}, {name}: {text}' for text in failures]
+        # Failures of the row as a whole.
         for name in row.keys() - set(names):
             details += [f'- {fault}, {name}: {text}' for text in row[name]]
         lines.append(f'| {fault} | ' + ' | '.join(cells) + ' |')
@@ -57,26 +57,28 @@
     seed: int,
     side_by_side: int,
 ) -> Results:
-    """Run rows, some at a time."""
+    """Run rows, several in parallel."""
     with concurrent.futures.ThreadPoolExecutor(side_by_side) as pool:
         futures = {name: pool.submit(run_row, name, seed) for name in names}
         return {name: future.result() for name, future in futures.items()}
 
 
-def describe_words(work: faultmatrix.Work) -> Describe:
-    """Return what tells a cell's possible last words."""
+def describe_outcomes(workload: faultmatrix.Workload) -> Describe:
+    """Return a function that lists the correct outcomes of a cell."""
 
     def describe(fault: str, name: str) -> str:
         return ' or '.join(
-            sorted(faultmatrix.find_expected(fault, name, work))
+            sorted(faultmatrix.find_expected_outcomes(fault, name, workload))
         )
 
     return describe
 
 
 def has_failed(results: Results) -> bool:
-    """Tell whether anything was wrong."""
-    return any(wrong for row in results.values() for wrong in row.values())
+    """Tell whether there was any failure."""
+    return any(
+        failures for row in results.values() for failures in row.values()
+    )
 
 
 @click.command()
@@ -90,19 +92,19 @@
 )
 def main(seed: int, side_by_side: int, output: pathlib.Path) -> None:
     """Run every fault at every step."""
-    one = run_rows(
+    model_results = run_rows(
         faultmatrix.faults, test_fault_matrix.run_row, seed, side_by_side
     )
-    service = run_rows(
+    service_results = run_rows(
         faultmatrix.faults,
         functools.partial(
-            test_fault_matrix.run_row, work=faultmatrix.SERVICE_WORK
+            test_fault_matrix.run_row, workload=faultmatrix.SERVICE_WORKLOAD
         ),
         seed,
         side_by_side,
     )
-    # A burst loads the machine more than one request does.
-    many = run_rows(
+    # A burst loads the machine more than a single request.
+    tier_results = run_rows(
         tiermatrix.faults,
         test_tier_matrix.run_row,
         seed,
@@ -114,27 +116,33 @@
             '',
             f'## One request to a model (seed {seed})',
             '',
-            write_table(
-                one,
+            format_table(
+                model_results,
                 faultmatrix.steps,
-                describe_words(faultmatrix.MODEL_WORK),
+                describe_outcomes(faultmatrix.MODEL_WORKLOAD),
             ),
             f'## One request to a service (seed {seed})',
             '',
-            write_table(
-                service,
+            format_table(
+                service_results,
                 faultmatrix.steps,
-                describe_words(faultmatrix.SERVICE_WORK),
+                describe_outcomes(faultmatrix.SERVICE_WORKLOAD),
             ),
             f'## An overload (seed {seed})',
             '',
-            write_table(many, tiermatrix.steps, lambda fault, name: 'held'),
+            format_table(
+                tier_results, tiermatrix.steps, lambda fault, name: 'held'
+            ),
         ]
     )
     output.mkdir(exist_ok=True)
     (output / 'MATRIX.md').write_text(text)
     click.echo(text)
-    sys.exit(1 if any(map(has_failed, (one, service, many))) else 0)
+    sys.exit(
+        1
+        if any(map(has_failed, (model_results, service_results, tier_results)))
+        else 0
+    )
 
 
 if __name__ == '__main__':
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Whatever callers, peers, operators or files get wrong is said clearly."""
+"""Bad input of callers, peers, operators and files is answered clearly."""
 
 import collections.abc
 import dataclasses
@@ -25,12 +25,12 @@
 import systems
 
 GOOD_BODY: ty.Final = {'prompt': 'a b c', 'max_tokens': 2}
-TOO_LONG = 200_000
+TOO_LARGE_BYTES = 200_000
 
 
 @dataclasses.dataclass(frozen=True)
 class BadCall:
-    """A request and how it must be refused."""
+    """A bad request and the expected error."""
 
     name: str
     status: int
@@ -48,7 +48,7 @@
     BadCall('wrong credentials', 401, 'APL101', token='wrong'),  # noqa: S106
     BadCall('unknown route', 404, 'APL102', route='nowhere'),
     BadCall('endless route', 404, 'APL102', route='x' * 3000),
-    BadCall('body too large', 413, 'APL103', body=b'x' * TOO_LONG),
+    BadCall('body too large', 413, 'APL103', body=b'x' * TOO_LARGE_BYTES),
     BadCall(
         'too many headers',
         431,
@@ -101,12 +101,12 @@
 
 
 class TestBadCalls(systems.SystemTestCase):
-    """One daemon is shown everything that callers get wrong."""
+    """One daemon receives every kind of bad request."""
 
     hosts = 1
 
     def configure(self) -> None:
-        self.system.limits = {'body_bytes': TOO_LONG // 2}
+        self.system.limits = {'body_bytes': TOO_LARGE_BYTES // 2}
 
     def test_each_is_refused_with_its_remedy(self) -> None:
         for case in BAD_CALLS:
@@ -114,15 +114,17 @@
             self.assertEqual(
                 (case.status, case.code), (reply.status, reply.code), case.name
             )
-            # An expired key may have run long ago.
-            said = 'unknown' if case.code == 'APL108' else 'not-run'
-            self.assertEqual(said, reply.outcome, case.name)
+            # The request of an expired key may have run earlier.
+            expected_outcome = (
+                'unknown' if case.code == 'APL108' else 'not-run'
+            )
+            self.assertEqual(expected_outcome, reply.outcome, case.name)
             self.assertTrue(reply.read_lines()[-1]['remedy'], case.name)
         self.check_alive()
 
     def test_refusals_of_credentials_look_the_same(self) -> None:
-        # Nothing tells a stranger whether a token, an organisation or a
-        # route exists.
+        # An unauthenticated caller must not find out whether a token, an
+        # organisation or a route exists.
         bodies = {
             self.call(BadCall('', 401, '', token=token, route=route)).body
             for token in (None, '', 'wrong')
@@ -147,20 +149,20 @@
         self.send_raw(b'\x16\x03\x01 this is not HTTP \r\n\r\n')
         self.check_alive()
 
-    def test_endless_head_is_cut_off(self) -> None:
-        # Headers, one header or the path go on for ever. The daemon keeps
-        # what it has read of a head, so it must not read on: its memory
-        # would grow by what is sent.
+    def test_endless_head_closes_the_connection(self) -> None:
+        # The headers, one header or the path never end. The daemon buffers
+        # the head, so it must stop reading: otherwise its memory grows with
+        # the data that is sent.
         for begin, part in (
             (b'POST / HTTP/1.1\r\n', b'x: y\r\n' * 10_000),
             (b'POST / HTTP/1.1\r\nx: ', b'y' * 60_000),
             (b'POST /', b'y' * 60_000),
         ):
-            self.assertLess(self.flood(begin, part, 300), 100)
+            self.assertLess(self.send_until_closed(begin, part, 300), 100)
         self.check_alive()
 
-    def flood(self, begin: bytes, part: bytes, times: int) -> int:
-        """Return how many parts were taken before the connection ended."""
+    def send_until_closed(self, begin: bytes, part: bytes, times: int) -> int:
+        """Return how many parts were accepted before the connection ended."""
         host, _, port = self.system.daemons['entry-1'].callers.rpartition(':')
         with socket.create_connection((host, int(port)), 5.0) as connection:
             try:
@@ -211,21 +213,21 @@
             try:
                 connection.sendall(data)
             except OSError:
-                # It has closed the connection already, as it may.
+                # The daemon may have closed the connection already.
                 return
 
     def check_alive(self) -> None:
         key = callers.make_key()
         reply = self.post('entry-1', 'rebuild', GOOD_BODY, key)
-        self.assertTrue(reply.is_whole(key, 2))
+        self.assertTrue(reply.is_complete_answer(key, 2))
 
 
 class TestBadPeers(systems.SystemTestCase):
-    """Strangers and broken peers knock at the peers' listener."""
+    """Unauthenticated and faulty peers connect to the peers' listener."""
 
     hosts = 1
 
-    def test_strangers_learn_nothing_and_harm_nothing(self) -> None:
+    def test_malformed_peer_frames_do_no_harm(self) -> None:
         long_frame = struct.pack('>I', 1 << 30) + b'x' * 100
         for data in (
             b'GET / HTTP/1.1\r\n\r\n',
@@ -236,22 +238,23 @@
             _frame(msgpack.packb([1, 'one', 2, 3, 4, 5])),
             b'\x00\x00',
         ):
-            self.knock(data)
+            self.send_raw_bytes(data)
         self.check_status()
 
-    def test_wrong_key_is_turned_away_before_any_message(self) -> None:
+    def test_wrong_key_is_rejected_before_any_message(self) -> None:
         error = anyio.run(self.greet, b'not the key that the others have')
         self.assertIsInstance(error, Exception)
         self.check_status()
 
     def test_right_key_and_wrong_messages(self) -> None:
-        # A peer of ours with a fault: its connection ends, nothing else.
+        # Malformed messages of an authenticated peer end its connection
+        # only.
         anyio.run(self.greet, deployment.PEER_KEY.encode())
         self.check_status()
 
     async def greet(self, key: bytes) -> Exception | None:
         host, _, port = self.system.daemons['entry-1'].peers.rpartition(':')
-        mine = handshake.make_greeting(
+        greeting = handshake.make_greeting(
             ids.Host('stranger'),
             ids.Incarnation('stranger/1'),
             ids.Domain('d9'),
@@ -259,14 +262,14 @@
         async with await anyio.connect_tcp(host, int(port)) as raw:
             stream = frames.FrameStream(raw)
             try:
-                await handshake.greet_acceptor(stream, mine, key)
+                await handshake.greet_acceptor(stream, greeting, key)
                 await stream.send([1, 1, [20, 'not', 'enough']])
                 await stream.receive()
             except Exception as error:
                 return error
         return None
 
-    def knock(self, data: bytes) -> None:
+    def send_raw_bytes(self, data: bytes) -> None:
         host, _, port = self.system.daemons['entry-1'].peers.rpartition(':')
         with socket.create_connection((host, int(port)), 5.0) as connection:
             connection.sendall(data)
@@ -287,7 +290,7 @@
 
 Change = collections.abc.Callable[[dict[str, ty.Any]], object]
 
-# What is changed in a good bundle, and the paths that must be named.
+# A change of a valid bundle, and the paths that the errors must name.
 BAD_BUNDLES: ty.Final[list[tuple[Change, list[str]]]] = [
     (lambda value: value.update(tires=[]), ['tires']),
     (lambda value: value.pop('tiers'), ['tiers']),
@@ -344,11 +347,11 @@
 
 
 class TestBadFiles(testtools.TestCase):
-    """Bundles and settings are checked, all mistakes in one run."""
+    """Checks of bundles and settings report all errors in one run."""
 
     def setUp(self) -> None:
         super().setUp()
-        # Nothing is started, so the directory need not exist.
+        # No process is started, so the directory need not exist.
         self.system = deployment.Deployment(ty.cast(ty.Any, None))
 
     def check(self, value: dict[str, ty.Any] | str) -> list[yamlfiles.Finding]:
@@ -359,7 +362,7 @@
     def test_good_bundle(self) -> None:
         self.assertEqual([], self.check(self.system.make_bundle(1, 0)))
 
-    def test_each_mistake_is_named_where_it_stands(self) -> None:
+    def test_each_error_names_its_path(self) -> None:
         for change, expected in BAD_BUNDLES:
             value = self.system.make_bundle(1, 0)
             change(value)
--- a/tests/test_foreign_messages.py
+++ b/tests/test_foreign_messages.py
@@ -1,4 +1,4 @@
-"""What strangers and broken hosts send to a host's ports."""
+"""Malformed messages to a host's ports, from strangers or faulty hosts."""
 
 import random
 import socket
@@ -13,7 +13,7 @@
 from apricotlanding import addresses
 from apricotlanding import errors
 from apricotlanding import ids
-from apricotlandingd.gateway.decisions import waiting
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import mesh
 from apricotlandingd.gateway.hosts import messages
@@ -21,11 +21,10 @@
 from apricotlandingd.gateway.replication import records
 from apricotstandins import processes
 
-
-# Seconds that any of this may take; generous, for machines that are busy.
-PATIENCE = 10.0
-# Seconds that a peer has to hand records on.
-FETCH_S = 2.0
+# Timeout of each wait; long enough for a busy machine.
+WAIT_TIMEOUT_S = 10.0
+# Seconds within which a peer must send its records.
+FETCH_TIMEOUT_S = 2.0
 
 
 def make_state(**changes: ty.Any) -> messages.HostState:
@@ -41,7 +40,7 @@
         'positions': [3, 4],
         'running': {'r1': 2},
         'usage': {'festin': 10.0},
-        'ranks': {'pool': [waiting.Rank(0, 0, False, 1.0)]},
+        'ranks': {'pool': [queueing.Rank(0, 0, False, 1.0)]},
         'hints': {'host-3': '127.0.0.1:7602'},
     }
     return messages.HostState(**(fields | changes))
@@ -57,7 +56,7 @@
         'positions': [3, 4],
         'running': {17: 2},
         'usage': {'festin': 10.0},
-        'ranks': {'pool': [waiting.Rank(0, 0, False, 1.0)]},
+        'ranks': {'pool': [queueing.Rank(0, 0, False, 1.0)]},
         'answer_ages': [],
     }
     return messages.HostChange(**(fields | changes))
@@ -69,12 +68,12 @@
 
 NAN = float('nan')
 INFINITE = float('inf')
-# Fields that no host of ours sends, and what a host would make of them.
+# Invalid fields, and what a host that accepted them would do.
 BAD_FIELDS: ty.Final[tuple[dict[str, ty.Any], ...]] = (
     # More places than the runner has.
     {'running': {'r1': -5}},
     {'group_used': {'festin': -5.0}},
-    # Allowances that never end, or begin again with each message.
+    # Allowances without a limit, or that are refilled by each message.
     {'usage': {'festin': NAN}},
     {'usage': {'festin': -INFINITE}},
     {'asked': {'festin': NAN}},
@@ -84,9 +83,9 @@
     {'levels': {'festin': NAN}},
     {'levels': {'festin': -INFINITE}},
     {'hosts': -1},
-    # An order that is none.
-    {'ranks': {'pool': [waiting.Rank(0, 0, False, NAN)]}},
-    # Half of the message is used, the rest is not.
+    # A rank that cannot be sorted.
+    {'ranks': {'pool': [queueing.Rank(0, 0, False, NAN)]}},
+    # Only half of the message would be applied.
     {'state_address': 'nowhere'},
     {'state_address': 'host.example:7600'},
     {'state_address': '127.0.0.1:0'},
@@ -94,7 +93,7 @@
     {'peers_address': ''},
     {'hints': {'host-3': '127.0.0.1'}},
     {'hints': {f'host-{n}': '127.0.0.1:9' for n in range(500)}},
-    # Records that are never read again.
+    # Records that would never be read again.
     {'positions': [-1, 4]},
     {'positions': [2**64 - 1, 4]},
     {'number': -1},
@@ -106,7 +105,7 @@
     {'running': {-17: 5}},
     {'usage': {'festin': NAN}},
     {'usage': {'festin': -INFINITE}},
-    {'ranks': {'pool': [waiting.Rank(0, 0, False, NAN)]}},
+    {'ranks': {'pool': [queueing.Rank(0, 0, False, NAN)]}},
     {'positions': [-1, 4]},
     {'answer_ages': [2**63]},
 )
@@ -116,10 +115,10 @@
     b'\x93\x01',
     # A list as the key of a map.
     b'\x81\x91\x01\x01',
-    # Arrays in arrays, as deep as the parser goes.
+    # Nested arrays, as deep as the parser goes.
     b'\x91' * 1000 + b'\xc0',
     b'\x91' * 60_000,
-    # An array that says that it has four billion entries.
+    # An array header that declares four billion entries.
     b'\xdd\xff\xff\xff\xff',
     msgpack.packb([1]),
     msgpack.packb({'host': 1}),
@@ -128,13 +127,13 @@
     msgpack.packb([1, 'x' * 60_000]),
     msgpack.packb([99, 'x' * 60_000]),
     msgpack.packb([2, [0, 0]]),
-    # A name where a digest belongs.
+    # A name instead of a digest.
     msgpack.packb([5, 1, 2, False, True, [3, 4], {'r1': 5}, {}, {}, []]),
 )
 
 
 class TestMessages(testtools.TestCase):
-    """One message: a state, or a refusal of a readable length."""
+    """Decoding of one message, or an error of limited length."""
 
     def check_refused(self, data: bytes) -> None:
         try:
@@ -168,7 +167,7 @@
 
 
 class TestMesh(testtools.TestCase):
-    """A host that goes on hearing others."""
+    """A host that keeps receiving messages after a malformed one."""
 
     def make_mesh(self, port: int) -> mesh.Mesh:
         found = mesh.Mesh(
@@ -184,10 +183,11 @@
         return found
 
     def test_a_bad_message_does_not_end_the_mesh(self) -> None:
-        # Callers are refused, and allowances handed out twice: a host hears
-        # none of the others and sends nothing for up to five seconds. One
-        # datagram held a map with a list for a key, which ended its mesh.
-        async def scene() -> None:
+        # Guards against a mesh task that ends on a malformed datagram, such as
+        # a map with a list as a key. For up to five seconds the host would
+        # neither hear others nor send, so callers would be refused and
+        # allowances granted twice.
+        async def scenario() -> None:
             port = processes.find_port()
             found = self.make_mesh(port)
             sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -204,7 +204,7 @@
                 ):
                     sender.sendto(data, ('127.0.0.1', port))
                 number = 0
-                with anyio.fail_after(PATIENCE):
+                with anyio.fail_after(WAIT_TIMEOUT_S):
                     while not found.peers:
                         number += 1
                         sender.sendto(
@@ -215,14 +215,14 @@
                 self.assertEqual(2, found.count_running(ids.RunnerStart('r1')))
                 group.cancel_scope.cancel()
 
-        anyio.run(scene)
+        anyio.run(scenario)
 
 
 def frame(data: bytes) -> bytes:
     return struct.pack('>I', len(data)) + data
 
 
-# A reply, which is no question.
+# A reply, which is not a valid query.
 GOOD_PAGE: ty.Final = frame(msgpack.packb([4, [0, 0], [[], []]]))
 BAD_QUERIES: ty.Final = (
     b'',
@@ -250,57 +250,62 @@
 
 
 class TestRecordExchange(testtools.TestCase):
-    """Records between hosts."""
+    """Exchange of records between hosts."""
 
     def make_exchange(self) -> recordexchange.RecordExchange:
-        board = records.Board()
+        replica = records.Replica()
         record = dialect.Record('i-1', 0, b'{}')
         batch = dialect.Batch((record,), 1)
-        board.apply(dialect.RUNNERS, batch, is_whole=False)
-        return recordexchange.RecordExchange(board)
-
-    def test_a_bad_question_does_not_end_the_listener(self) -> None:
-        # A host that the store turns away stays behind the others: the peer
-        # that it asks takes no connections for up to five seconds. Somebody
-        # asked that peer for the records of three topics.
-        async def scene() -> None:
+        replica.apply(dialect.RUNNERS, batch, is_snapshot=False)
+        return recordexchange.RecordExchange(replica)
+
+    def test_a_bad_query_does_not_end_the_listener(self) -> None:
+        # Guards against a listener that ends on a malformed query, such as one
+        # for the records of three topics, and accepts no connections for up to
+        # five seconds. A host that cannot read the store would then stay
+        # behind the others.
+        async def scenario() -> None:
             found = self.make_exchange()
             listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
-            place = addresses.Address('127.0.0.1', port)
+            address = addresses.Address('127.0.0.1', port)
             async with anyio.create_task_group() as group:
                 group.start_soon(listener.serve, found.serve)
                 for data in BAD_QUERIES:
-                    await self.ask(place, data)
-                board = records.Board()
-                with anyio.fail_after(PATIENCE):
-                    asker = recordexchange.RecordExchange(board)
-                    self.assertTrue(await asker.fetch(place, FETCH_S))
-                self.assertEqual(1, board.positions[dialect.RUNNERS])
+                    await self.ask(address, data)
+                replica = records.Replica()
+                with anyio.fail_after(WAIT_TIMEOUT_S):
+                    asker = recordexchange.RecordExchange(replica)
+                    self.assertTrue(
+                        await asker.fetch(address, FETCH_TIMEOUT_S)
+                    )
+                self.assertEqual(1, replica.positions[dialect.RUNNERS])
                 group.cancel_scope.cancel()
 
-        anyio.run(scene)
+        anyio.run(scenario)
 
-    async def ask(self, place: addresses.Address, data: bytes) -> None:
-        async with await anyio.connect_tcp(place.host, place.port) as stream:
+    async def ask(self, address: addresses.Address, data: bytes) -> None:
+        async with await anyio.connect_tcp(
+            address.host, address.port
+        ) as stream:
             await stream.send(data)
             await stream.send_eof()
-            with anyio.fail_after(PATIENCE):
+            with anyio.fail_after(WAIT_TIMEOUT_S):
                 try:
                     while True:
                         await stream.receive()
                 except (anyio.EndOfStream, anyio.BrokenResourceError):
                     return
 
-    def test_a_bad_reply_is_no_answer(self) -> None:
-        # A host does not learn of a new configuration: the peer that it
-        # asked replied with a message of another kind, and the task that
-        # asks was down for up to five seconds.
+    def test_a_bad_reply_is_ignored(self) -> None:
+        # Guards against a fetch task that ends on a reply of another message
+        # type, and is down for up to five seconds: the host would not learn of
+        # a new configuration.
         for data in BAD_PAGES:
-            board = records.Board()
-            asker = recordexchange.RecordExchange(board)
+            replica = records.Replica()
+            asker = recordexchange.RecordExchange(replica)
             self.assertFalse(anyio.run(self.fetch, asker, data), repr(data))
-            positions = records.list_positions(board.positions)
+            positions = records.list_positions(replica.positions)
             self.assertEqual([0, 0], positions, repr(data))
 
     async def fetch(
@@ -313,10 +318,10 @@
 
         listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        place = addresses.Address('127.0.0.1', port)
+        address = addresses.Address('127.0.0.1', port)
         async with listener, anyio.create_task_group() as group:
             group.start_soon(listener.serve, reply)
-            with anyio.fail_after(PATIENCE):
-                is_taken = await asker.fetch(place, FETCH_S)
+            with anyio.fail_after(WAIT_TIMEOUT_S):
+                is_taken = await asker.fetch(address, FETCH_TIMEOUT_S)
             group.cancel_scope.cancel()
         return is_taken
