--- a/tests/test_fuzz_gateway.py
+++ b/tests/test_fuzz_gateway.py
@@ -1,7 +1,7 @@
-"""Whatever peers, strangers and runners send, it ends typed.
+"""Fuzz tests of input from peers, unknown senders and runners.
 
 Each test generates input for one reader of the gateway and accepts two
-results: a value whose promises hold, or the reader's own error.
+results: a value that satisfies its invariants, or the reader's own error.
 """
 
 import math
@@ -20,7 +20,7 @@
 from apricotlanding import errors
 from apricotlanding import ids
 from apricotlanding import webclient
-from apricotlandingd.gateway.decisions import groupuses
+from apricotlandingd.gateway.decisions import groupusage
 from apricotlandingd.gateway.decisions import quotas
 from apricotlandingd.gateway.hosts import allowancemessages
 from apricotlandingd.gateway.hosts import coordinator
@@ -33,50 +33,52 @@
 from apricotlandingd.gateway.requests import streams
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import fuzzing
 import gatewayparts
-import placesplay
+import placesimulation
 import test_foreign_messages
 import test_gateway_shared_allowances
 
-LONGEST_ERROR = 1000
+MAX_ERROR_CHARACTERS = 1000
 FESTIN = gatewayparts.make_organisation(100.0)
 
 
 def to_plain(message: object) -> ty.Any:
-    """Return the array of a message, in plain lists and maps."""
+    """Return the encoded message as plain lists and maps."""
     packed = messages.registry.encode(message)
     return msgpack.unpackb(packed, strict_map_key=False)
 
 
 def pack(value: ty.Any) -> bytes:
-    """Return a value as msgpack; what that cannot hold becomes a text."""
+    """Return a value as msgpack; unsupported objects become strings."""
     return ty.cast(
         bytes,
         msgpack.packb(
-            _soften(value), default=repr, unicode_errors='surrogatepass'
+            _replace_unpackable(value),
+            default=repr,
+            unicode_errors='surrogatepass',
         ),
     )
 
 
-def _soften(value: ty.Any) -> ty.Any:
+def _replace_unpackable(value: ty.Any) -> ty.Any:
     if isinstance(value, dict):
-        return {key: _soften(item) for key, item in value.items()}
+        return {key: _replace_unpackable(item) for key, item in value.items()}
     if isinstance(value, list):
-        return [_soften(item) for item in value]
+        return [_replace_unpackable(item) for item in value]
     if isinstance(value, int) and not -(2**63) <= value < 2**64:
         return float('inf')
     return value
 
 
-def write_spoiled(message: object) -> strategies.SearchStrategy[bytes]:
-    """Return data that is nearly a message, or far off."""
+def generate_corrupted(message: object) -> strategies.SearchStrategy[bytes]:
+    """Return a strategy for corrupted messages and random data."""
     plain = to_plain(message)
     return strategies.one_of(
-        fuzzing.spoil(plain).map(pack),
-        fuzzing.spoil_bytes(pack(plain)),
+        fuzzing.corrupt(plain).map(pack),
+        fuzzing.corrupt_bytes(pack(plain)),
         fuzzing.JSON.map(pack),
         strategies.binary(max_size=100),
         strategies.sampled_from(test_foreign_messages.BAD_DATA),
@@ -105,10 +107,10 @@
     """Checks that all tests share."""
 
     def check_error(self, error: Exception) -> None:
-        self.assertLess(len(str(error)), LONGEST_ERROR)
+        self.assertLess(len(str(error)), MAX_ERROR_CHARACTERS)
 
     def decode(self, data: bytes) -> ty.Any:
-        """Return a message; None for the decoder's own error."""
+        """Return a message; None if the decoder rejects the data."""
         try:
             return messages.registry.decode(data)
         except errors.Refused as error:
@@ -117,12 +119,14 @@
 
 
 class TestStates(FuzzTestCase):
-    """Datagrams of other hosts."""
+    """Datagrams from other hosts."""
 
-    @fuzzing.give_examples()
-    @hypothesis.given(strategies.lists(write_spoiled(GOOD_STATE), max_size=4))
+    @fuzzing.configure_examples()
+    @hypothesis.given(
+        strategies.lists(generate_corrupted(GOOD_STATE), max_size=4)
+    )
     def test_states(self, received: list[bytes]) -> None:
-        # Everything that is done with a state, and a good one behind.
+        # Processes each state completely, and a valid one at the end.
         host = mesh.Mesh(
             ids.Host('host-1'),
             addresses.Address('10.0.0.1', 7600),
@@ -131,13 +135,15 @@
         )
         buckets = quotas.Quotas(0.0, 0.0)
         gatewayparts.take_units(buckets, FESTIN, 10.0, 0.0, 0.0)
-        uses = groupuses.GroupUses()
+        uses = groupusage.GroupUsage()
 
         def take(state: messages.HostState, now: float) -> None:
-            buckets.hear(state.incarnation, state.usage, now)
+            buckets.apply_totals(state.incarnation, state.usage, now)
             is_settled = state.hosts > 0
-            uses.hear(1, state.group_asked, state.group_used, is_settled, now)
-            records.is_ahead(state.positions, records.Board().positions)
+            uses.update(
+                1, state.group_asked, state.group_used, is_settled, now
+            )
+            records.is_ahead(state.positions, records.Replica().positions)
 
         host.on_state = take
         now = 1.0
@@ -146,20 +152,20 @@
             state = self.decode(data)
             if not isinstance(state, messages.HostState):
                 continue
-            host.take(state, now)
+            host.handle_state(state, now)
             self.check_state(state)
         host.drop_silent(now)
         self.assertGreaterEqual(host.count_running(ids.RunnerStart('r1')), 0)
         self.assertTrue(0 <= host.find_silent_share() < 1)
         for rank in host.list_waiting(ids.Pool('pool')):
             self.assertTrue(math.isfinite(rank.on_time_by))
-        self.assertTrue(0 <= uses.find_part(FESTIN, 1.0, 2) <= 1)
+        self.assertTrue(0 <= uses.find_share(FESTIN, 1.0, 2) <= 1)
         wait = gatewayparts.take_units(buckets, FESTIN, 1e9, 0.0, now)
         self.assertTrue(wait is None or 0 < wait < math.inf)
         good = test_foreign_messages.make_state(
             host='host-9', incarnation='host-9.1'
         )
-        host.take(good, now)
+        host.handle_state(good, now)
         self.assertIn('host-9', host.peers)
 
     def check_state(self, state: messages.HostState) -> None:
@@ -169,7 +175,7 @@
             *state.hints.values(),
         ):
             self.assertTrue(0 < messages.read_address(text).port < 65536)
-        # It can be told on.
+        # It can be forwarded.
         messages.registry.encode(state)
 
 
@@ -187,7 +193,7 @@
     },
     held={3: messages.digest_start(gatewayparts.make_start('i-1'))},
     seen=[
-        placemessages.Seen(
+        placemessages.RunnerObservation(
             messages.digest_start(gatewayparts.make_start('i-1')),
             kind,
             5,
@@ -201,17 +207,17 @@
 
 
 class TestPlaceMessages(FuzzTestCase):
-    """What hosts and coordinators of runners send each other."""
+    """Messages between hosts and the coordinators of runners."""
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(
-        strategies.lists(write_spoiled(GOOD_REQUEST), max_size=4)
+        strategies.lists(generate_corrupted(GOOD_REQUEST), max_size=4)
     )
     def test_requests(self, received: list[bytes]) -> None:
         found = coordinator.Coordinator(
             ids.Host('host-1'),
             self.make_runners(),
-            pace.Paces(),
+            latency.LatencyEstimates(),
             health.Health(),
             random.Random(1),
             lambda: False,
@@ -224,20 +230,22 @@
             request = self.decode(data)
             if not isinstance(request, placemessages.PlaceRequest):
                 continue
-            for item in found.take(request, now):
+            for item in found.handle_request(request, now):
                 self.check_reply(item.reply)
         for item in found.pump(now + 5.0):
             self.check_reply(item.reply)
-        # Nothing that a stranger has sent keeps a place for good.
+        # No message from an unknown sender holds a slot forever.
         self.assertEqual(0, found.count_subsets())
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(strategies.data())
     def test_replies(self, data: strategies.DataObject) -> None:
-        load = placesplay.Load(hosts=2, runners=2, part=0.0001, seconds=0.5)
-        play = placesplay.Play(load, 1)
+        load = placesimulation.Load(
+            hosts=2, runners=2, utilisation=0.0001, seconds=0.5
+        )
+        play = placesimulation.Simulation(load, 1)
         host = next(iter(play.hosts.values()))
-        ticket = gatewayparts.make_ticket('a1', 0.0)
+        ticket = gatewayparts.make_queued_request('a1', 0.0)
         for other in play.hosts.values():
             other.is_up = other is host
         host.dispatcher.enter(ticket, 0.0)
@@ -253,11 +261,11 @@
             free=1,
             is_stopping=False,
         )
-        reply = self.decode(data.draw(write_spoiled(good)))
+        reply = self.decode(data.draw(generate_corrupted(good)))
         if isinstance(reply, placemessages.PlaceReply):
-            host.dispatcher.take_reply(reply, 0.1)
-        play.play()
-        # Whatever was said, the request is decided in the end.
+            host.dispatcher.handle_reply(reply, 0.1)
+        play.simulate()
+        # The request is decided whatever the reply contained.
         self.assertIsNotNone(ticket.decision)
 
     def make_runners(self) -> directory.Directory:
@@ -267,7 +275,7 @@
         return found
 
     def check_reply(self, reply: placemessages.PlaceReply) -> None:
-        # It can be sent, and a host takes it.
+        # It can be encoded, and a host can decode it.
         data = messages.registry.encode(reply)
         self.assertEqual(reply, messages.registry.decode(data))
         for refused in reply.refused.values():
@@ -290,20 +298,20 @@
         wait_s=0.5,
         is_stopping=False,
     ),
-    allowancemessages.KeeperNews(
+    allowancemessages.UsageUpdate(
         ids.Incarnation('host-2.1'), {FESTIN.name: 20.0}, {FESTIN.name: 10.0}
     ),
 )
 
 
 class TestAllowanceMessages(FuzzTestCase):
-    """What hosts send to the one that keeps an allowance for all."""
+    """Messages to the host that keeps an allowance for all hosts."""
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(
         strategies.lists(
             strategies.one_of(
-                *(write_spoiled(item) for item in GOOD_ALLOWANCE_MESSAGES)
+                *(generate_corrupted(item) for item in GOOD_ALLOWANCE_MESSAGES)
             ),
             max_size=6,
         )
@@ -315,19 +323,19 @@
             now += 0.1
             message = self.decode(data)
             if isinstance(message, allowancemessages.AllowanceRequest):
-                play.keeper.take(message, now)
+                play.grantor.handle_request(message, now)
             elif isinstance(message, allowancemessages.AllowanceReply):
-                play.keeper.take_reply(message, now)
-            elif isinstance(message, allowancemessages.KeeperNews):
-                play.keeper.hear_news(message, now)
-        play.keeper.tick(now)
+                play.grantor.handle_reply(message, now)
+            elif isinstance(message, allowancemessages.UsageUpdate):
+                play.grantor.handle_usage_update(message, now)
+        play.grantor.tick(now)
         for sent in play.hosts.take_sent():
             if isinstance(sent, allowancemessages.AllowanceReply):
                 self.assertTrue(0 <= sent.wait_s < math.inf)
 
 
 class ScriptedStream(anyio.abc.ByteStream):
-    """A connection whose other side has sent all that it will."""
+    """A connection whose peer sends ``received`` and then closes."""
 
     def __init__(self, received: bytes) -> None:
         self.received = received
@@ -361,27 +369,27 @@
 
 
 class TestRecordStreams(FuzzTestCase):
-    """Questions and replies about records."""
+    """Queries and replies about records."""
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(
         strategies.one_of(
-            write_spoiled(GOOD_QUERY).map(frame),
-            write_spoiled(GOOD_PAGE).map(frame),
-            fuzzing.spoil_bytes(frame(pack(to_plain(GOOD_QUERY)))),
+            generate_corrupted(GOOD_QUERY).map(frame),
+            generate_corrupted(GOOD_PAGE).map(frame),
+            fuzzing.corrupt_bytes(frame(pack(to_plain(GOOD_QUERY)))),
             strategies.binary(max_size=50),
         )
     )
     def test_questions(self, data: bytes) -> None:
-        exchange = recordexchange.RecordExchange(records.Board())
+        exchange = recordexchange.RecordExchange(records.Replica())
         stream = ScriptedStream(data)
         anyio.run(exchange.serve, ty.cast(anyio.abc.SocketStream, stream))
 
-    @fuzzing.give_examples()
-    @hypothesis.given(write_spoiled(GOOD_PAGE))
+    @fuzzing.configure_examples()
+    @hypothesis.given(generate_corrupted(GOOD_PAGE))
     def test_replies(self, data: bytes) -> None:
-        board = records.Board()
-        exchange = recordexchange.RecordExchange(board)
+        replica = records.Replica()
+        exchange = recordexchange.RecordExchange(replica)
         found = self.decode(data)
         try:
             page = recordexchange._check_page(found)
@@ -390,10 +398,10 @@
             return
         exchange._apply(page)
         for topic in records.TOPICS:
-            self.assertTrue(0 <= board.positions[topic] < 2**63)
-            for record in board.list_since(topic, 0).records:
+            self.assertTrue(0 <= replica.positions[topic] < 2**63)
+            for record in replica.list_since(topic, 0).records:
                 self.assertTrue(0 <= record.offset < 2**63)
-        # It can be told on.
+        # It can be forwarded.
         passed = exchange._make_page(GOOD_QUERY)
         messages.registry.encode(passed)
 
@@ -407,8 +415,8 @@
     b'HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 4\r\n\r\nfull'
 )
 ANSWERS = strategies.one_of(
-    fuzzing.spoil_bytes(GOOD_ANSWER),
-    fuzzing.spoil_bytes(PLAIN_ANSWER),
+    fuzzing.corrupt_bytes(GOOD_ANSWER),
+    fuzzing.corrupt_bytes(PLAIN_ANSWER),
     strategies.binary(max_size=100),
     strategies.sampled_from(
         [
@@ -435,9 +443,9 @@
 
 
 class TestAnswers(FuzzTestCase):
-    """What runners send."""
+    """Responses of runners."""
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(ANSWERS, strategies.sampled_from(['GET', 'POST']))
     def test_answers(self, data: bytes, method: str) -> None:
         anyio.run(self.read_answer, data, method)
@@ -458,7 +466,7 @@
             async with client.open(call) as answer:
                 self.assertTrue(200 <= answer.status < 600)
                 for _, value in answer.headers:
-                    # Our server writes it; tabs are no harm.
+                    # The server sends it on; tabs are harmless.
                     text = value.replace(b'\t', b'')
                     self.assertEqual(b'', bytes(set(text) & CONTROL))
                 async for part in answer.iterate():
@@ -467,10 +475,10 @@
         except webclient.Broken as error:
             self.check_error(error)
 
-    @fuzzing.give_examples()
+    @fuzzing.configure_examples()
     @hypothesis.given(
         strategies.one_of(
-            fuzzing.spoil_bytes(b'id: 1\nx\n\nid: 2\ny\n\nid: 3\nz\n\n'),
+            fuzzing.corrupt_bytes(b'id: 1\nx\n\nid: 2\ny\n\nid: 3\nz\n\n'),
             strategies.binary(max_size=100),
             strategies.lists(
                 strategies.sampled_from(
@@ -505,7 +513,7 @@
             self.assertTrue(passed.endswith((b'\n\n', b'\r\n\r\n')))
         if reader.last_event == last_event:
             return
-        # Another runner can be asked to go on behind it.
+        # Another runner can be asked to resume after this event.
         h11.Request(
             method='GET',
             target='/',
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -1,4 +1,4 @@
-"""Groups of hosts in a large system: who hears whom, and who gets what."""
+"""Groups of hosts in a large system, and their shares."""
 
 import collections
 import random
@@ -9,9 +9,9 @@
 from apricotlanding import addresses
 from apricotlanding import clocks
 from apricotlanding import ids
-from apricotlandingd.gateway.decisions import groupuses
+from apricotlandingd.gateway.decisions import groupusage
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import quotas
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway import dialect
 from apricotlandingd.gateway.hosts import groups
 from apricotlandingd.gateway.hosts import mesh
@@ -70,9 +70,9 @@
         ]
         self.assertLessEqual(len(moved), 4)
 
-    def test_lonely_host_uses_its_share_of_each_runner(self) -> None:
-        # Guards against a host that overfills runners while it reaches no
-        # coordinator, and against one that leaves some of them out.
+    def test_isolated_host_uses_its_share_of_each_runner(self) -> None:
+        # Guards against a host that reaches no coordinator and overloads
+        # runners, or leaves some of them unused.
         found = groups.Partition(5, 2)
         entries = found.select_runners(make_entries(4))
         self.assertEqual(4, len(entries))
@@ -82,17 +82,19 @@
 class TestGroupUses(testtools.TestCase):
     """An organisation whose callers come to four groups."""
 
-    def make_uses(self, asked: tuple[float, ...]) -> list[groupuses.GroupUses]:
-        found = [groupuses.GroupUses() for _ in asked]
+    def make_uses(
+        self, asked: tuple[float, ...]
+    ) -> list[groupusage.GroupUsage]:
+        found = [groupusage.GroupUsage() for _ in asked]
         for own, uses in enumerate(found):
             for group, units in enumerate(asked):
                 if group != own:
-                    uses.hear(group, {FESTIN.name: units}, {}, True, 0.0)
+                    uses.update(group, {FESTIN.name: units}, {}, True, 0.0)
         return found
 
     def find_parts(self, asked: tuple[float, ...]) -> list[float]:
         return [
-            uses.find_part(FESTIN, own, len(asked))
+            uses.find_share(FESTIN, own, len(asked))
             for uses, own in zip(self.make_uses(asked), asked, strict=True)
         ]
 
@@ -104,18 +106,19 @@
         self.assertGreater(self.find_parts((900, 0, 0, 0))[0], 0.85)
 
     def test_group_that_heard_nobody_takes_an_equal_part(self) -> None:
-        part = groupuses.GroupUses().find_part(FESTIN, 5000.0, 4)
+        part = groupusage.GroupUsage().find_share(FESTIN, 5000.0, 4)
         self.assertEqual(0.25, part)
 
-    def test_groups_together_hand_out_the_allowance_once(self) -> None:
-        # An organisation got four bursts at once: each group had a bucket of
-        # its own and heard of the others' use a third of a second later.
+    def test_groups_together_grant_the_allowance_once(self) -> None:
+        # Guards against an organisation that gets four bursts at once, because
+        # each group has a bucket of its own and hears of the others' use a
+        # third of a second later.
         uses = self.make_uses((800, 800, 800, 800))
         buckets = [quotas.Quotas(0.0, -100.0) for _ in uses]
         total = 0.0
         for step in range(500):
             for heard, bucket in zip(uses, buckets, strict=True):
-                part = heard.find_part(FESTIN, 800, 4)
+                part = heard.find_share(FESTIN, 800, 4)
                 if (
                     gatewayparts.take_units(
                         bucket, FESTIN, 10, 0.0, step / 100, part
@@ -138,15 +141,15 @@
             random.Random(1),
         )
         self.number = 0
-        self.hear_all(0.0)
+        self.deliver_all(0.0)
         self.near = [
             host for host in HOSTS[1:] if self.mesh.partition.is_near(host)
         ]
         self.far = [host for host in HOSTS[1:] if host not in self.near]
 
-    def hear(self, host: ids.Host, now: float) -> None:
+    def deliver(self, host: ids.Host, now: float) -> None:
         self.number += 1
-        self.mesh.take(
+        self.mesh.handle_state(
             messages.HostState(
                 host=host,
                 incarnation=ids.Incarnation(f'{host}/1'),
@@ -158,18 +161,18 @@
                 positions=[1, 1],
                 running={gatewayparts.make_start('r1'): 1},
                 usage={},
-                ranks={gatewayparts.POOL: [waiting.Rank(0, 0, False, 1.0)]},
+                ranks={gatewayparts.POOL: [queueing.Rank(0, 0, False, 1.0)]},
                 hints={},
             ),
             now,
         )
 
-    def hear_all(self, now: float) -> None:
+    def deliver_all(self, now: float) -> None:
         for host in HOSTS[1:]:
-            self.hear(host, now)
+            self.deliver(host, now)
 
     def test_only_near_peers_count(self) -> None:
-        self.hear_all(0.1)
+        self.deliver_all(0.1)
         count = self.mesh.count_running(gatewayparts.make_start('r1'))
         self.assertEqual(len(self.near), count)
         self.assertEqual(count, len(self.mesh.list_waiting(gatewayparts.POOL)))
@@ -177,21 +180,21 @@
 
     def test_far_peer_that_is_heard_in_its_turn_is_not_silent(self) -> None:
         for host in self.near:
-            self.hear(host, 5.0)
+            self.deliver(host, 5.0)
         self.mesh.drop_silent(5.0)
         self.assertEqual(60, len(self.mesh.list_heard()))
         self.assertEqual(0.0, self.mesh.find_silent_share())
 
     def test_silent_near_peer_keeps_its_share(self) -> None:
         for host in self.near[1:]:
-            self.hear(host, 1.0)
+            self.deliver(host, 1.0)
         self.mesh.drop_silent(1.0)
         share = 1 / (1 + len(self.near))
         self.assertAlmostEqual(share, self.mesh.find_silent_share())
 
     def test_far_peers_that_are_gone_are_dropped_in_the_end(self) -> None:
         for host in self.near:
-            self.hear(host, 60.0)
+            self.deliver(host, 60.0)
         self.mesh.drop_silent(60.0)
         self.assertEqual(len(self.near), len(self.mesh.peers))
 
@@ -200,10 +203,10 @@
     """One of forty-one hosts, and one of another group that starts."""
 
     def test_host_that_starts_is_answered_at_once(self) -> None:
-        # After all hosts were lost, a third of the first second's requests
-        # were refused as beyond an allowance. Each host heard those that had
-        # started before it only in their turn, up to seven seconds later, and
-        # left their parts of all allowances to them until then.
+        # Guards against refusals after all hosts were lost: a third of the
+        # first second's requests were refused as over the allowance. Each host
+        # heard those that had started before it only in turn, up to seven
+        # seconds later, and kept their shares of all allowances reserved.
         ports = [processes.find_port() for _ in range(2)]
         own, far = [addresses.Address('127.0.0.1', port) for port in ports]
         found = mesh.Mesh(HOSTS[0], own, (), random.Random(1))
@@ -214,13 +217,13 @@
         )
         for host in HOSTS[1:41]:
             if host != name:
-                found.take(self.make_state(host, str(own)), now)
+                found.handle_state(self.make_state(host, str(own)), now)
         found.make_state = lambda number, scope, hints: self.make_state(
             HOSTS[0], str(own)
         )
         found.make_change = lambda number: test_foreign_messages.make_change()
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with anyio.create_task_group() as group:
                 async with await anyio.create_udp_socket(
                     local_host=far.host, local_port=far.port
@@ -228,12 +231,12 @@
                     group.start_soon(found.run)
                     await anyio.sleep(0.1)
                     state = self.make_state(name, str(far))
-                    found.take(state, clocks.read_monotonic())
+                    found.handle_state(state, clocks.read_monotonic())
                     with anyio.fail_after(0.5):
                         await receiver.receive()
                     group.cancel_scope.cancel()
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def make_state(self, host: ids.Host, address: str) -> messages.HostState:
         return test_foreign_messages.make_state(
--- a/tests/test_gateway_many_hosts.py
+++ b/tests/test_gateway_many_hosts.py
@@ -1,4 +1,4 @@
-"""One allowance, handed out by many hosts, without a network."""
+"""One allowance whose units many hosts grant, without a network."""
 
 import random
 import types
@@ -6,6 +6,7 @@
 
 import testtools
 
+import allowancesimulation
 from apricotlanding import addresses
 from apricotlanding import clocks
 from apricotlanding import ids
@@ -19,23 +20,22 @@
 from apricotlandingd.gateway.replication import records
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
-from apricotlandingd.gateway.runners import pace
+from apricotlandingd.gateway.runners import latency
 import gatewayparts
-import manyhosts
 import test_foreign_messages
 
 HOSTS = 40
 RATE = BURST = 2000.0
 # The operators' slack: ten requests.
-SLACK = 2000.0
-COST = 200.0
-# The operators' window, seconds, and what may run in it.
+SLACK_UNITS = 2000.0
+COST_UNITS = 200.0
+# The operators' window, in seconds.
 WINDOW_S = 8.0
-PRESSING = manyhosts.Load(
+OVERLOAD = allowancesimulation.Load(
     organisation=gatewayparts.make_organisation(RATE),
-    slack=SLACK,
+    slack=SLACK_UNITS,
     interval_s=0.2,
-    draw_cost=lambda spread: COST,
+    draw_cost=lambda rng: COST_UNITS,
 )
 
 # Where host-0 listens.
@@ -46,132 +46,139 @@
 LARGE_SLACK = 190000.0
 LARGE_HOSTS = 71
 # Tokens of a request: a mean of 3,800, and one in a hundred above 20,000.
-SIZE_MEAN, SIZE_SPREAD, SIZE_MOST = 2500.0, 0.9, 53000.0
+MEDIAN_TOKENS, TOKENS_SIGMA, MAX_TOKENS = 2500.0, 0.9, 53000.0
 
 
-def draw_size(spread: random.Random) -> float:
-    return min(SIZE_MOST, SIZE_MEAN * spread.lognormvariate(0, SIZE_SPREAD))
+def draw_size(rng: random.Random) -> float:
+    return min(MAX_TOKENS, MEDIAN_TOKENS * rng.lognormvariate(0, TOKENS_SIGMA))
 
 
-def make_large_load(part: float) -> manyhosts.Load:
-    """Return what asks for this part of the allowance at 71 hosts."""
-    return manyhosts.Load(
+def make_large_load(demand_share: float) -> allowancesimulation.Load:
+    """Return a load of this share of the allowance at 71 hosts."""
+    return allowancesimulation.Load(
         organisation=gatewayparts.make_organisation(LARGE_RATE),
         slack=LARGE_SLACK,
-        interval_s=LARGE_HOSTS * 3750.0 / (part * LARGE_RATE),
+        interval_s=LARGE_HOSTS * 3750.0 / (demand_share * LARGE_RATE),
         draw_cost=draw_size,
-        begins_at=12.0,
+        starts_at=12.0,
         seconds=32.0,
     )
 
 
 def make_mesh() -> mesh.Mesh:
-    """Return the mesh of host-0, which has heard nobody."""
+    """Return the mesh of host-0, which has heard no peer."""
     return mesh.Mesh(ids.Host('host-0'), OWN, (), random.Random(1))
 
 
 def find_allowed(organisation: catalogue.Organisation, slack: float) -> float:
-    """Return what the operators allow in a window."""
+    """Return the units that the operators allow in a window."""
     units = organisation.units_per_s * WINDOW_S + organisation.burst_units
     return units * 1.1 + slack
 
 
 class TestColdStart(testtools.TestCase):
-    """An organisation asks each of forty hosts for many times its part."""
-
-    def test_burst_is_handed_out_once(self) -> None:
-        # An organisation ran 41,400 units in 8 s where 21,800 are allowed.
-        # All hosts were started together. Each knew nobody yet, took itself
-        # for the only host and handed out half a burst; once they had heard
-        # each other, the groups they formed began with another part each.
-        allowed = find_allowed(PRESSING.organisation, SLACK)
+    """An organisation asks each of forty hosts for many times its share."""
+
+    def test_burst_is_granted_once(self) -> None:
+        # Guards against hosts that are started together and grant a burst
+        # several times: 41,400 units ran in 8 s where 21,800 are allowed. Each
+        # host took itself for the only one and granted half a burst, and the
+        # groups that formed later started with another share each.
+        allowed = find_allowed(OVERLOAD.organisation, SLACK_UNITS)
         for seed in (1, 2, 3):
-            play = manyhosts.Play(PRESSING, HOSTS, seed)
-            play.play()
-            self.assertLessEqual(play.find_most(WINDOW_S), allowed)
+            simulation = allowancesimulation.Simulation(OVERLOAD, HOSTS, seed)
+            simulation.simulate()
+            self.assertLessEqual(simulation.find_max_units(WINDOW_S), allowed)
 
-    def test_whole_allowance_is_handed_out(self) -> None:
+    def test_whole_allowance_is_granted(self) -> None:
         # Callers that ask for more than the allowance get nine tenths of it
-        # from the fourth second on, at seven hosts and at forty.
+        # from the fourth second on, with seven hosts and with forty.
         for count in (7, HOSTS):
-            play = manyhosts.Play(PRESSING, count, 4)
-            play.play()
-            owed = RATE * (PRESSING.seconds - 4.0)
-            self.assertGreaterEqual(play.count_units(4.0), 0.9 * owed)
+            simulation = allowancesimulation.Simulation(OVERLOAD, count, 4)
+            simulation.simulate()
+            owed = RATE * (OVERLOAD.seconds - 4.0)
+            self.assertGreaterEqual(simulation.count_units(4.0), 0.9 * owed)
 
 
 class TestFormingGroups(testtools.TestCase):
     """A host whose system grows until it is divided into groups."""
 
     def test_request_from_before_is_given_back(self) -> None:
-        # A caller's refused request ended in an error of the host: its units
-        # were taken while all hosts were one group, and given back to a part
-        # that had no bucket yet, after the hosts of a new group were heard.
+        # Guards against an internal error for a refused request whose units
+        # were taken while all hosts were one group, and are given back after a
+        # second group was heard, to a group bucket that does not exist yet.
         others = make_mesh()
-        shared = allowances.Allowances(SLACK, others, 0.0)
-        shared.note_listed()
+        local_allowances = allowances.Allowances(SLACK_UNITS, others, 0.0)
+        local_allowances.mark_hosts_listed()
         now = 60.0
-        organisation = PRESSING.organisation
-        terms = shared.find_terms(organisation, now)
-        self.assertIsNone(shared.take(organisation, COST, terms, now))
+        organisation = OVERLOAD.organisation
+        terms = local_allowances.find_terms(organisation, now)
+        self.assertIsNone(
+            local_allowances.grant(organisation, COST_UNITS, terms, now)
+        )
         for number in range(1, 30):
             host = ids.Host(f'host-{number}')
             state = test_foreign_messages.make_state(
                 host=host, incarnation=f'{host}/1'
             )
-            others.take(state, now)
+            others.handle_state(state, now)
         self.assertGreater(others.partition.count, 1)
-        shared.give_back(organisation, COST, now)
-        used = shared.buckets.usage[organisation.name]
+        local_allowances.give_back(organisation, COST_UNITS, now)
+        used = local_allowances.buckets.usage[organisation.name]
         self.assertEqual(0.0, used)
 
 
 class TestStartsElsewhere(testtools.TestCase):
-    """A host of another group starts, and says what it does not know."""
+    """A host of another group starts, and sends a state without usage."""
 
-    def hand_out(self, is_greeted: bool) -> float:
-        """Return the units handed out in six seconds, of 12,000 and a burst.
+    def grant_units(self, has_restarts: bool) -> float:
+        """Return the units granted in six seconds, of 12,000 and a burst.
 
         The other group is asked for nine times the allowance and uses all but
-        a tenth of it, as one of its hosts says three times a second. Another
-        one starts again and again, and greets.
+        a tenth of it, as one of its hosts reports three times a second.
+        Another one restarts repeatedly, and sends its first state.
         """
         others = make_mesh()
-        shared = allowances.Allowances(SLACK, others, 0.0)
-        others.on_state = shared.hear
-        shared.note_listed()
+        local_allowances = allowances.Allowances(SLACK_UNITS, others, 0.0)
+        others.on_state = local_allowances.apply_state
+        local_allowances.mark_hosts_listed()
         for number in range(1, 24):
             host = ids.Host(f'host-{number}')
-            self.tell(others, host, 1, 60.0, hosts=24)
+            self.send_state(others, host, 1, 60.0, hosts=24)
         far = [
             host
             for host in sorted(others.peers)
             if not others.partition.is_near(host)
         ]
-        organisation = PRESSING.organisation
+        organisation = OVERLOAD.organisation
         asked = {organisation.name: 9 * RATE}
         used = {organisation.name: 0.9 * RATE}
         units = 0.0
-        for turn in range(1, 120):
-            now = 60.0 + turn * 0.05
-            if turn % 6 == 0:
-                self.tell(
+        for step in range(1, 120):
+            now = 60.0 + step * 0.05
+            if step % 6 == 0:
+                self.send_state(
                     others,
                     far[0],
-                    turn,
+                    step,
                     now,
                     hosts=24,
                     group_asked=asked,
                     group_used=used,
                 )
-            if is_greeted and turn % 6 == 1:
-                self.tell(others, far[1], turn, now, incarnation=str(turn))
-            terms = shared.find_terms(organisation, now)
-            if shared.take(organisation, COST, terms, now) is None:
-                units += COST
+            if has_restarts and step % 6 == 1:
+                self.send_state(
+                    others, far[1], step, now, incarnation=str(step)
+                )
+            terms = local_allowances.find_terms(organisation, now)
+            if (
+                local_allowances.grant(organisation, COST_UNITS, terms, now)
+                is None
+            ):
+                units += COST_UNITS
         return units
 
-    def tell(
+    def send_state(
         self,
         others: mesh.Mesh,
         host: ids.Host,
@@ -191,55 +198,60 @@
             hints={},
             **fields,
         )
-        others.take(state, now)
-
-    def test_what_a_group_uses_is_not_forgotten(self) -> None:
-        # An organisation runs more than it may. A host of another group was
-        # restarted; its greeting to hosts that it does not know yet says
-        # nothing of what its group uses, and was taken for nothing used.
-        alone = self.hand_out(is_greeted=False)
+        others.handle_state(state, now)
+
+    def test_group_usage_is_kept_after_a_restart(self) -> None:
+        # Guards against an organisation that runs more than its allowance
+        # after a host of another group restarted: its first state to hosts
+        # that it does not know yet omits its group's usage, which was taken
+        # for no usage.
+        alone = self.grant_units(has_restarts=False)
         self.assertLess(alone, BURST * 2)
-        self.assertLessEqual(self.hand_out(is_greeted=True), alone)
+        self.assertLessEqual(self.grant_units(has_restarts=True), alone)
 
 
-class TestGreeting(testtools.TestCase):
-    """What a host says to one that it has never heard."""
+class TestFirstState(testtools.TestCase):
+    """The first state that a host sends to one that it never heard."""
 
-    def test_greeting_says_what_the_group_uses(self) -> None:
-        # As above, with a greeting by a host that knows what its group uses.
-        # Whom it greets may be of its own group or of another one, and can't
-        # tell an organisation that uses nothing from one that is not named.
+    def test_first_state_reports_group_usage(self) -> None:
+        # As above, for a host that knows what its group uses. The receiver may
+        # be of its own group or of another one, and cannot tell an
+        # organisation that uses nothing from one that is not named.
         now = clocks.read_monotonic()
         others = make_mesh()
-        shared = allowances.Allowances(SLACK, others, now - 100.0)
-        shared.note_listed()
+        local_allowances = allowances.Allowances(
+            SLACK_UNITS, others, now - 100.0
+        )
+        local_allowances.mark_hosts_listed()
         for number in range(1, 24):
             host = ids.Host(f'host-{number}')
             state = test_foreign_messages.make_state(
                 host=host, incarnation=f'{host}/1', hints={}, usage={}
             )
-            others.take(state, now)
-        organisation = PRESSING.organisation
-        terms = shared.find_terms(organisation, now)
-        self.assertIsNone(shared.take(organisation, COST, terms, now))
-        board = records.Board()
+            others.handle_state(state, now)
+        organisation = OVERLOAD.organisation
+        terms = local_allowances.find_terms(organisation, now)
+        self.assertIsNone(
+            local_allowances.grant(organisation, COST_UNITS, terms, now)
+        )
+        replica = records.Replica()
         bounds = dict.fromkeys(records.TOPICS, 1.0)
         schedule = scheduler.Scheduler(
             directory.Directory(2.0),
-            pace.Paces(),
+            latency.LatencyEstimates(),
             health.Health(),
             others,
             random.Random(1),
         )
-        states = hoststates.HostStates(
+        states = hoststates.HostStateBuilder(
             ty.cast(
                 'ty.Any',
                 types.SimpleNamespace(host='host-0', state=OWN, peers=OWN),
             ),
             ids.Incarnation('host-0/1'),
-            board,
-            freshness.Freshness(board, bounds),
-            shared,
+            replica,
+            freshness.Freshness(replica, bounds),
+            local_allowances,
             schedule,
             others,
             lambda now: True,
@@ -254,38 +266,40 @@
     """An organisation of a system of seventy-one hosts, in six groups."""
 
     def test_half_of_an_allowance_is_not_refused(self) -> None:
-        # On a quiet day, one request in eight was refused although its
-        # organisation asked for half of what it may. Each group had a part of
-        # the allowance to itself: a sixth of a bucket holds few large
-        # requests, and the parts followed each one that came. One host alone
-        # refuses next to none; so do seventy-one, but for two in a hundred.
+        # Guards against refusals at low load: one request in eight was refused
+        # although its organisation asked for half of its allowance. Each group
+        # had a share of the allowance to itself: a sixth of a bucket holds few
+        # large requests, and the shares followed each request. A single host
+        # refuses almost none; seventy-one hosts may refuse two in a hundred.
         for seed in (1, 2):
-            play = manyhosts.Play(make_large_load(0.55), LARGE_HOSTS, seed)
-            play.play()
-            asked = len(play.runs) + play.refused
-            self.assertLessEqual(play.refused, 0.02 * asked)
-
-    def test_bound_is_kept_while_the_keeping_host_is_lost(self) -> None:
-        # Guards against hosts that hand out an allowance again because the
-        # one that kept it for all was killed.
+            simulation = allowancesimulation.Simulation(
+                make_large_load(0.55), LARGE_HOSTS, seed
+            )
+            simulation.simulate()
+            asked = len(simulation.runs) + simulation.refused
+            self.assertLessEqual(simulation.refused, 0.02 * asked)
+
+    def test_bound_holds_when_the_coordinator_is_lost(self) -> None:
+        # Guards against hosts that grant an allowance again because its
+        # coordinator was killed.
         load = make_large_load(5.0)
         name = f'allowance/{load.organisation.name}'
         hosts = [ids.Host(f'host-{1000 + n}') for n in range(LARGE_HOSTS)]
         load.killed = tuple(candidates.rank_hosts(name, hosts)[:2])
         load.killed_at = 20.0
         allowed = find_allowed(load.organisation, LARGE_SLACK)
-        play = manyhosts.Play(load, LARGE_HOSTS, 3)
-        play.play()
-        self.assertLessEqual(play.find_most(WINDOW_S), allowed)
-        # The rest of the hosts hands it out all the same.
+        simulation = allowancesimulation.Simulation(load, LARGE_HOSTS, 3)
+        simulation.simulate()
+        self.assertLessEqual(simulation.find_max_units(WINDOW_S), allowed)
+        # The remaining hosts still grant the allowance.
         owed = LARGE_RATE * (load.seconds - 22.0)
-        self.assertGreaterEqual(play.count_units(22.0), 0.8 * owed)
+        self.assertGreaterEqual(simulation.count_units(22.0), 0.8 * owed)
 
-    def test_pressing_organisation_keeps_the_bound(self) -> None:
-        # The other side: five times the allowance is asked for at once, in
-        # all groups, and no more than the operators' bound runs.
+    def test_bound_holds_under_overload(self) -> None:
+        # Five times the allowance is asked for at once, in all groups, and no
+        # more than the operators' bound runs.
         load = make_large_load(5.0)
         allowed = find_allowed(load.organisation, LARGE_SLACK)
-        play = manyhosts.Play(load, LARGE_HOSTS, 1)
-        play.play()
-        self.assertLessEqual(play.find_most(WINDOW_S), allowed)
+        simulation = allowancesimulation.Simulation(load, LARGE_HOSTS, 1)
+        simulation.simulate()
+        self.assertLessEqual(simulation.find_max_units(WINDOW_S), allowed)
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -7,30 +7,30 @@
 import testtools
 
 from apricotlanding import ids
+from apricotlandingd.gateway.decisions import queueing
 from apricotlandingd.gateway.decisions import subsets
-from apricotlandingd.gateway.decisions import waiting
 from apricotlandingd.gateway.hosts import candidates
 from apricotlandingd.gateway.hosts import coordinator
 from apricotlandingd.gateway.hosts import messages
 from apricotlandingd.gateway.hosts import placemessages
 from apricotlandingd.gateway.runners import directory
 from apricotlandingd.gateway.runners import health
+from apricotlandingd.gateway.runners import latency
 from apricotlandingd.gateway.runners import observations
-from apricotlandingd.gateway.runners import pace
 import gatewayparts
-import placesplay
+import placesimulation
 
 HOSTS, RUNNERS = 60, 24
 
 
-def find_coordinator(play: placesplay.Play) -> ids.Host:
+def find_coordinator(simulation: placesimulation.Simulation) -> ids.Host:
     """Return the first coordinator of the pool's first subset."""
     found = subsets.list_subsets(gatewayparts.POOL, RUNNERS)
-    return candidates.rank_hosts(found[0].find_name(), play.hosts)[0]
+    return candidates.rank_hosts(found[0].find_name(), simulation.hosts)[0]
 
 
 class TestSubsets(testtools.TestCase):
-    """Which runners are scheduled together, and by whom."""
+    """Division of runners into subsets, and their coordinators."""
 
     def test_each_runner_is_in_one_subset(self) -> None:
         for count in (1, 3, 8, 13, 50):
@@ -71,44 +71,46 @@
 
 
 class TestPlaces(testtools.TestCase):
-    """Callers of many hosts before runners of unlike speed."""
+    """Callers of many hosts, and runners of unlike speed."""
 
-    def play(self, seed: int, **changes: ty.Any) -> placesplay.Outcome:
-        load = placesplay.Load(
+    def simulate(
+        self, seed: int, **changes: ty.Any
+    ) -> placesimulation.Outcome:
+        load = placesimulation.Load(
             hosts=HOSTS, runners=RUNNERS, seconds=10.0, **changes
         )
-        return placesplay.Play(load, seed).play()
+        return placesimulation.Simulation(load, seed).simulate()
 
     def test_free_places_are_found_and_not_overfilled(self) -> None:
         for seed in (1, 2, 3):
-            outcome = self.play(seed, part=0.8)
-            self.assertEqual(0.0, outcome.find_refused())
-            self.assertLessEqual(outcome.find_queued(), 0.005)
-            self.assertLessEqual(outcome.find_wait(), 0.02)
+            outcome = self.simulate(seed, utilisation=0.8)
+            self.assertEqual(0.0, outcome.find_refused_share())
+            self.assertLessEqual(outcome.find_queued_share(), 0.005)
+            self.assertLessEqual(outcome.find_mean_wait(), 0.02)
 
-    def test_overload_waits_here_and_not_at_runners(self) -> None:
+    def test_overload_queues_at_hosts_and_not_at_runners(self) -> None:
         # Guards against requests that queue at runners, where they cannot be
-        # put in order: at 1.5 times what runners can do, a third is refused.
+        # reordered: at 1.5 times the runners' capacity, a third is refused.
         for seed in (1, 2, 3):
-            outcome = self.play(seed, part=1.5)
-            self.assertLessEqual(outcome.find_queued(), 0.02)
-            self.assertLessEqual(outcome.find_refused(), 0.40)
+            outcome = self.simulate(seed, utilisation=1.5)
+            self.assertLessEqual(outcome.find_queued_share(), 0.02)
+            self.assertLessEqual(outcome.find_refused_share(), 0.40)
 
     def test_urgent_tier_is_served_first_at_all_hosts(self) -> None:
         # Guards against a tier that is refused at one host while a lower one
         # is served at another.
-        outcome = self.play(4, part=1.5, tiers=3)
+        outcome = self.simulate(4, utilisation=1.5, tiers=3)
         asked = outcome.asked / 3
         self.assertLessEqual(outcome.refused[0], 0.01 * asked)
         self.assertLessEqual(outcome.refused[1], outcome.refused[2])
         self.assertLessEqual(outcome.refused[1], 0.25 * asked)
 
-    def test_lost_messages_are_made_good(self) -> None:
+    def test_lost_messages_are_resent(self) -> None:
         for seed in (2, 3, 5):
-            outcome = self.play(seed, part=0.8, loss=0.1)
-            self.assertLessEqual(outcome.find_refused(), 0.002)
-            self.assertLessEqual(outcome.find_queued(), 0.05)
-            self.assertLessEqual(outcome.find_wait(), 0.05)
+            outcome = self.simulate(seed, utilisation=0.8, loss_share=0.1)
+            self.assertLessEqual(outcome.find_refused_share(), 0.002)
+            self.assertLessEqual(outcome.find_queued_share(), 0.05)
+            self.assertLessEqual(outcome.find_mean_wait(), 0.05)
 
 
 class TestUnevenLoad(testtools.TestCase):
@@ -116,51 +118,51 @@
 
     def test_callers_of_a_few_hosts_are_served_by_all_runners(self) -> None:
         # Guards against callers that are refused at their host while runners
-        # stand idle.
-        load = placesplay.Load(
+        # are idle.
+        load = placesimulation.Load(
             hosts=HOSTS,
             runners=RUNNERS,
-            part=0.9,
+            utilisation=0.9,
             seconds=10.0,
             busy_hosts=3,
-            busy_part=30.0,
+            busy_weight=30.0,
         )
         for seed in (1, 2):
-            outcome = placesplay.Play(load, seed).play()
-            self.assertEqual(0.0, outcome.find_refused())
-            self.assertLessEqual(outcome.find_queued(), 0.01)
-            self.assertLessEqual(outcome.find_wait(), 0.03)
+            outcome = placesimulation.Simulation(load, seed).simulate()
+            self.assertEqual(0.0, outcome.find_refused_share())
+            self.assertLessEqual(outcome.find_queued_share(), 0.01)
+            self.assertLessEqual(outcome.find_mean_wait(), 0.03)
 
     def test_subset_without_runners_refuses_nobody(self) -> None:
         # Guards against callers that are refused because the runners of the
-        # subset that they happened to ask have crashed.
-        load = placesplay.Load(
-            hosts=HOSTS, runners=RUNNERS, part=0.5, seconds=10.0
+        # subset that was drawn for them have crashed.
+        load = placesimulation.Load(
+            hosts=HOSTS, runners=RUNNERS, utilisation=0.5, seconds=10.0
         )
-        play = placesplay.Play(load, 3)
-        entries = play.known.list_open(gatewayparts.POOL)
+        simulation = placesimulation.Simulation(load, 3)
+        entries = simulation.known.list_open(gatewayparts.POOL)
         first = subsets.list_subsets(gatewayparts.POOL, len(entries))[0]
         lost = subsets.select_runners(first, entries)
         for entry in lost:
-            play.runners[entry.start].is_lost = True
-        outcome = play.play()
-        self.assertLessEqual(outcome.find_refused(), 0.01)
+            simulation.runners[entry.start].is_lost = True
+        outcome = simulation.simulate()
+        self.assertLessEqual(outcome.find_refused_share(), 0.01)
 
-    def test_crashed_runner_is_found_out_once_for_all_hosts(self) -> None:
-        # Guards against each of many hosts trying a dead runner for itself:
+    def test_crashed_runner_is_detected_once_for_all_hosts(self) -> None:
+        # Guards against each of many hosts trying a crashed runner for itself:
         # it always has free places.
-        load = placesplay.Load(
-            hosts=HOSTS, runners=RUNNERS, part=0.6, seconds=10.0
+        load = placesimulation.Load(
+            hosts=HOSTS, runners=RUNNERS, utilisation=0.6, seconds=10.0
         )
-        play = placesplay.Play(load, 4)
-        next(iter(play.runners.values())).is_lost = True
-        outcome = play.play()
-        self.assertLessEqual(outcome.missed, 0.5 * HOSTS)
-        self.assertLessEqual(outcome.find_refused(), 0.001)
+        simulation = placesimulation.Simulation(load, 4)
+        next(iter(simulation.runners.values())).is_lost = True
+        outcome = simulation.simulate()
+        self.assertLessEqual(outcome.failed_connections, 0.5 * HOSTS)
+        self.assertLessEqual(outcome.find_refused_share(), 0.001)
 
 
 class TestReports(testtools.TestCase):
-    """What hosts report of runners to a coordinator."""
+    """Observations of runners that hosts report to a coordinator."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -169,11 +171,11 @@
         entry = gatewayparts.make_entry('i-1')
         known.update(entry)
         self.runner = entry.start
-        self.paces = pace.Paces()
+        self.latencies = latency.LatencyEstimates()
         self.coordinator = coordinator.Coordinator(
             ids.Host('host-1'),
             known,
-            self.paces,
+            self.latencies,
             self.health,
             random.Random(1),
             lambda: False,
@@ -195,122 +197,126 @@
             wanted={},
             held={},
             seen=[
-                placemessages.Seen(
+                placemessages.RunnerObservation(
                     messages.digest_start(self.runner), kind, 0, 3.0, ''
                 )
             ],
             wants_reply=False,
         )
-        self.coordinator.take(request, now)
+        self.coordinator.handle_request(request, now)
 
     def test_host_that_is_cut_off_closes_no_runner_for_others(self) -> None:
-        # Guards against a host whose link is down taking runners from all.
+        # Guards against a host whose link is down, and closes runners for all.
         for number in range(5):
             self.report('host-2', observations.Kind.UNREACHABLE, number * 0.1)
-        self.assertFalse(self.health.is_closed(self.runner, 0.5))
+        self.assertFalse(self.health.is_unreachable(self.runner, 0.5))
 
     def test_runner_that_two_hosts_cannot_reach_is_closed(self) -> None:
         self.report('host-2', observations.Kind.UNREACHABLE, 0.0)
         self.report('host-3', observations.Kind.UNREACHABLE, 0.1)
-        self.assertTrue(self.health.is_closed(self.runner, 0.2))
+        self.assertTrue(self.health.is_unreachable(self.runner, 0.2))
 
     def test_speed_is_learned_from_all_hosts(self) -> None:
         for number in range(6):
             self.report(f'host-{number + 2}', observations.Kind.FIRST, 0.0)
-        found = self.paces.find(gatewayparts.POOL, self.runner)
-        self.assertGreater(found.start_s, 2.0)
+        found = self.latencies.find(gatewayparts.POOL, self.runner)
+        self.assertGreater(found.base_s, 2.0)
 
 
 class TestHolds(testtools.TestCase):
-    """How long a place is held, as a new coordinator learns it."""
+    """A new coordinator's estimate of how long a place is held."""
 
     def test_first_requests_count_more(self) -> None:
-        # Guards against callers of a quick service that a new coordinator
-        # refuses because it takes each place to be held for a second.
-        found = placesplay.Play(placesplay.Load(hosts=1), 1).make_scheduler()
-        found.note_hold(gatewayparts.POOL, 0.05)
-        self.assertAlmostEqual(0.05, found.find_hold(gatewayparts.POOL))
-        found.note_hold(gatewayparts.POOL, 0.15)
-        self.assertAlmostEqual(0.1, found.find_hold(gatewayparts.POOL))
+        # Guards against a new coordinator that refuses callers of a fast
+        # service because it assumes that each place is held for a second.
+        found = placesimulation.Simulation(
+            placesimulation.Load(hosts=1), 1
+        ).make_scheduler()
+        found.note_hold_time(gatewayparts.POOL, 0.05)
+        self.assertAlmostEqual(0.05, found.find_hold_time(gatewayparts.POOL))
+        found.note_hold_time(gatewayparts.POOL, 0.15)
+        self.assertAlmostEqual(0.1, found.find_hold_time(gatewayparts.POOL))
         for _ in range(200):
-            found.note_hold(gatewayparts.POOL, 0.05)
-        found.note_hold(gatewayparts.POOL, 1.05)
-        self.assertAlmostEqual(0.1, found.find_hold(gatewayparts.POOL), 2)
+            found.note_hold_time(gatewayparts.POOL, 0.05)
+        found.note_hold_time(gatewayparts.POOL, 1.05)
+        self.assertAlmostEqual(0.1, found.find_hold_time(gatewayparts.POOL), 2)
 
 
 class TestLostCoordinators(testtools.TestCase):
-    """Coordinators that end, freeze, or are cut off."""
+    """Coordinators that are killed or unreachable."""
 
-    def make_play(self, seed: int) -> placesplay.Play:
-        load = placesplay.Load(
-            hosts=HOSTS, runners=RUNNERS, part=0.7, seconds=12.0
+    def make_simulation(self, seed: int) -> placesimulation.Simulation:
+        load = placesimulation.Load(
+            hosts=HOSTS, runners=RUNNERS, utilisation=0.7, seconds=12.0
         )
-        return placesplay.Play(load, seed)
+        return placesimulation.Simulation(load, seed)
 
-    def test_killed_coordinator_is_replaced_in_a_moment(self) -> None:
+    def test_killed_coordinator_is_replaced_quickly(self) -> None:
         for seed in (1, 2):
-            play = self.make_play(seed)
-            victim = play.hosts[find_coordinator(play)]
+            simulation = self.make_simulation(seed)
+            victim = simulation.hosts[find_coordinator(simulation)]
 
-            play.plan(5.0, functools.partial(setattr, victim, 'is_up', False))
-            outcome = play.play()
-            self.assertLessEqual(outcome.find_refused(), 0.002)
-            # Resent, passed over, asked elsewhere.
+            simulation.add_event(
+                5.0, functools.partial(setattr, victim, 'is_up', False)
+            )
+            outcome = simulation.simulate()
+            self.assertLessEqual(outcome.find_refused_share(), 0.002)
+            # The request is resent, the host skipped and another one asked.
             self.assertLessEqual(
-                outcome.longest_s, 4 * candidates.SILENT_TIME + 0.1
+                outcome.max_waited_s, 4 * candidates.REPLY_TIMEOUT_S + 0.1
             )
-            self.assertLessEqual(outcome.find_wait(), 0.03)
-
-    def test_host_that_reaches_nobody_goes_on_alone(self) -> None:
-        # Guards against callers that wait for coordinators that their host
-        # cannot reach.
-        play = self.make_play(3)
-        alone = play.hosts[ids.Host('host-7')]
-        for host in play.hosts.values():
+            self.assertLessEqual(outcome.find_mean_wait(), 0.03)
+
+    def test_host_without_coordinators_decides_locally(self) -> None:
+        # Guards against callers that wait for unreachable coordinators.
+        simulation = self.make_simulation(3)
+        alone = simulation.hosts[ids.Host('host-7')]
+        for host in simulation.hosts.values():
             if host is alone:
                 continue
-            alone.cut_from.add(host.name)
-            host.cut_from.add(alone.name)
-        outcome = play.play()
-        self.assertLessEqual(outcome.find_refused(), 0.002)
-        self.assertLessEqual(outcome.longest_s, 0.6)
-
-    def test_places_held_before_the_cut_count_alone(self) -> None:
-        # Guards against a host that fills a runner again when it loses its
-        # coordinators.
-        load = placesplay.Load(
-            hosts=HOSTS, runners=RUNNERS, part=0.0001, seconds=1.0
+            alone.unreachable.add(host.name)
+            host.unreachable.add(alone.name)
+        outcome = simulation.simulate()
+        self.assertLessEqual(outcome.find_refused_share(), 0.002)
+        self.assertLessEqual(outcome.max_waited_s, 0.6)
+
+    def test_places_held_before_a_partition_count_locally(self) -> None:
+        # Guards against a host that overloads a runner after it loses its
+        # coordinators, because it forgets the places that it holds.
+        load = placesimulation.Load(
+            hosts=HOSTS, runners=RUNNERS, utilisation=0.0001, seconds=1.0
         )
-        play = placesplay.Play(load, 5)
-        host = play.hosts[ids.Host('host-7')]
+        simulation = placesimulation.Simulation(load, 5)
+        host = simulation.hosts[ids.Host('host-7')]
         tickets = [
-            gatewayparts.make_ticket(f'b{number}', 0.0) for number in range(9)
+            gatewayparts.make_queued_request(f'b{number}', 0.0)
+            for number in range(9)
         ]
         for ticket in tickets:
             host.dispatcher.enter(ticket, 0.0)
-        play.play()
+        simulation.simulate()
         held = [
             ticket.decision.runner
             for ticket in tickets
-            if isinstance(ticket.decision, waiting.Grant)
+            if isinstance(ticket.decision, queueing.Grant)
         ]
         self.assertEqual(9, len(held))
         for runner in held:
-            self.assertGreater(host.local.places.running[runner], 0)
+            self.assertGreater(host.local.held_slots.running[runner], 0)
         for ticket in tickets:
-            assert isinstance(ticket.decision, waiting.Grant)
+            assert isinstance(ticket.decision, queueing.Grant)
             host.dispatcher.release(
-                gatewayparts.POOL, ticket.decision, play.now
+                gatewayparts.POOL, ticket.decision, simulation.now
             )
-        self.assertEqual(0, sum(host.local.places.running.values()))
+        self.assertEqual(0, sum(host.local.held_slots.running.values()))
 
-    def test_halves_that_are_cut_apart_both_go_on(self) -> None:
-        play = self.make_play(4)
-        names = list(play.hosts)
+    def test_both_halves_of_a_partition_serve_callers(self) -> None:
+        simulation = self.make_simulation(4)
+        names = list(simulation.hosts)
         halves = set(names[::2]), set(names[1::2])
         for half, other in (halves, halves[::-1]):
             for name in half:
-                play.hosts[name].cut_from.update(other)
-        outcome = play.play()
-        self.assertLessEqual(outcome.find_refused(), 0.01)
-        self.assertLessEqual(outcome.find_wait(), 0.1)
+                simulation.hosts[name].unreachable.update(other)
+        outcome = simulation.simulate()
+        self.assertLessEqual(outcome.find_refused_share(), 0.01)
+        self.assertLessEqual(outcome.find_mean_wait(), 0.1)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -19,15 +19,15 @@
     [peers.Peers], collections.abc.Coroutine[ty.Any, ty.Any, None]
 ]
 
-NEAR = ids.Host('entry-1')
+LOCAL_HOST = ids.Host('entry-1')
 HOSTS = [ids.Host(f'entry-{number}') for number in range(2, 60)]
-# The last that ``NEAR`` would choose as a neighbour.
-FAR = peers.rank_hosts(str(NEAR), HOSTS)[-1]
-# Nothing listens here.
-CLOSED = addresses.Address('127.0.0.1', 1)
+# The last host that ``LOCAL_HOST`` would choose as a neighbour.
+DISTANT_HOST = peers.rank_hosts(str(LOCAL_HOST), HOSTS)[-1]
+# No process listens on this port.
+CLOSED_ADDRESS = addresses.Address('127.0.0.1', 1)
 
 
-class FixedList:
+class FixedHostList:
     """A host list that does not change."""
 
     def __init__(self, entries: list[hostlist.HostEntry]) -> None:
@@ -37,46 +37,46 @@
         return self.entries
 
 
-class TestReach(testtools.TestCase):
-    """An operator's call reaches a daemon that no heartbeat goes to."""
+class TestConnect(testtools.TestCase):
+    """Calls to daemons that are not dialled for heartbeats."""
 
     def test_host_beyond_the_neighbours(self) -> None:
-        # Among many hosts a daemon dials only its neighbours and the owners
-        # of shards. An operator who drained any other through it was told
-        # that the connection is lost; it is dialled for the call instead.
-        anyio.run(serve_and_check, self.check_far_host)
+        # Guards against a drain that fails for a host which is neither a
+        # neighbour nor an owner of shards: it is not dialled otherwise, and
+        # the operator was told that the connection is lost.
+        anyio.run(serve_and_check, self.check_distant_host)
 
     def test_unknown_host(self) -> None:
-        # A name that the host list does not know has no address to dial;
-        # the operator hears so at once instead of after the limit.
+        # A host that is not on the host list has no address to dial; the
+        # call returns at once instead of after its timeout.
         anyio.run(serve_and_check, self.check_unknown_host)
 
-    async def check_far_host(self, near: peers.Peers) -> None:
-        self.assertEqual([], near.list_dialed())
-        connection = await near.reach(FAR, 20.0)
+    async def check_distant_host(self, local_peers: peers.Peers) -> None:
+        self.assertEqual([], local_peers.list_dialed())
+        connection = await local_peers.connect(DISTANT_HOST, 20.0)
         assert connection is not None
-        self.assertEqual(FAR, connection.host)
+        self.assertEqual(DISTANT_HOST, connection.host)
 
-    async def check_unknown_host(self, near: peers.Peers) -> None:
-        found = await near.reach(ids.Host('entry-none'), math.inf)
+    async def check_unknown_host(self, local_peers: peers.Peers) -> None:
+        found = await local_peers.connect(ids.Host('entry-none'), math.inf)
         self.assertIsNone(found)
 
 
 async def serve_and_check(check: Check) -> None:
     with anyio.fail_after(60):
         listener = await open_listener()
-        own = await open_listener()
+        local_listener = await open_listener()
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        places = dict.fromkeys(HOSTS, CLOSED)
-        places[FAR] = addresses.Address('127.0.0.1', port)
-        near = make_peers(NEAR, places)
-        far = make_peers(FAR, {})
+        addresses_by_host = dict.fromkeys(HOSTS, CLOSED_ADDRESS)
+        addresses_by_host[DISTANT_HOST] = addresses.Address('127.0.0.1', port)
+        local_peers = make_peers(LOCAL_HOST, addresses_by_host)
+        distant_peers = make_peers(DISTANT_HOST, {})
         async with anyio.create_task_group() as group:
-            group.start_soon(far.run, listener)
-            group.start_soon(near.run, own)
-            while not near.listed:
+            group.start_soon(distant_peers.run, listener)
+            group.start_soon(local_peers.run, local_listener)
+            while not local_peers.listed:
                 await anyio.sleep(0.01)
-            await check(near)
+            await check(local_peers)
             group.cancel_scope.cancel()
 
 
@@ -86,21 +86,21 @@
 
 
 def make_peers(
-    host: ids.Host, places: dict[ids.Host, addresses.Address]
+    host: ids.Host, addresses_by_host: dict[ids.Host, addresses.Address]
 ) -> peers.Peers:
     domain = ids.Domain('d1')
     entries = [
         hostlist.HostEntry(name, hostlist.HostState.LIVE, domain, address)
-        for name, address in places.items()
+        for name, address in addresses_by_host.items()
     ]
     router = peerlink.Router()
-    router.quick[wire.Ping] = answer_ping
+    router.sync_handlers[wire.Ping] = answer_ping
     made = peers.Peers(
         host,
         ids.make_incarnation(host, host, 0.0),
         domain,
         b'a shared key of the tests',
-        ty.cast('hostlist.HostList', FixedList(entries)),
+        ty.cast('hostlist.HostList', FixedHostList(entries)),
         router,
     )
     made.make_ping = make_ping
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""A daemon and its settings: bad ones, and helpers that are away."""
+"""Bad settings, and trace files and metrics hosts that are unavailable."""
 
 import json
 import socket
@@ -9,37 +9,37 @@
 from apricotstandins import processes
 import systems
 
-BAD_SETTINGS = 2
+BAD_SETTINGS_EXIT_CODE = 2
 
 
 class TestSettings(systems.SystemTestCase):
-    """One daemon, whose traces and metrics go nowhere."""
+    """One daemon, whose traces and metrics cannot be delivered."""
 
     hosts = 1
 
     def configure(self) -> None:
-        # A directory that does not exist, and a port where nobody listens.
-        self.system.more_settings |= {
+        # A directory that does not exist, and a port without a listener.
+        self.system.extra_settings |= {
             'trace_file': '/proc/nowhere/spans',
             'statsd': f'127.0.0.1:{processes.find_port()}',
         }
 
-    def test_traces_and_metrics_that_are_away_cost_nothing(self) -> None:
+    def test_unavailable_traces_and_metrics_do_no_harm(self) -> None:
         for _ in range(5):
             key = callers.make_key()
             body = {'prompt': 'a b c', 'max_tokens': 4}
             reply = self.post('entry-1', 'rebuild', body, key)
-            self.assertTrue(reply.is_whole(key, 4))
+            self.assertTrue(reply.is_complete_answer(key, 4))
 
-    def test_bad_settings_end_with_the_remedy(self) -> None:
+    def test_bad_settings_exit_with_the_remedy(self) -> None:
         path = self.system.directory / 'bad.yaml'
         path.write_text('host: entry-1\ndomain: d1\ncallers: nowhere\n')
         process = self.start(str(path))
-        self.assertEqual(BAD_SETTINGS, process.wait())
+        self.assertEqual(BAD_SETTINGS_EXIT_CODE, process.wait())
         self.assertIn('line 3: callers', process.read_output())
         self.assertIn('write IP:PORT', process.read_output())
 
-    def test_taken_address_ends_with_the_remedy(self) -> None:
+    def test_used_address_exits_with_the_remedy(self) -> None:
         with socket.create_server(('127.0.0.1', 0)) as taken:
             good = self.system.directory / 'entry-1.yaml'
             value = yaml.safe_load(good.read_text())
@@ -48,7 +48,7 @@
             path = self.system.directory / 'taken.yaml'
             path.write_text(yaml.safe_dump(value))
             process = self.start(str(path))
-            self.assertEqual(BAD_SETTINGS, process.wait())
+            self.assertEqual(BAD_SETTINGS_EXIT_CODE, process.wait())
         self.assertIn('addresses of this host', process.read_output())
 
     def test_log_lines_are_json_and_name_the_request(self) -> None:
@@ -56,7 +56,8 @@
         self.post('entry-1', 'manifest', {'van': 1}, key)
         process = self.system.find_process('entry-1')
         processes.wait_until(
-            lambda: '"request:end"' in process.read_output(), 'a log line'
+            lambda: '"request:end"' in process.read_output(),
+            'the request:end line',
         )
         lines = [
             json.loads(line) for line in process.read_output().splitlines()
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A request goes from its caller through the system and back."""
+"""Requests pass from the caller through the whole system and back."""
 
 import json
 
@@ -7,7 +7,7 @@
 
 
 class TestWholePath(systems.SystemTestCase):
-    """Three daemons, two unlike engines, one plain service."""
+    """Three daemons, two different engines, one plain service."""
 
     def test_engine_answer_is_whole_through_each_daemon(self) -> None:
         for host in self.system.daemons:
@@ -15,7 +15,7 @@
                 key = callers.make_key()
                 body = {'prompt': systems.make_prompt(50), 'max_tokens': 9}
                 reply = self.post(host, route, body, key)
-                self.assertTrue(reply.is_whole(key, 9), reply)
+                self.assertTrue(reply.is_complete_answer(key, 9), reply)
                 self.assertEqual(1, self.system.count_executions(key))
 
     def test_service_answer_is_its_callers_own(self) -> None:
